--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -91,7 +91,7 @@
 	if len(live) == 0 {
 		return nil, ""
 	}
-	rehomed := lease.Rehome(record.Slices, live)
+	rehomed := lease.Reassign(record.Slices, live)
 	rehomed = slices.DeleteFunc(rehomed, func(c lease.Change) bool { return !l.grants.Movable(c.Slice) })
 	if len(rehomed) > 0 {
 		return rehomed, ""
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -193,7 +193,7 @@
 func TestRehomeDealsEvenlyAndLeavesTheRest(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := Even(12, []Owner{a, b, c})
-	changes := Rehome(list, []Owner{a, b})
+	changes := Reassign(list, []Owner{a, b})
 	require.Len(t, changes, 4)
 	got := map[string]int{}
 	for _, ch := range changes {
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -18,10 +18,10 @@
 	enoughSlices = 0.8
 )
 
-// Rehome returns the changes that take slices from owners that are not in live,
+// Reassign returns the changes that take slices from owners that are not in live,
 // and deal them to those that have least. It answers the loss or leaving of a
 // target: every slice without it is unavailable, so all move at once.
-func Rehome(list []Slice, live []Owner) []Change {
+func Reassign(list []Slice, live []Owner) []Change {
 	if len(live) == 0 {
 		return nil
 	}
