--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -102,7 +102,7 @@
 	if l.moving() >= evenMoving || !lease.Uneven(record.Slices, live) {
 		return nil, ""
 	}
-	return lease.EvenOut(record.Slices, live, l.targetLoad(live, now)), ownersUneven
+	return lease.Rebalance(record.Slices, live, l.targetLoad(live, now)), ownersUneven
 }
 
 // absence returns why an owner does not count as live, by the list of those that may own keys.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -217,11 +217,11 @@
 	live := []Owner{a, b, slow}
 	list := Even(30, []Owner{a, b})
 	targetLoad := idle
-	require.Len(t, EvenOut(list, live, targetLoad), 8)
+	require.Len(t, Rebalance(list, live, targetLoad), 8)
 	targetLoad.Busy = func(o Owner) bool { return o == slow }
-	require.Empty(t, EvenOut(list, live, targetLoad))
+	require.Empty(t, Rebalance(list, live, targetLoad))
 	targetLoad.Busy = func(Owner) bool { return true }
-	require.Empty(t, EvenOut(list, live, targetLoad))
+	require.Empty(t, Rebalance(list, live, targetLoad))
 }
 
 // The slices that a new target got first were the hottest neighbourhood.
@@ -232,7 +232,7 @@
 	rates := []float64{60, 50, 40, 30, 1, 1, 2, 20, 3, 16, 18, 19}
 	targetLoad.Rate = func(i int) float64 { return rates[i] }
 	var got []float64
-	for _, ch := range EvenOut(list, []Owner{a, b, c}, targetLoad) {
+	for _, ch := range Rebalance(list, []Owner{a, b, c}, targetLoad) {
 		got = append(got, rates[ch.Slice])
 	}
 	require.ElementsMatch(t, []float64{20, 19, 18, 40}, got, "closest to the mean of 21.7 of each owner's")
@@ -241,10 +241,10 @@
 func TestNewTargetGetsItsShare(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := Even(12, []Owner{a, b})
-	changes := EvenOut(list, []Owner{a, b, c}, idle)
+	changes := Rebalance(list, []Owner{a, b, c}, idle)
 	require.Len(t, changes, 4)
 	require.True(t, Uneven(list, []Owner{a, b, c}))
-	require.Empty(t, EvenOut(Even(12, []Owner{a, b, c}), []Owner{a, b, c}, idle))
+	require.Empty(t, Rebalance(Even(12, []Owner{a, b, c}), []Owner{a, b, c}, idle))
 	require.False(t, Uneven(Even(12, []Owner{a, b, c}), []Owner{a, b, c}))
 }
 
@@ -254,7 +254,7 @@
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := Even(30, []Owner{a, b, c})
 	list[0].Owner, list[3].Owner, list[6].Owner = b, b, c
-	require.Empty(t, EvenOut(list, []Owner{a, b, c}, idle))
+	require.Empty(t, Rebalance(list, []Owner{a, b, c}, idle))
 }
 
 func TestIndexFindsTheSliceOfAKey(t *testing.T) {
@@ -309,7 +309,7 @@
 			list[i].Owner = live[rapid.IntRange(0, len(live)-1).Draw(t, "owner")]
 		}
 		if !Uneven(list, live) {
-			require.Empty(t, EvenOut(list, live, idle))
+			require.Empty(t, Rebalance(list, live, idle))
 		}
 	})
 }
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -45,7 +45,7 @@
 	Busy func(o Owner) bool
 }
 
-// Uneven reports whether a target has so few slices that EvenOut may bring it more: it is
+// Uneven reports whether a target has so few slices that Rebalance may bring it more: it is
 // asked often, and the targetLoad costs far more than the count.
 func Uneven(list []Slice, live []Owner) bool {
 	d := newPlanner(list, live)
@@ -53,10 +53,10 @@
 	return slices.ContainsFunc(live, func(o Owner) bool { return float64(d.count[o]) < few })
 }
 
-// EvenOut returns the changes that bring slices of the usual rate to targets that have
+// Rebalance returns the changes that bring slices of the usual rate to targets that have
 // far fewer than others and are not busy, such as one that has just started.
 // A target may have few slices because it is slow and gave up hot ones; it must not get them back.
-func EvenOut(list []Slice, live []Owner, b TargetLoad) []Change {
+func Rebalance(list []Slice, live []Owner, b TargetLoad) []Change {
 	if len(live) == 0 {
 		return nil
 	}
