--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -99,7 +99,7 @@
 	if changes := l.spread(live, now); len(changes) > 0 {
 		return changes, ownerLoaded
 	}
-	if l.moving() >= evenMoving || !lease.Uneven(record.Slices, live) {
+	if l.moving() >= evenMoving || !lease.Unbalanced(record.Slices, live) {
 		return nil, ""
 	}
 	return lease.Rebalance(record.Slices, live, l.targetLoad(live, now)), ownersUneven
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -243,9 +243,9 @@
 	list := Even(12, []Owner{a, b})
 	changes := Rebalance(list, []Owner{a, b, c}, idle)
 	require.Len(t, changes, 4)
-	require.True(t, Uneven(list, []Owner{a, b, c}))
+	require.True(t, Unbalanced(list, []Owner{a, b, c}))
 	require.Empty(t, Rebalance(Even(12, []Owner{a, b, c}), []Owner{a, b, c}, idle))
-	require.False(t, Uneven(Even(12, []Owner{a, b, c}), []Owner{a, b, c}))
+	require.False(t, Unbalanced(Even(12, []Owner{a, b, c}), []Owner{a, b, c}))
 }
 
 // An owner gave up its hot slices and has a few less than the others. It must not
@@ -308,7 +308,7 @@
 		for i := range list {
 			list[i].Owner = live[rapid.IntRange(0, len(live)-1).Draw(t, "owner")]
 		}
-		if !Uneven(list, live) {
+		if !Unbalanced(list, live) {
 			require.Empty(t, Rebalance(list, live, idle))
 		}
 	})
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -45,9 +45,9 @@
 	Busy func(o Owner) bool
 }
 
-// Uneven reports whether a target has so few slices that Rebalance may bring it more: it is
+// Unbalanced reports whether a target has so few slices that Rebalance may bring it more: it is
 // asked often, and the targetLoad costs far more than the count.
-func Uneven(list []Slice, live []Owner) bool {
+func Unbalanced(list []Slice, live []Owner) bool {
 	d := newPlanner(list, live)
 	few := fewSlices * float64(len(list)) / float64(len(live))
 	return slices.ContainsFunc(live, func(o Owner) bool { return float64(d.count[o]) < few })
