--- a/internal/gateway/leasing/broadcast_test.go
+++ b/internal/gateway/leasing/broadcast_test.go
@@ -39,7 +39,7 @@
 
 // owners returns a routing in which the first slices of a hundred have moved.
 func owners(seq uint64, moved int) *lease.Routing {
-	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.Even(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
+	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.EvenSlices(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
 	for i := range moved {
 		r.Slices[i].Owner = lease.Owner{ID: "c"}
 	}
@@ -199,7 +199,7 @@
 		for i := range 340 {
 			targets = append(targets, lease.Owner{ID: fmt.Sprintf("i-%010x", i)})
 		}
-		r.Slices = lease.Even(570, targets)
+		r.Slices = lease.EvenSlices(570, targets)
 		routing := lease.NewRouting(r, 1, func(int) lease.SliceState { return lease.Served })
 		b := newLeaseBroadcaster(link.push, quiet(), bytesPerSecond, nil)
 		b.Publish(t.Context(), routing, names)
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -218,7 +218,7 @@
 		if owners == nil {
 			return nil
 		}
-		next = lease.Record{Service: c.service, Slices: lease.Even(min(slicesPerOwner*len(owners), slicesMost), owners)}
+		next = lease.Record{Service: c.service, Slices: lease.EvenSlices(min(slicesPerOwner*len(owners), slicesMost), owners)}
 	} else if c.stillLed(old) || !c.storeProven(old) {
 		return nil
 	}
--- a/internal/gateway/leasing/candidate_test.go
+++ b/internal/gateway/leasing/candidate_test.go
@@ -62,7 +62,7 @@
 
 // leadingNode returns the node as a grantor, and its store, which holds the record and is away.
 func leadingNode(t *testing.T, n *node) (*leader, *changingStore) {
-	record := lease.Record{Service: "s", Epoch: 4, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.Even(2, []lease.Owner{{ID: "t"}})}
+	record := lease.Record{Service: "s", Epoch: 4, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	spec, err := json.Marshal(record)
 	require.NoError(t, err)
 	store := &changingStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
@@ -93,7 +93,7 @@
 	n := testNode(clock)
 	defer n.mesh.Close()
 	holder := mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}
-	record := lease.Record{Service: "s", Epoch: 3, Holder: "holder", Incarnation: 5, Slices: lease.Even(2, []lease.Owner{{ID: "t"}})}
+	record := lease.Record{Service: "s", Epoch: 3, Holder: "holder", Incarnation: 5, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	spec, err := json.Marshal(record)
 	require.NoError(t, err)
 	store := &changingStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
@@ -160,7 +160,7 @@
 func TestResignationBeforeAnythingWasPublished(t *testing.T) {
 	n := testNode(newHandClock(time.Hour))
 	defer n.mesh.Close()
-	record := lease.Record{Service: "s", Epoch: 4, Slices: lease.Even(2, []lease.Owner{{ID: "t"}})}
+	record := lease.Record{Service: "s", Epoch: 4, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, n.Clock.Now(), n.Clock.Now(), lease.PriorGrantsEnded), 1)
 	l.publish(l.vacant())
@@ -203,7 +203,7 @@
 func TestResignationThatTheStoreRefusesChangesNothing(t *testing.T) {
 	n := testNode(newHandClock(time.Hour))
 	defer n.mesh.Close()
-	record := lease.Record{Service: "s", Epoch: 4, Slices: lease.Even(2, []lease.Owner{{ID: "t"}})}
+	record := lease.Record{Service: "s", Epoch: 4, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, lease.Timing{Hold: lease.HoldTime}, n.Clock.Now(), n.Clock.Now(), lease.PriorGrantsEnded), 1)
 	l.resign(t.Context())
 	(<-l.events)()
--- a/internal/gateway/leasing/heldorders_test.go
+++ b/internal/gateway/leasing/heldorders_test.go
@@ -66,7 +66,7 @@
 	old, next := &keyHolder{clock: clock}, &keyHolder{clock: clock}
 	oldLink, nextLink := linktest.Serve(t, old), linktest.Serve(t, next)
 	oldOwner, nextOwner := lease.Owner{ID: "old", Addr: oldLink.Addr()}, lease.Owner{ID: "next", Addr: nextLink.Addr()}
-	record := lease.Record{Service: "s", Epoch: 1, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.Even(1, []lease.Owner{oldOwner})}
+	record := lease.Record{Service: "s", Epoch: 1, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.EvenSlices(1, []lease.Owner{oldOwner})}
 	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	for _, o := range []lease.Owner{oldOwner, nextOwner} {
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -22,7 +22,7 @@
 	}
 	n.TargetDirectory = directory
 	owners := []lease.Owner{inService, silent, ended, left}
-	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.Even(16, owners)}
+	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(16, owners)}
 	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	for _, o := range owners {
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -16,7 +16,7 @@
 	n := testNode(clock)
 	defer n.mesh.Close()
 	slow, hot, idle := lease.Owner{ID: "slow"}, lease.Owner{ID: "hot"}, lease.Owner{ID: "idle"}
-	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.Even(6, []lease.Owner{slow, hot, idle})}
+	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(6, []lease.Owner{slow, hot, idle})}
 	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	live := []lease.Owner{slow, hot, idle}
@@ -77,7 +77,7 @@
 		directory.list = append(directory.list, catalog.Target{ID: o.ID, Addr: o.Addr, Service: "s", Slots: 1})
 	}
 	n.TargetDirectory = directory
-	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.Even(4, owners)}
+	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(4, owners)}
 	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	const hot, usual = 5, 60000
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -18,7 +18,7 @@
 	defer g.mesh.Close()
 	s := g.state
 	s.list(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
-	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.Even(2, []lease.Owner{{ID: "t"}})}
+	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	hot := lease.NewRouting(record, 1, func(int) lease.SliceState { return lease.Served })
 	limit := lease.NewLimit(0.1, lease.Unlimited)
 	hot.SetLimits(func(i int) lease.Limit { return limit * lease.Limit(i) })
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -12,7 +12,7 @@
 
 // owners returns a routing in which the first slices of a hundred have moved.
 func owners(seq uint64, moved int) *lease.Routing {
-	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.Even(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
+	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.EvenSlices(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
 	for i := range moved {
 		r.Slices[i].Owner = lease.Owner{ID: "c"}
 	}
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -35,7 +35,7 @@
 // when it was sent.
 func renewing(t *testing.T, owner Owner) (g *Grantor, renewal Order, now time.Duration) {
 	now = time.Hour
-	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: Even(1, []Owner{owner})}, worldTiming, now, now, NoPriorGrants)
+	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, worldTiming, now, now, NoPriorGrants)
 	g.LifeConfirmed(owner)
 	for _, o := range g.Due(now) {
 		g.Ended(o, Done, "", now, now)
@@ -52,7 +52,7 @@
 // The successor must not count the owner's hold from the end of the authority.
 func TestLastGrantOfAnUnknownPastIsOnItsWayForAWhile(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	record := Record{Service: "s", Epoch: 1, Slices: Even(1, []Owner{a})}
+	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}
 	first := NewGrantor(record, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	first.LifeConfirmed(a)
 	sent := time.Hour + Authority - time.Millisecond
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -11,7 +11,7 @@
 // free: because the old owner gave them up, or because its hold had run out.
 func TestEventsTellWhyKeysAreFree(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: Even(2, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.LifeConfirmed(a)
 	g.LifeConfirmed(b)
 	now := time.Hour
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -57,7 +57,7 @@
 // Guards against keys that are refused while a successor's grants are in flight.
 func TestSuccessorPresumesThatOwnersServeUntilTheirGrantsExpire(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	r := Record{Service: "s", Epoch: 4, Slices: Even(4, []Owner{a, b})}
+	r := Record{Service: "s", Epoch: 4, Slices: EvenSlices(4, []Owner{a, b})}
 	last := NewRouting(r, 9, func(i int) SliceState {
 		if i == 3 {
 			return Unserved
@@ -86,7 +86,7 @@
 // owners: no key moves, and none waits.
 func TestSuccessorGrantsPresentOwnersAtOnce(t *testing.T) {
 	owners := []Owner{{ID: "a"}, {ID: "b"}}
-	r := Record{Service: "s", Epoch: 7, Slices: Even(4, owners)}
+	r := Record{Service: "s", Epoch: 7, Slices: EvenSlices(4, owners)}
 	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, PriorGrantsUnknown)
 	for _, o := range g.Unconfirmed() {
 		g.LifeConfirmed(o)
@@ -102,7 +102,7 @@
 // A grantor stands still for longer than its authority. When it wakes it must
 // send nothing: another may have moved the keys.
 func TestNothingIsOrderedPastTheAuthority(t *testing.T) {
-	r := Record{Service: "s", Epoch: 1, Slices: Even(2, []Owner{{ID: "a"}})}
+	r := Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{{ID: "a"}})}
 	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.LifeConfirmed(Owner{ID: "a"})
 	require.Len(t, g.Due(time.Hour+Authority-1), 2)
@@ -115,7 +115,7 @@
 // out, and no later than a second after.
 func TestKeysOfALostOwnerAreFreeAfterTheHold(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: Even(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.LifeConfirmed(a)
 	g.LifeConfirmed(b)
 	now := time.Hour
@@ -143,7 +143,7 @@
 // answered, and requests for the keys are refused meanwhile.
 func TestTargetThatDoesNotAnswerIsAskedOnceAtATime(t *testing.T) {
 	a := Owner{ID: "a"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: Even(100, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(100, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.LifeConfirmed(a)
 	now := time.Hour
 	for _, o := range g.Due(now) {
@@ -172,7 +172,7 @@
 // the one of the release.
 func TestMoveReleasesThenGrantsWithHandover(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: Even(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.LifeConfirmed(a)
 	g.LifeConfirmed(b)
 	first := g.Due(time.Hour)[0]
@@ -192,7 +192,7 @@
 
 func TestRehomeDealsEvenlyAndLeavesTheRest(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
-	list := Even(12, []Owner{a, b, c})
+	list := EvenSlices(12, []Owner{a, b, c})
 	changes := Reassign(list, []Owner{a, b})
 	require.Len(t, changes, 4)
 	got := map[string]int{}
@@ -215,7 +215,7 @@
 func TestBusyOwnerGetsNoMoreForHavingFew(t *testing.T) {
 	a, b, slow := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "slow"}
 	live := []Owner{a, b, slow}
-	list := Even(30, []Owner{a, b})
+	list := EvenSlices(30, []Owner{a, b})
 	targetLoad := idle
 	require.Len(t, Rebalance(list, live, targetLoad), 8)
 	targetLoad.Busy = func(o Owner) bool { return o == slow }
@@ -227,7 +227,7 @@
 // The slices that a new target got first were the hottest neighbourhood.
 func TestNewTargetGetsSlicesOfTheUsualRate(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
-	list := Even(12, []Owner{a, b})
+	list := EvenSlices(12, []Owner{a, b})
 	targetLoad := idle
 	rates := []float64{60, 50, 40, 30, 1, 1, 2, 20, 3, 16, 18, 19}
 	targetLoad.Rate = func(i int) float64 { return rates[i] }
@@ -240,26 +240,26 @@
 
 func TestNewTargetGetsItsShare(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
-	list := Even(12, []Owner{a, b})
+	list := EvenSlices(12, []Owner{a, b})
 	changes := Rebalance(list, []Owner{a, b, c}, idle)
 	require.Len(t, changes, 4)
 	require.True(t, Unbalanced(list, []Owner{a, b, c}))
-	require.Empty(t, Rebalance(Even(12, []Owner{a, b, c}), []Owner{a, b, c}, idle))
-	require.False(t, Unbalanced(Even(12, []Owner{a, b, c}), []Owner{a, b, c}))
+	require.Empty(t, Rebalance(EvenSlices(12, []Owner{a, b, c}), []Owner{a, b, c}, idle))
+	require.False(t, Unbalanced(EvenSlices(12, []Owner{a, b, c}), []Owner{a, b, c}))
 }
 
 // An owner gave up its hot slices and has a few less than the others. It must not
 // get cold ones for them, to give up more hot ones next.
 func TestOwnersWithSomewhatFewerSlicesAreLeftAlone(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
-	list := Even(30, []Owner{a, b, c})
+	list := EvenSlices(30, []Owner{a, b, c})
 	list[0].Owner, list[3].Owner, list[6].Owner = b, b, c
 	require.Empty(t, Rebalance(list, []Owner{a, b, c}, idle))
 }
 
 func TestIndexFindsTheSliceOfAKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		list := Even(rapid.IntRange(1, 700).Draw(t, "slices"), []Owner{{ID: "a"}})
+		list := EvenSlices(rapid.IntRange(1, 700).Draw(t, "slices"), []Owner{{ID: "a"}})
 		require.NoError(t, (&Record{Slices: list}).Check())
 		key := rapid.Uint16().Draw(t, "key")
 		s := list[Index(list, key)]
@@ -304,7 +304,7 @@
 		for i := range rapid.IntRange(1, 8).Draw(t, "live") {
 			live = append(live, Owner{ID: string(rune('a' + i))})
 		}
-		list := Even(rapid.IntRange(1, 60).Draw(t, "slices"), slices.Clone(live))
+		list := EvenSlices(rapid.IntRange(1, 60).Draw(t, "slices"), slices.Clone(live))
 		for i := range list {
 			list[i].Owner = live[rapid.IntRange(0, len(live)-1).Draw(t, "owner")]
 		}
@@ -322,7 +322,7 @@
 	timing := worldTiming
 	timing.Cold = 5 * time.Second
 	now := time.Hour
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: Even(2, []Owner{a})}, timing, now, now, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, timing, now, now, NoPriorGrants)
 	g.LifeConfirmed(a)
 	g.LifeConfirmed(b)
 	answer := func(r Result, handover string) {
--- a/internal/lease/limit_test.go
+++ b/internal/lease/limit_test.go
@@ -28,7 +28,7 @@
 
 func TestLimitsReachTheOtherVMsWithUpdates(t *testing.T) {
 	owners := []Owner{{ID: "a"}, {ID: "b"}}
-	record := Record{Service: "s", Epoch: 1, Slices: Even(4, owners)}
+	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(4, owners)}
 	served := func(int) SliceState { return Served }
 	before, now := NewRouting(record, 1, served), NewRouting(record, 2, served)
 	require.Empty(t, before.Limits, "nothing to send where nothing is limited")
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -107,9 +107,9 @@
 // keySpace is the number of keys.
 const keySpace = 1 << 16
 
-// Even returns n slices of equal width, dealt to the owners in turn.
+// EvenSlices returns n slices of equal width, dealt to the owners in turn.
 // Busy keys are neighbours: each owner's slices lie apart, so that several owners share them.
-func Even(n int, owners []Owner) []Slice {
+func EvenSlices(n int, owners []Owner) []Slice {
 	slices.SortFunc(owners, func(a, b Owner) int { return cmp.Compare(a.ID, b.ID) })
 	out := make([]Slice, n)
 	for i := range out {
--- a/internal/lease/stored_test.go
+++ b/internal/lease/stored_test.go
@@ -16,7 +16,7 @@
 		}
 		r := Record{
 			Service: "s", Epoch: rapid.Uint64().Draw(t, "epoch"), Holder: "vm", HolderAddr: "10.0.0.2:1", Incarnation: 7,
-			Resigned: rapid.Bool().Draw(t, "resigned"), Slices: Even(rapid.IntRange(1, 60).Draw(t, "slices"), []Owner{{ID: "x"}}),
+			Resigned: rapid.Bool().Draw(t, "resigned"), Slices: EvenSlices(rapid.IntRange(1, 60).Draw(t, "slices"), []Owner{{ID: "x"}}),
 		}
 		for i := range r.Slices {
 			r.Slices[i].Owner = draw("owner")
@@ -40,7 +40,7 @@
 	for i := range 114 {
 		owners = append(owners, Owner{ID: fmt.Sprintf("i-%010x", i), Born: 1784441816220 + int64(i), Addr: fmt.Sprintf("10.2.64.%d:8027", i)})
 	}
-	text, err := json.Marshal(Record{Service: "s", Epoch: 9, Holder: "vm", Slices: Even(800, owners)})
+	text, err := json.Marshal(Record{Service: "s", Epoch: 9, Holder: "vm", Slices: EvenSlices(800, owners)})
 	require.NoError(t, err)
 	require.Less(t, len(text), 16_000)
 }
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -153,7 +153,7 @@
 		for i := range owners {
 			owners[i] = w.owner(i)
 		}
-		next.Slices = Even(worldSlices, owners)
+		next.Slices = EvenSlices(worldSlices, owners)
 	}
 	next.Slices = append([]Slice(nil), next.Slices...)
 	next.Epoch++
