--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -34,7 +34,7 @@
 			if o.Target.Same(unanswered) {
 				result = lease.Unanswered
 			}
-			l.grants.Ended(o, result, "", clock.Now(), clock.Now())
+			l.grants.HandleResult(o, result, "", clock.Now(), clock.Now())
 		}
 	}
 	answer(lease.Owner{})
--- a/internal/gateway/leasing/orders.go
+++ b/internal/gateway/leasing/orders.go
@@ -43,7 +43,7 @@
 	select {
 	case line.grants <- queuedGrant{o, l.Clock.Now()}:
 	default:
-		l.grants.Ended(o, lease.Unreached, "", l.Clock.Now(), l.Clock.Now())
+		l.grants.HandleResult(o, lease.Unreached, "", l.Clock.Now(), l.Clock.Now())
 	}
 }
 
@@ -158,7 +158,7 @@
 }
 
 func (l *leader) ended(ctx context.Context, o lease.Order, r lease.Result, handover string, sent, over time.Duration) {
-	l.grants.Ended(o, r, handover, sent, over)
+	l.grants.HandleResult(o, r, handover, sent, over)
 	if r == lease.Fenced {
 		l.readEpoch(ctx)
 	}
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -27,7 +27,7 @@
 		for _, o := range l.grants.Due(clock.Now()) {
 			for _, a := range answers {
 				if o.Target.Same(a) {
-					l.grants.Ended(o, lease.Done, "", clock.Now(), clock.Now())
+					l.grants.HandleResult(o, lease.Done, "", clock.Now(), clock.Now())
 				}
 			}
 		}
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -23,7 +23,7 @@
 				return now
 			}
 			if o.Target.Same(silent) {
-				g.Ended(o, Unreached, "", now, now)
+				g.HandleResult(o, Unreached, "", now, now)
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, worldTiming, now, now, NoPriorGrants)
 	g.LifeConfirmed(owner)
 	for _, o := range g.Due(now) {
-		g.Ended(o, Done, "", now, now)
+		g.HandleResult(o, Done, "", now, now)
 	}
 	now += worldTiming.Renew
 	renewals := g.Due(now)
@@ -77,9 +77,9 @@
 	now += 7 * time.Second
 	g.Confirmed(now)
 	for _, o := range g.Due(now) {
-		g.Ended(o, Unreached, "", now, now)
+		g.HandleResult(o, Unreached, "", now, now)
 	}
-	g.Ended(renewal, Unanswered, "", now, now+worldGiveUp)
+	g.HandleResult(renewal, Unanswered, "", now, now+worldGiveUp)
 	arrived := now + worldGiveUp
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
 	require.GreaterOrEqual(t, grantedAt(t, g, arrived, a, b), outOf(arrived))
--- a/internal/lease/ended.go
+++ b/internal/lease/ended.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Ended handles the end of an order, which was sent and over at these times. It
+// HandleResult handles the end of an order, which was sent and over at these times. It
 // returns false for an order that no slice waits for any more.
-func (g *Grantor) Ended(o Order, r Result, handover string, sent, over time.Duration) bool {
+func (g *Grantor) HandleResult(o Order, r Result, handover string, sent, over time.Duration) bool {
 	if o.Fence>>epochShift != g.record.Epoch {
 		// An order of an earlier epoch: its fence is below ours, so its end says
 		// nothing of what the target holds now.
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -16,7 +16,7 @@
 	g.LifeConfirmed(b)
 	now := time.Hour
 	for _, o := range g.Due(now) {
-		g.Ended(o, Done, "", now, now)
+		g.HandleResult(o, Done, "", now, now)
 	}
 	require.Empty(t, g.TakeEvents(), "the first grant of a key is no move")
 	out := holdEnd(now, worldTiming.Hold)
@@ -28,7 +28,7 @@
 		if o.From > 0 {
 			result = Unanswered
 		}
-		g.Ended(o, result, "", now, now)
+		g.HandleResult(o, result, "", now, now)
 	}
 	for ; now < out+time.Second; now += 50 * time.Millisecond {
 		for _, o := range g.Due(now) {
@@ -36,7 +36,7 @@
 			if o.Kind == Release {
 				result = Unanswered
 			}
-			g.Ended(o, result, "", now, now)
+			g.HandleResult(o, result, "", now, now)
 		}
 	}
 	events := g.TakeEvents()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -77,7 +77,7 @@
 
 	g.LifeConfirmed(a)
 	o := g.Due(now)[0]
-	g.Ended(o, Unanswered, "", now, now)
+	g.HandleResult(o, Unanswered, "", now, now)
 	require.Equal(t, Unserved, g.State(0, now), "an order failed")
 	require.Equal(t, Served, g.State(1, now))
 }
@@ -120,7 +120,7 @@
 	g.LifeConfirmed(b)
 	now := time.Hour
 	for _, o := range g.Due(now) {
-		g.Ended(o, Done, "", now, now)
+		g.HandleResult(o, Done, "", now, now)
 	}
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
 	granted := time.Duration(0)
@@ -131,7 +131,7 @@
 				granted = now
 				continue
 			}
-			g.Ended(o, Unanswered, "", now, now)
+			g.HandleResult(o, Unanswered, "", now, now)
 		}
 	}
 	require.GreaterOrEqual(t, granted, time.Hour+worldTiming.Hold)
@@ -147,14 +147,14 @@
 	g.LifeConfirmed(a)
 	now := time.Hour
 	for _, o := range g.Due(now) {
-		g.Ended(o, Done, "", now, now)
+		g.HandleResult(o, Done, "", now, now)
 	}
 	orders := 0
 	for ; now < time.Hour+10*time.Second; now += 20 * time.Millisecond {
 		g.LifeConfirmed(a)
 		for _, o := range g.Due(now) {
 			orders++
-			g.Ended(o, Unanswered, "", now, now)
+			g.HandleResult(o, Unanswered, "", now, now)
 		}
 	}
 	require.Less(t, orders, 100+20, "the first failure comes to all that are on their way")
@@ -164,7 +164,7 @@
 	now += retryMost
 	probe := g.Due(now)
 	require.Len(t, probe, 1)
-	g.Ended(probe[0], Done, "", now, now)
+	g.HandleResult(probe[0], Done, "", now, now)
 	require.Len(t, g.Due(now), 99)
 }
 
@@ -176,17 +176,17 @@
 	g.LifeConfirmed(a)
 	g.LifeConfirmed(b)
 	first := g.Due(time.Hour)[0]
-	g.Ended(first, Done, "", time.Hour, time.Hour)
+	g.HandleResult(first, Done, "", time.Hour, time.Hour)
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), time.Hour)
 	release := g.Due(time.Hour)[0]
 	require.Equal(t, Release, release.Kind)
 	require.Greater(t, release.Fence, first.Fence)
 	require.Equal(t, Moving, g.State(0, time.Hour), "requests wait meanwhile")
-	g.Ended(release, Done, "state", time.Hour, time.Hour)
+	g.HandleResult(release, Done, "state", time.Hour, time.Hour)
 	grant := g.Due(time.Hour)[0]
 	require.Equal(t, "state", grant.Handover)
 	require.Greater(t, grant.Fence, release.Fence)
-	g.Ended(grant, Done, "", time.Hour, time.Hour)
+	g.HandleResult(grant, Done, "", time.Hour, time.Hour)
 	require.Equal(t, Served, g.State(0, time.Hour))
 }
 
@@ -327,7 +327,7 @@
 	g.LifeConfirmed(b)
 	answer := func(r Result, handover string) {
 		for _, o := range g.Due(now) {
-			g.Ended(o, r, handover, now, now)
+			g.HandleResult(o, r, handover, now, now)
 		}
 	}
 	answer(Done, "")
@@ -336,8 +336,8 @@
 
 	release := g.Due(now)
 	require.Len(t, release, 2)
-	g.Ended(release[0], Done, "state", now, now)
-	g.Ended(release[1], Unreached, "", now, now)
+	g.HandleResult(release[0], Done, "state", now, now)
+	g.HandleResult(release[1], Unreached, "", now, now)
 	answer(Done, "")
 	require.Equal(t, Served, g.State(0, now), "handed over")
 	for range 400 {
@@ -347,7 +347,7 @@
 			if o.Kind == Release {
 				r = Unreached
 			}
-			g.Ended(o, r, "", now, now)
+			g.HandleResult(o, r, "", now, now)
 		}
 	}
 	require.Equal(t, Cold, g.State(1, now), "waited out")
@@ -370,7 +370,7 @@
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
 	require.Empty(t, g.Due(now+time.Minute), "nothing is free while it is on its way")
 	over := now + worldGiveUp
-	g.Ended(renewal, Unanswered, "", now, over)
+	g.HandleResult(renewal, Unanswered, "", now, over)
 	granted := grantedAt(t, g, over, a, b)
 	require.GreaterOrEqual(t, granted, outOf(over))
 	require.Less(t, granted, outOf(over)+time.Second)
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -338,7 +338,7 @@
 	g := v.grantor
 	v.results = append(v.results, func() {
 		if over <= w.now {
-			g.Ended(m.order, r, "", m.sent, over)
+			g.HandleResult(m.order, r, "", m.sent, over)
 			if r == Fenced {
 				w.readEpoch(m.vm)
 			}
