--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -184,7 +184,7 @@
 		for _, s := range l.grants.Record().Slices {
 			for _, o := range []lease.Owner{s.Owner, s.Previous} {
 				if o.ID == id && o.Born < t.Born {
-					l.grants.LifeEnded(o)
+					l.grants.MarkEnded(o)
 				}
 			}
 		}
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	answer(lease.Owner{})
-	l.grants.LifeEnded(ended)
+	l.grants.MarkEnded(ended)
 	clock.advance(renewEvery)
 	answer(silent)
 	clock.advance(silentOwner)
--- a/internal/lease/ended.go
+++ b/internal/lease/ended.go
@@ -44,7 +44,7 @@
 		delete(g.confirmedLives, o.Target)
 		g.failed(s, over)
 	case Misdirected:
-		g.LifeEnded(o.Target)
+		g.MarkEnded(o.Target)
 		g.failed(s, over)
 	case Fenced:
 		s.fence = g.fence()
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -251,12 +251,12 @@
 	g.note(how, i, previous)
 }
 
-// LifeEnded notes that a life of a target is over: another one has begun under
+// MarkEnded notes that a life of a target is over: another one has begun under
 // its id. It gets no more grants. Its keys are released like any others, which the
 // new life answers.
 // The entry of a restarted target may still be of its last life while it takes connections. Its keys
 // are not free before the new life has answered a release.
-func (g *Grantor) LifeEnded(o Owner) {
+func (g *Grantor) MarkEnded(o Owner) {
 	g.ended[o] = true
 	delete(g.confirmedLives, o)
 }
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -242,7 +242,7 @@
 	for _, s := range g.Record().Slices {
 		for _, o := range []Owner{s.Owner, s.Previous} {
 			if o.Known() && o.Born < w.listed[indexOf(o)] {
-				g.LifeEnded(o)
+				g.MarkEnded(o)
 			}
 		}
 	}
