--- a/internal/gateway/leasing/heldorders_test.go
+++ b/internal/gateway/leasing/heldorders_test.go
@@ -71,7 +71,7 @@
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	for _, o := range []lease.Owner{oldOwner, nextOwner} {
 		require.NoError(t, l.line(t.Context(), o).pool.Connect(t.Context()))
-		l.grants.LifeConfirmed(o)
+		l.grants.MarkConfirmed(o)
 	}
 	// play sends what is due, one order after the other, and handles its end.
 	play := func() {
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -120,7 +120,7 @@
 			return
 		}
 		for _, o := range confirmed {
-			l.grants.LifeConfirmed(o)
+			l.grants.MarkConfirmed(o)
 		}
 	})
 }
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -26,7 +26,7 @@
 	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	for _, o := range owners {
-		l.grants.LifeConfirmed(o)
+		l.grants.MarkConfirmed(o)
 	}
 	answer := func(unanswered lease.Owner) {
 		for _, o := range l.grants.Due(clock.Now()) {
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -21,7 +21,7 @@
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	live := []lease.Owner{slow, hot, idle}
 	for _, o := range live {
-		l.grants.LifeConfirmed(o)
+		l.grants.MarkConfirmed(o)
 	}
 	end := func(answers ...lease.Owner) {
 		for _, o := range l.grants.Due(clock.Now()) {
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -15,7 +15,7 @@
 // grantedAt plays a grantor whose orders to a target do not get a connection, and returns
 // when another target is granted the first keys.
 func grantedAt(t *testing.T, g *Grantor, now time.Duration, silent, other Owner) time.Duration {
-	g.LifeConfirmed(other)
+	g.MarkConfirmed(other)
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
 		g.Confirmed(now)
 		for _, o := range g.Due(now) {
@@ -36,7 +36,7 @@
 func renewing(t *testing.T, owner Owner) (g *Grantor, renewal Order, now time.Duration) {
 	now = time.Hour
 	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, worldTiming, now, now, NoPriorGrants)
-	g.LifeConfirmed(owner)
+	g.MarkConfirmed(owner)
 	for _, o := range g.Due(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
@@ -54,7 +54,7 @@
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}
 	first := NewGrantor(record, worldTiming, time.Hour, time.Hour, NoPriorGrants)
-	first.LifeConfirmed(a)
+	first.MarkConfirmed(a)
 	sent := time.Hour + Authority - time.Millisecond
 	require.Len(t, first.Due(sent), 1)
 
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -12,8 +12,8 @@
 func TestEventsTellWhyKeysAreFree(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
-	g.LifeConfirmed(a)
-	g.LifeConfirmed(b)
+	g.MarkConfirmed(a)
+	g.MarkConfirmed(b)
 	now := time.Hour
 	for _, o := range g.Due(now) {
 		g.HandleResult(o, Done, "", now, now)
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -278,9 +278,9 @@
 	return out
 }
 
-// LifeConfirmed notes that a target was in this life after the connection for its
+// MarkConfirmed notes that a target was in this life after the connection for its
 // orders was opened, and that the epoch stood after that.
-func (g *Grantor) LifeConfirmed(o Owner) { g.confirmedLives[o] = true }
+func (g *Grantor) MarkConfirmed(o Owner) { g.confirmedLives[o] = true }
 
 // Silent returns for how long an owner has left orders unanswered; 0 while it
 // answers, or was never asked.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -75,7 +75,7 @@
 	require.Equal(t, Moving, g.State(3, now), "was not served before")
 	require.Equal(t, Moving, g.State(0, now+time.Second))
 
-	g.LifeConfirmed(a)
+	g.MarkConfirmed(a)
 	o := g.Due(now)[0]
 	g.HandleResult(o, Unanswered, "", now, now)
 	require.Equal(t, Unserved, g.State(0, now), "an order failed")
@@ -89,7 +89,7 @@
 	r := Record{Service: "s", Epoch: 7, Slices: EvenSlices(4, owners)}
 	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, PriorGrantsUnknown)
 	for _, o := range g.Unconfirmed() {
-		g.LifeConfirmed(o)
+		g.MarkConfirmed(o)
 	}
 	due := g.Due(time.Hour)
 	require.Len(t, due, 4)
@@ -104,7 +104,7 @@
 func TestNothingIsOrderedPastTheAuthority(t *testing.T) {
 	r := Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{{ID: "a"}})}
 	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, NoPriorGrants)
-	g.LifeConfirmed(Owner{ID: "a"})
+	g.MarkConfirmed(Owner{ID: "a"})
 	require.Len(t, g.Due(time.Hour+Authority-1), 2)
 	require.Empty(t, g.Due(time.Hour+Authority))
 	g.Confirmed(time.Hour + Authority)
@@ -116,8 +116,8 @@
 func TestKeysOfALostOwnerAreFreeAfterTheHold(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
-	g.LifeConfirmed(a)
-	g.LifeConfirmed(b)
+	g.MarkConfirmed(a)
+	g.MarkConfirmed(b)
 	now := time.Hour
 	for _, o := range g.Due(now) {
 		g.HandleResult(o, Done, "", now, now)
@@ -144,14 +144,14 @@
 func TestTargetThatDoesNotAnswerIsAskedOnceAtATime(t *testing.T) {
 	a := Owner{ID: "a"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(100, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
-	g.LifeConfirmed(a)
+	g.MarkConfirmed(a)
 	now := time.Hour
 	for _, o := range g.Due(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
 	orders := 0
 	for ; now < time.Hour+10*time.Second; now += 20 * time.Millisecond {
-		g.LifeConfirmed(a)
+		g.MarkConfirmed(a)
 		for _, o := range g.Due(now) {
 			orders++
 			g.HandleResult(o, Unanswered, "", now, now)
@@ -160,7 +160,7 @@
 	require.Less(t, orders, 100+20, "the first failure comes to all that are on their way")
 	require.Equal(t, Unserved, g.State(5, now))
 	require.Greater(t, g.Silent(a, now), 9*time.Second)
-	g.LifeConfirmed(a)
+	g.MarkConfirmed(a)
 	now += retryMost
 	probe := g.Due(now)
 	require.Len(t, probe, 1)
@@ -173,8 +173,8 @@
 func TestMoveReleasesThenGrantsWithHandover(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
-	g.LifeConfirmed(a)
-	g.LifeConfirmed(b)
+	g.MarkConfirmed(a)
+	g.MarkConfirmed(b)
 	first := g.Due(time.Hour)[0]
 	g.HandleResult(first, Done, "", time.Hour, time.Hour)
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), time.Hour)
@@ -323,8 +323,8 @@
 	timing.Cold = 5 * time.Second
 	now := time.Hour
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, timing, now, now, NoPriorGrants)
-	g.LifeConfirmed(a)
-	g.LifeConfirmed(b)
+	g.MarkConfirmed(a)
+	g.MarkConfirmed(b)
 	answer := func(r Result, handover string) {
 		for _, o := range g.Due(now) {
 			g.HandleResult(o, r, handover, now, now)
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -263,7 +263,7 @@
 		}
 		v.grantor.Confirmed(w.now)
 		if w.listed[i] == o.Born {
-			v.grantor.LifeConfirmed(o)
+			v.grantor.MarkConfirmed(o)
 		}
 	}
 }
