--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -108,7 +108,7 @@
 // absence returns why an owner does not count as live, by the list of those that may own keys.
 func (l *leader) absence(o lease.Owner, listed []lease.Owner) moveCause {
 	switch {
-	case !slices.ContainsFunc(listed, o.Same):
+	case !slices.ContainsFunc(listed, o.SameIncarnation):
 		return ownerNotListed
 	case l.grants.HasEnded(o):
 		return ownerEnded
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -31,7 +31,7 @@
 	answer := func(unanswered lease.Owner) {
 		for _, o := range l.grants.Due(clock.Now()) {
 			result := lease.Done
-			if o.Target.Same(unanswered) {
+			if o.Target.SameIncarnation(unanswered) {
 				result = lease.Unanswered
 			}
 			l.grants.HandleResult(o, result, "", clock.Now(), clock.Now())
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -26,7 +26,7 @@
 	end := func(answers ...lease.Owner) {
 		for _, o := range l.grants.Due(clock.Now()) {
 			for _, a := range answers {
-				if o.Target.Same(a) {
+				if o.Target.SameIncarnation(a) {
 					l.grants.HandleResult(o, lease.Done, "", clock.Now(), clock.Now())
 				}
 			}
@@ -52,7 +52,7 @@
 	require.Len(t, l.grants.Record().Slices, slices, "its renewal is on its way")
 	require.NotEmpty(t, moves)
 	for _, c := range moves {
-		require.True(t, l.grants.Record().Slices[c.Slice].Owner.Same(hot))
+		require.True(t, l.grants.Record().Slices[c.Slice].Owner.SameIncarnation(hot))
 	}
 }
 
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -19,10 +19,10 @@
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
 		g.Confirmed(now)
 		for _, o := range g.Due(now) {
-			if o.Kind == Grant && o.Target.Same(other) && o.From == 0 {
+			if o.Kind == Grant && o.Target.SameIncarnation(other) && o.From == 0 {
 				return now
 			}
-			if o.Target.Same(silent) {
+			if o.Target.SameIncarnation(silent) {
 				g.HandleResult(o, Unreached, "", now, now)
 			}
 		}
--- a/internal/lease/changes.go
+++ b/internal/lease/changes.go
@@ -24,7 +24,7 @@
 	next.Slices = slices.Clone(g.record.Slices)
 	for _, c := range changes {
 		sl := &next.Slices[c.Slice]
-		if !g.Movable(c.Slice) || c.To.Same(sl.Owner) {
+		if !g.Movable(c.Slice) || c.To.SameIncarnation(sl.Owner) {
 			continue
 		}
 		if !sl.Previous.Known() {
@@ -83,7 +83,7 @@
 	g.Abandon()
 	for i := range next.Slices {
 		old, sl, s := g.record.Slices[i], &next.Slices[i], &g.states[i]
-		if sl.Owner.Same(old.Owner) {
+		if sl.Owner.SameIncarnation(old.Owner) {
 			// Its previous owner may have been freed meanwhile.
 			sl.Previous = old.Previous
 			continue
--- a/internal/lease/ended.go
+++ b/internal/lease/ended.go
@@ -22,7 +22,7 @@
 	if o.Kind == Release {
 		return g.released(i, o, r, handover, over)
 	}
-	if !sl.Owner.Same(o.Target) || s.fence != o.Fence {
+	if !sl.Owner.SameIncarnation(o.Target) || s.fence != o.Fence {
 		g.overtaken(s, sl, o, r, over)
 		return false
 	}
@@ -56,7 +56,7 @@
 // overtaken dates the previous owner's hold after a grant that was in flight
 // while the slice was given to another.
 func (g *Grantor) overtaken(s *state, sl *Slice, o Order, r Result, over time.Duration) {
-	if !sl.Previous.Same(o.Target) {
+	if !sl.Previous.SameIncarnation(o.Target) {
 		return
 	}
 	switch r {
@@ -73,7 +73,7 @@
 
 func (g *Grantor) released(i int, o Order, r Result, handover string, over time.Duration) bool {
 	s, sl := &g.states[i], &g.record.Slices[i]
-	if !sl.Previous.Same(o.Target) {
+	if !sl.Previous.SameIncarnation(o.Target) {
 		return false
 	}
 	// Where another target has the address, the process that had it is gone.
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -174,7 +174,7 @@
 		return Served
 	case c != nil && c.failures > 0:
 		return Unserved
-	case waitsFor.Same(sl.Owner) && s.inherited && now < s.presumedUntil:
+	case waitsFor.SameIncarnation(sl.Owner) && s.inherited && now < s.presumedUntil:
 		return Served
 	}
 	return Moving
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -68,7 +68,7 @@
 	for len(out) < moveBatch {
 		from, to := d.extremes(b.Busy)
 		has := float64(d.count[to])
-		if !to.Known() || !to.Same(filling) && has >= fewSlices*mean || has >= enoughSlices*mean || d.count[from]-d.count[to] < 2 {
+		if !to.Known() || !to.SameIncarnation(filling) && has >= fewSlices*mean || has >= enoughSlices*mean || d.count[from]-d.count[to] < 2 {
 			break
 		}
 		filling = to
@@ -97,7 +97,7 @@
 func mostUsual(list []Slice, owner Owner, usual float64, b TargetLoad, chosen []Change) int {
 	best, off := -1, math.Inf(1)
 	for i, s := range list {
-		if !s.Owner.Same(owner) || b.Moving(i) || slices.ContainsFunc(chosen, func(c Change) bool { return c.Slice == i }) {
+		if !s.Owner.SameIncarnation(owner) || b.Moving(i) || slices.ContainsFunc(chosen, func(c Change) bool { return c.Slice == i }) {
 			continue
 		}
 		if o := math.Abs(b.Rate(i) - usual); o < off {
@@ -149,7 +149,7 @@
 
 func (d *planner) weight(o Owner, beside []Owner) int {
 	w := d.count[o] * 2
-	if slices.ContainsFunc(beside, o.Same) {
+	if slices.ContainsFunc(beside, o.SameIncarnation) {
 		w++
 	}
 	return w
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -60,8 +60,8 @@
 	Addr string
 }
 
-// Same reports whether both are the same life of the same target.
-func (o Owner) Same(p Owner) bool { return o.ID == p.ID && o.Born == p.Born }
+// SameIncarnation reports whether both are the same life of the same target.
+func (o Owner) SameIncarnation(p Owner) bool { return o.ID == p.ID && o.Born == p.Born }
 
 // Known reports whether there is an owner.
 func (o Owner) Known() bool { return o.ID != "" }
