--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -71,7 +71,7 @@
 	if old != nil && !u.Routing.After(old.Epoch, old.Seq) {
 		return true
 	}
-	r, ok := u.On(old)
+	r, ok := u.Apply(old)
 	if !ok || !r.Valid() {
 		return false
 	}
--- a/internal/lease/update.go
+++ b/internal/lease/update.go
@@ -37,9 +37,9 @@
 	return &Update{Base: old.Seq, BaseEpoch: old.Epoch, Routing: *b.routing()}
 }
 
-// On returns the routing that follows from the version at hand; false if the update
+// Apply returns the routing that follows from the version at hand; false if the update
 // builds on another one.
-func (u *Update) On(old *Routing) (*Routing, bool) {
+func (u *Update) Apply(old *Routing) (*Routing, bool) {
 	if u.Base == 0 {
 		whole := u.Routing
 		return &whole, true
--- a/internal/lease/update_test.go
+++ b/internal/lease/update_test.go
@@ -39,7 +39,7 @@
 		now := drawRouting(t, later, rapid.Uint64Range(5, 6).Draw(t, "epoch"), 9)
 		u := UpdateBetween(old, now)
 		require.True(t, u.Routing.Valid())
-		got, ok := u.On(old)
+		got, ok := u.Apply(old)
 		require.True(t, ok)
 		require.True(t, got.SameAs(now))
 		require.Equal(t, now.Seq, got.Seq)
@@ -52,7 +52,7 @@
 		from := drawFrom(t)
 		u := UpdateBetween(drawRouting(t, from, 5, 7), drawRouting(t, from, 5, 8))
 		for _, other := range []*Routing{nil, drawRouting(t, from, 5, 6), drawRouting(t, from, 4, 7)} {
-			_, ok := u.On(other)
+			_, ok := u.Apply(other)
 			require.False(t, ok)
 		}
 	})
