--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -174,7 +174,7 @@
 			continue
 		}
 		owners[s.Owner] = true
-		if l.grants.Silent(s.Owner, now) >= strayedSilence {
+		if l.grants.SilentFor(s.Owner, now) >= strayedSilence {
 			silent++
 		}
 	}
--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -58,7 +58,7 @@
 			why = l.absence(s.Owner, listed)
 		}
 		l.Log.Info().Str("step", "move").Str("service", l.service).Uint16("from", s.From).Str("owner", s.Owner.ID).
-			Str("to", c.To.ID).Str("cause", string(why)).Dur("silent", l.grants.Silent(s.Owner, now)).
+			Str("to", c.To.ID).Str("cause", string(why)).Dur("silent", l.grants.SilentFor(s.Owner, now)).
 			Uint64("targets", revision).Msg("keys get another owner")
 	}
 }
@@ -120,7 +120,7 @@
 func (l *leader) live(now time.Duration) []lease.Owner {
 	var live []lease.Owner
 	for _, o := range l.owners() {
-		if l.grants.Silent(o, now) < silentOwner && !l.grants.HasEnded(o) {
+		if l.grants.SilentFor(o, now) < silentOwner && !l.grants.HasEnded(o) {
 			live = append(live, o)
 		}
 	}
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -98,7 +98,7 @@
 	for i, s := range g.Record().Slices {
 		o := indexOf(s.Owner)
 		gone := !p.targets[o].up && p.now-p.lost[o] > 2*time.Second
-		if gone || s.Owner.Born < p.listed[o] || g.Silent(s.Owner, p.now) > 1200*time.Millisecond {
+		if gone || s.Owner.Born < p.listed[o] || g.SilentFor(s.Owner, p.now) > 1200*time.Millisecond {
 			p.move(lead, i, (o+1)%worldTargets)
 			return
 		}
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -282,9 +282,9 @@
 // orders was opened, and that the epoch stood after that.
 func (g *Grantor) MarkConfirmed(o Owner) { g.confirmedLives[o] = true }
 
-// Silent returns for how long an owner has left orders unanswered; 0 while it
+// SilentFor returns for how long an owner has left orders unanswered; 0 while it
 // answers, or was never asked.
-func (g *Grantor) Silent(o Owner, now time.Duration) time.Duration {
+func (g *Grantor) SilentFor(o Owner, now time.Duration) time.Duration {
 	c := g.contacts[o]
 	if c == nil || c.failures == 0 || c.answered == 0 {
 		return 0
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -159,7 +159,7 @@
 	}
 	require.Less(t, orders, 100+20, "the first failure comes to all that are on their way")
 	require.Equal(t, Unserved, g.State(5, now))
-	require.Greater(t, g.Silent(a, now), 9*time.Second)
+	require.Greater(t, g.SilentFor(a, now), 9*time.Second)
 	g.MarkConfirmed(a)
 	now += retryMost
 	probe := g.Due(now)
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -443,7 +443,7 @@
 		return
 	}
 	for i, s := range g.Record().Slices {
-		if g.Silent(s.Owner, w.now) > worldSilent && g.Movable(i) {
+		if g.SilentFor(s.Owner, w.now) > worldSilent && g.Movable(i) {
 			w.move(vm, i, target)
 			return
 		}
