--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -60,7 +60,7 @@
 		l.deposed = true
 		return
 	}
-	l.grants.Confirmed(sent)
+	l.grants.ConfirmEpoch(sent)
 }
 
 // confirmIncarnations opens connections to owners to which an order broke and then asks
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -17,7 +17,7 @@
 func grantedAt(t *testing.T, g *Grantor, now time.Duration, silent, other Owner) time.Duration {
 	g.MarkConfirmed(other)
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
-		g.Confirmed(now)
+		g.ConfirmEpoch(now)
 		for _, o := range g.Due(now) {
 			if o.Kind == Grant && o.Target.SameIncarnation(other) && o.From == 0 {
 				return now
@@ -75,7 +75,7 @@
 	g.Divide(0, keySpace/2-1)
 
 	now += 7 * time.Second
-	g.Confirmed(now)
+	g.ConfirmEpoch(now)
 	for _, o := range g.Due(now) {
 		g.HandleResult(o, Unreached, "", now, now)
 	}
--- a/internal/lease/changes.go
+++ b/internal/lease/changes.go
@@ -79,7 +79,7 @@
 // A grant that is in flight to the previous owner needs no bound here: its slice waits for
 // its end, which dates the hold.
 func (g *Grantor) Commit(next Record, sent time.Duration) {
-	g.Confirmed(sent)
+	g.ConfirmEpoch(sent)
 	g.Abandon()
 	for i := range next.Slices {
 		old, sl, s := g.record.Slices[i], &next.Slices[i], &g.states[i]
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -144,8 +144,8 @@
 // Record returns the record in force.
 func (g *Grantor) Record() Record { return g.record }
 
-// Confirmed notes that the store confirmed the epoch to a call sent at that time.
-func (g *Grantor) Confirmed(sent time.Duration) { g.confirmed = max(g.confirmed, sent) }
+// ConfirmEpoch notes that the store confirmed the epoch to a call sent at that time.
+func (g *Grantor) ConfirmEpoch(sent time.Duration) { g.confirmed = max(g.confirmed, sent) }
 
 // ConfirmedAt returns the send of the last confirmation.
 func (g *Grantor) ConfirmedAt() time.Duration { return g.confirmed }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -107,7 +107,7 @@
 	g.MarkConfirmed(Owner{ID: "a"})
 	require.Len(t, g.Due(time.Hour+Authority-1), 2)
 	require.Empty(t, g.Due(time.Hour+Authority))
-	g.Confirmed(time.Hour + Authority)
+	g.ConfirmEpoch(time.Hour + Authority)
 	require.False(t, g.MayOrder(time.Hour+2*Authority))
 }
 
@@ -355,7 +355,7 @@
 	for range 500 {
 		now += 10 * time.Millisecond
 		answer(Done, "")
-		g.Confirmed(now)
+		g.ConfirmEpoch(now)
 	}
 	require.Equal(t, Served, g.State(1, now))
 	require.Equal(t, Served, g.State(0, now))
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -261,7 +261,7 @@
 			v.grantor = nil
 			return
 		}
-		v.grantor.Confirmed(w.now)
+		v.grantor.ConfirmEpoch(w.now)
 		if w.listed[i] == o.Born {
 			v.grantor.MarkConfirmed(o)
 		}
@@ -357,7 +357,7 @@
 		v.grantor = nil
 		return
 	}
-	v.grantor.Confirmed(w.now)
+	v.grantor.ConfirmEpoch(w.now)
 }
 
 // deliver applies the orders that are due.
