--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -248,7 +248,7 @@
 	if last == nil || last.Epoch != old.Epoch || !known {
 		return
 	}
-	grants.Presume(last, heard+min(lease.HoldTime, c.HoldMost)-renewEvery)
+	grants.PresumeServed(last, heard+min(lease.HoldTime, c.HoldMost)-renewEvery)
 }
 
 // coldMove is how long keys are slow at an owner that got them without the state of
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -122,11 +122,11 @@
 	return g
 }
 
-// Presume has the owners that served their slices in the predecessor's last published
+// PresumeServed has the owners that served their slices in the predecessor's last published
 // version count as serving them until the given time, unless orders to them fail. It decides
 // where senders try, and nothing of who holds keys: an owner refuses what it does not hold.
 // Without it, all keys of the service are refused until their owners were granted them anew.
-func (g *Grantor) Presume(last *Routing, until time.Duration) {
+func (g *Grantor) PresumeServed(last *Routing, until time.Duration) {
 	for i := range g.states {
 		sl := &g.record.Slices[i]
 		owner, how := last.Find(sl.From)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -68,7 +68,7 @@
 	r.Slices[2].Owner, r.Slices[2].Previous = b, a
 	now := time.Hour
 	g := NewGrantor(r, worldTiming, now, now, PriorGrantsUnknown)
-	g.Presume(last, now+time.Second)
+	g.PresumeServed(last, now+time.Second)
 	require.Equal(t, Served, g.State(0, now))
 	require.Equal(t, Served, g.State(1, now))
 	require.Equal(t, Moving, g.State(2, now), "on the move")
