--- a/internal/gateway/leasing/heldorders_test.go
+++ b/internal/gateway/leasing/heldorders_test.go
@@ -75,7 +75,7 @@
 	}
 	// play sends what is due, one order after the other, and handles its end.
 	play := func() {
-		for _, o := range l.grants.Due(clock.Now()) {
+		for _, o := range l.grants.DueOrders(clock.Now()) {
 			line := l.line(t.Context(), o.Target)
 			if o.Kind == lease.Release {
 				l.release(t.Context(), line, o)
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -145,7 +145,7 @@
 	}
 	l.orderUntil.Store(int64(l.grants.ConfirmedAt() + lease.Authority))
 	l.writePlanned(ctx, now)
-	for _, o := range l.grants.Due(now) {
+	for _, o := range l.grants.DueOrders(now) {
 		l.send(ctx, o)
 	}
 	l.logMoves(now)
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -29,7 +29,7 @@
 		l.grants.MarkConfirmed(o)
 	}
 	answer := func(unanswered lease.Owner) {
-		for _, o := range l.grants.Due(clock.Now()) {
+		for _, o := range l.grants.DueOrders(clock.Now()) {
 			result := lease.Done
 			if o.Target.SameIncarnation(unanswered) {
 				result = lease.Unanswered
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -24,7 +24,7 @@
 		l.grants.MarkConfirmed(o)
 	}
 	end := func(answers ...lease.Owner) {
-		for _, o := range l.grants.Due(clock.Now()) {
+		for _, o := range l.grants.DueOrders(clock.Now()) {
 			for _, a := range answers {
 				if o.Target.SameIncarnation(a) {
 					l.grants.HandleResult(o, lease.Done, "", clock.Now(), clock.Now())
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -18,7 +18,7 @@
 	g.MarkConfirmed(other)
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
 		g.ConfirmEpoch(now)
-		for _, o := range g.Due(now) {
+		for _, o := range g.DueOrders(now) {
 			if o.Kind == Grant && o.Target.SameIncarnation(other) && o.From == 0 {
 				return now
 			}
@@ -37,11 +37,11 @@
 	now = time.Hour
 	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, worldTiming, now, now, NoPriorGrants)
 	g.MarkConfirmed(owner)
-	for _, o := range g.Due(now) {
+	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
 	now += worldTiming.Renew
-	renewals := g.Due(now)
+	renewals := g.DueOrders(now)
 	require.Len(t, renewals, 1)
 	return g, renewals[0], now
 }
@@ -56,7 +56,7 @@
 	first := NewGrantor(record, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	first.MarkConfirmed(a)
 	sent := time.Hour + Authority - time.Millisecond
-	require.Len(t, first.Due(sent), 1)
+	require.Len(t, first.DueOrders(sent), 1)
 
 	record.Epoch++
 	next := NewGrantor(record, worldTiming, time.Hour, time.Hour, PriorGrantsUnknown)
@@ -76,7 +76,7 @@
 
 	now += 7 * time.Second
 	g.ConfirmEpoch(now)
-	for _, o := range g.Due(now) {
+	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Unreached, "", now, now)
 	}
 	g.HandleResult(renewal, Unanswered, "", now, now+worldGiveUp)
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -15,14 +15,14 @@
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
 	now := time.Hour
-	for _, o := range g.Due(now) {
+	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
 	require.Empty(t, g.TakeEvents(), "the first grant of a key is no move")
 	out := holdEnd(now, worldTiming.Hold)
 
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}, {Slice: 1, To: b}}), now)
-	for _, o := range g.Due(now) {
+	for _, o := range g.DueOrders(now) {
 		require.Equal(t, Release, o.Kind)
 		result := Done
 		if o.From > 0 {
@@ -31,7 +31,7 @@
 		g.HandleResult(o, result, "", now, now)
 	}
 	for ; now < out+time.Second; now += 50 * time.Millisecond {
-		for _, o := range g.Due(now) {
+		for _, o := range g.DueOrders(now) {
 			result := Done
 			if o.Kind == Release {
 				result = Unanswered
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -186,8 +186,8 @@
 	return !g.record.Slices[i].Previous.Known() && s.granted && now < s.acked+g.timing.Hold
 }
 
-// Due returns the orders to send now and marks them as pending.
-func (g *Grantor) Due(now time.Duration) []Order {
+// DueOrders returns the orders to send now and marks them as pending.
+func (g *Grantor) DueOrders(now time.Duration) []Order {
 	if !g.MayOrder(now) {
 		return nil
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -76,7 +76,7 @@
 	require.Equal(t, Moving, g.State(0, now+time.Second))
 
 	g.MarkConfirmed(a)
-	o := g.Due(now)[0]
+	o := g.DueOrders(now)[0]
 	g.HandleResult(o, Unanswered, "", now, now)
 	require.Equal(t, Unserved, g.State(0, now), "an order failed")
 	require.Equal(t, Served, g.State(1, now))
@@ -91,7 +91,7 @@
 	for _, o := range g.Unconfirmed() {
 		g.MarkConfirmed(o)
 	}
-	due := g.Due(time.Hour)
+	due := g.DueOrders(time.Hour)
 	require.Len(t, due, 4)
 	for _, o := range due {
 		require.Equal(t, Grant, o.Kind)
@@ -105,8 +105,8 @@
 	r := Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{{ID: "a"}})}
 	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(Owner{ID: "a"})
-	require.Len(t, g.Due(time.Hour+Authority-1), 2)
-	require.Empty(t, g.Due(time.Hour+Authority))
+	require.Len(t, g.DueOrders(time.Hour+Authority-1), 2)
+	require.Empty(t, g.DueOrders(time.Hour+Authority))
 	g.ConfirmEpoch(time.Hour + Authority)
 	require.False(t, g.MayOrder(time.Hour+2*Authority))
 }
@@ -119,13 +119,13 @@
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
 	now := time.Hour
-	for _, o := range g.Due(now) {
+	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
 	granted := time.Duration(0)
 	for ; granted == 0; now += 50 * time.Millisecond {
-		for _, o := range g.Due(now) {
+		for _, o := range g.DueOrders(now) {
 			if o.Kind == Grant {
 				require.Equal(t, b, o.Target)
 				granted = now
@@ -146,13 +146,13 @@
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(100, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(a)
 	now := time.Hour
-	for _, o := range g.Due(now) {
+	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
 	orders := 0
 	for ; now < time.Hour+10*time.Second; now += 20 * time.Millisecond {
 		g.MarkConfirmed(a)
-		for _, o := range g.Due(now) {
+		for _, o := range g.DueOrders(now) {
 			orders++
 			g.HandleResult(o, Unanswered, "", now, now)
 		}
@@ -162,10 +162,10 @@
 	require.Greater(t, g.SilentFor(a, now), 9*time.Second)
 	g.MarkConfirmed(a)
 	now += retryMost
-	probe := g.Due(now)
+	probe := g.DueOrders(now)
 	require.Len(t, probe, 1)
 	g.HandleResult(probe[0], Done, "", now, now)
-	require.Len(t, g.Due(now), 99)
+	require.Len(t, g.DueOrders(now), 99)
 }
 
 // A planned move carries the state of the last owner and raises the fence over
@@ -175,15 +175,15 @@
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
-	first := g.Due(time.Hour)[0]
+	first := g.DueOrders(time.Hour)[0]
 	g.HandleResult(first, Done, "", time.Hour, time.Hour)
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), time.Hour)
-	release := g.Due(time.Hour)[0]
+	release := g.DueOrders(time.Hour)[0]
 	require.Equal(t, Release, release.Kind)
 	require.Greater(t, release.Fence, first.Fence)
 	require.Equal(t, Moving, g.State(0, time.Hour), "requests wait meanwhile")
 	g.HandleResult(release, Done, "state", time.Hour, time.Hour)
-	grant := g.Due(time.Hour)[0]
+	grant := g.DueOrders(time.Hour)[0]
 	require.Equal(t, "state", grant.Handover)
 	require.Greater(t, grant.Fence, release.Fence)
 	g.HandleResult(grant, Done, "", time.Hour, time.Hour)
@@ -326,7 +326,7 @@
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
 	answer := func(r Result, handover string) {
-		for _, o := range g.Due(now) {
+		for _, o := range g.DueOrders(now) {
 			g.HandleResult(o, r, handover, now, now)
 		}
 	}
@@ -334,7 +334,7 @@
 	require.Equal(t, Served, g.State(0, now), "its first owner")
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}, {Slice: 1, To: b}}), now)
 
-	release := g.Due(now)
+	release := g.DueOrders(now)
 	require.Len(t, release, 2)
 	g.HandleResult(release[0], Done, "state", now, now)
 	g.HandleResult(release[1], Unreached, "", now, now)
@@ -342,7 +342,7 @@
 	require.Equal(t, Served, g.State(0, now), "handed over")
 	for range 400 {
 		now += 10 * time.Millisecond
-		for _, o := range g.Due(now) {
+		for _, o := range g.DueOrders(now) {
 			r := Done
 			if o.Kind == Release {
 				r = Unreached
@@ -368,7 +368,7 @@
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g, renewal, now := renewing(t, a)
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
-	require.Empty(t, g.Due(now+time.Minute), "nothing is free while it is on its way")
+	require.Empty(t, g.DueOrders(now+time.Minute), "nothing is free while it is on its way")
 	over := now + worldGiveUp
 	g.HandleResult(renewal, Unanswered, "", now, over)
 	granted := grantedAt(t, g, over, a, b)
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -210,7 +210,7 @@
 	if v.grantor == nil {
 		return
 	}
-	for _, o := range v.grantor.Due(w.now) {
+	for _, o := range v.grantor.DueOrders(w.now) {
 		if i := indexOf(o.Target); o.Kind == Grant {
 			v.queues[i] = append(v.queues[i], o)
 			continue
