--- a/internal/lease/bounds_test.go
+++ b/internal/lease/bounds_test.go
@@ -72,7 +72,7 @@
 func TestRenewalOfADividedSliceIsDatedByItsEnd(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g, renewal, now := renewing(t, a)
-	g.Divide(0, keySpace/2-1)
+	g.SplitSlice(0, keySpace/2-1)
 
 	now += 7 * time.Second
 	g.ConfirmEpoch(now)
--- a/internal/lease/changes.go
+++ b/internal/lease/changes.go
@@ -43,11 +43,11 @@
 	return !g.record.Slices[i].Previous.Known() || !g.states[i].inherited
 }
 
-// Divide cuts slice i after a key, which must not be its last. Both parts have
+// SplitSlice cuts slice i after a key, which must not be its last. Both parts have
 // the same owner, so the record need not be written before. It returns false for a
 // slice that is on the move, and for one with a renewal in flight.
 // The end of a renewal of the whole slice would belong to neither part.
-func (g *Grantor) Divide(i int, after uint16) bool {
+func (g *Grantor) SplitSlice(i int, after uint16) bool {
 	sl, s := g.record.Slices[i], g.states[i]
 	if sl.Previous.Known() || s.frozen || s.pending || !s.granted || after < sl.From || after >= sl.To {
 		return false
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -512,7 +512,7 @@
 	}
 	slice %= len(v.grantor.Record().Slices)
 	after := uint16((unit+1)*unitWidth - 1)
-	if v.grantor.Divide(slice, after) {
+	if v.grantor.SplitSlice(slice, after) {
 		w.note("vm%d divides slice %d after unit %d", vm, slice, unit)
 	}
 }
