--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -132,7 +132,7 @@
 
 func (l *leader) step(ctx context.Context) {
 	now := l.Clock.Now()
-	if l.succeeded() || l.grants.Exhausted() {
+	if l.succeeded() || l.grants.FencesExhausted() {
 		l.deposed = true
 		return
 	}
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -156,8 +156,8 @@
 // before it relies on the silence of its predecessor.
 func (g *Grantor) MayOrder(now time.Duration) bool { return now < g.confirmed+Authority }
 
-// Exhausted reports whether the fences of the epoch are nearly used up.
-func (g *Grantor) Exhausted() bool { return g.nextFence+1<<16 > (g.record.Epoch+1)<<epochShift }
+// FencesExhausted reports whether the fences of the epoch are nearly used up.
+func (g *Grantor) FencesExhausted() bool { return g.nextFence+1<<16 > (g.record.Epoch+1)<<epochShift }
 
 // State returns how slice i is served now.
 func (g *Grantor) State(i int, now time.Duration) SliceState {
