--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -209,7 +209,7 @@
 func (g *Gateway) retryAfterLimit(c *call) time.Duration {
 	part := 1.0
 	if r := g.state.leases.Of(c.service); r != nil {
-		part = r.LimitOf(c.key).Part()
+		part = r.LimitOf(c.key).Fraction()
 	}
 	return min(time.Duration(float64(g.retryAfter(c))/part), mostRetry)
 }
--- a/internal/gateway/leasing/spread.go
+++ b/internal/gateway/leasing/spread.go
@@ -129,7 +129,7 @@
 		limits[from] = limit
 		if l.load.limits[from] != limit {
 			l.Log.Info().Str("step", "limit").Str("service", l.service).Uint16("from", from).Float64("rate", ranges[i].Rate).
-				Float64("capacity", capacity[ranges[i].Owner]).Float64("part", limit.Part()).Msg("requests for hot keys limited")
+				Float64("capacity", capacity[ranges[i].Owner]).Float64("part", limit.Fraction()).Msg("requests for hot keys limited")
 		}
 	}
 	l.load.limits = limits
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -92,7 +92,7 @@
 		return l.routing(1, clock.Now())
 	}
 	limited := play(200)
-	require.InDelta(t, 0.1, limited.LimitOf(hot).Part(), 0.04, "twice of ten a second")
+	require.InDelta(t, 0.1, limited.LimitOf(hot).Fraction(), 0.04, "twice of ten a second")
 	require.Equal(t, lease.Unlimited, limited.LimitOf(usual))
 	require.Equal(t, lease.Unlimited, play(10).LimitOf(hot), "the key is no longer hot")
 }
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -34,7 +34,7 @@
 		}
 		return n
 	}
-	require.InDelta(t, 1000*limit.Part(), sent(65535), 50)
+	require.InDelta(t, 1000*limit.Fraction(), sent(65535), 50)
 	require.Equal(t, 1000, sent(0), "the other keys of the owner are served")
 
 	c := &call{service: "s", key: 65535, route: &route.Route{Name: "r"}}
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -102,8 +102,8 @@
 		return nil, refusedMoving, fmt.Sprintf("%s did not hold the key, epoch %d seq %d", owner, r.Epoch, r.Seq)
 	case t.pick.FullFor(s.urgentLocked(service, rt.Priority)):
 		return nil, refusedFull, t.inputs()
-	case rand.Float64() >= r.LimitOf(key).Part():
-		return nil, refusedHot, fmt.Sprintf("%s part %.3f epoch %d seq %d", owner, r.LimitOf(key).Part(), r.Epoch, r.Seq)
+	case rand.Float64() >= r.LimitOf(key).Fraction():
+		return nil, refusedHot, fmt.Sprintf("%s part %.3f epoch %d seq %d", owner, r.LimitOf(key).Fraction(), r.Epoch, r.Seq)
 	}
 	cold := how == lease.Cold
 	if cold && !t.pick.TakesCold() {
--- a/internal/lease/limit.go
+++ b/internal/lease/limit.go
@@ -26,7 +26,7 @@
 	if part >= 1 {
 		return Unlimited
 	}
-	if part <= limitMost.Part() {
+	if part <= limitMost.Fraction() {
 		return limitMost
 	}
 	now := Limit(max(1, math.Round(math.Log(part)/math.Log(limitStep))))
@@ -36,8 +36,8 @@
 	return now
 }
 
-// Part returns the part of the requests that is let through, from 0 to 1.
-func (l Limit) Part() float64 { return math.Pow(limitStep, float64(min(l, limitMost))) }
+// Fraction returns the part of the requests that is let through, from 0 to 1.
+func (l Limit) Fraction() float64 { return math.Pow(limitStep, float64(min(l, limitMost))) }
 
 // compact returns no limits where none limits anything.
 func compact(limits []Limit) []Limit {
--- a/internal/lease/limit_test.go
+++ b/internal/lease/limit_test.go
@@ -9,11 +9,11 @@
 
 func TestLimitIsCloseToThePartThatFits(t *testing.T) {
 	require.Equal(t, Unlimited, NewLimit(1, 5))
-	require.Equal(t, 1.0, Unlimited.Part())
+	require.Equal(t, 1.0, Unlimited.Fraction())
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.Float64Range(limitMost.Part(), 0.85).Draw(t, "part")
+		part := rapid.Float64Range(limitMost.Fraction(), 0.85).Draw(t, "part")
 		last := Limit(rapid.IntRange(0, int(limitMost)).Draw(t, "last"))
-		require.InDelta(t, 1, NewLimit(part, last).Part()/part, 0.45)
+		require.InDelta(t, 1, NewLimit(part, last).Fraction()/part, 0.45)
 	})
 }
 
