--- a/internal/lease/changes.go
+++ b/internal/lease/changes.go
@@ -54,9 +54,9 @@
 	}
 	right, rightState := sl, s
 	sl.To, right.From = after, after+1
-	s.fence, rightState.fence = g.fence(), g.fence()
+	s.fence, rightState.fence = g.newFence(), g.newFence()
 	// Granted at once: the first move of a part needs the fence in place.
-	s.acked, rightState.acked = s.acked-g.timing.Renew, s.acked-g.timing.Renew
+	s.ackedSentAt, rightState.ackedSentAt = s.ackedSentAt-g.timing.Renew, s.ackedSentAt-g.timing.Renew
 	list := slices.Clone(g.record.Slices)
 	list[i] = sl
 	g.record.Slices = slices.Insert(list, i+1, right)
@@ -89,11 +89,11 @@
 			continue
 		}
 		if !old.Previous.Known() {
-			s.previousOut = s.outAt
+			s.previousExpiresAt = s.expiresAt
 		}
 		// The new owner was not granted these keys.
-		s.granted, s.inherited, s.outAt, s.retryAt, s.moved = false, false, 0, 0, true
-		s.fence = g.fence()
+		s.granted, s.inherited, s.expiresAt, s.retryAt, s.moved = false, false, 0, 0, true
+		s.fence = g.newFence()
 	}
 	g.record = next
 }
--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -9,8 +9,8 @@
 const (
 	// Released: the previous owner answered a release, or another target has its address.
 	Released EventKind = iota
-	// RanOut: every grant that may have reached the previous owner is out.
-	RanOut
+	// Expired: every grant that may have reached the previous owner is out.
+	Expired
 	// FirstGranted: the new owner answered its first grant.
 	FirstGranted
 )
@@ -20,7 +20,7 @@
 	switch k {
 	case Released:
 		return "released"
-	case RanOut:
+	case Expired:
 		return "hold ran out"
 	case FirstGranted:
 		return "granted"
@@ -47,9 +47,9 @@
 	return out
 }
 
-func (g *Grantor) note(kind EventKind, i int, previous Owner) {
+func (g *Grantor) addEvent(kind EventKind, i int, previous Owner) {
 	s, sl := &g.states[i], &g.record.Slices[i]
 	g.events = append(g.events, Event{
-		Kind: kind, From: sl.From, To: sl.To, Owner: sl.Owner, Previous: previous, Fence: s.fence, Out: s.previousOut,
+		Kind: kind, From: sl.From, To: sl.To, Owner: sl.Owner, Previous: previous, Fence: s.fence, Out: s.previousExpiresAt,
 	})
 }
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -9,9 +9,9 @@
 
 // Two targets held the same keys, and no log showed why the grantor had taken the keys for
 // free: because the old owner gave them up, or because its hold had run out.
-func TestEventsTellWhyKeysAreFree(t *testing.T) {
+func TestEventsDistinguishReleaseFromExpiry(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
 	now := time.Hour
@@ -19,7 +19,7 @@
 		g.HandleResult(o, Done, "", now, now)
 	}
 	require.Empty(t, g.TakeEvents(), "the first grant of a key is no move")
-	out := holdEnd(now, worldTiming.Hold)
+	out := holdExpiry(now, simTiming.Hold)
 
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}, {Slice: 1, To: b}}), now)
 	for _, o := range g.DueOrders(now) {
@@ -46,7 +46,7 @@
 		kinds[i] = e.Kind
 		require.Equal(t, b, e.Owner)
 	}
-	require.Equal(t, []EventKind{Released, FirstGranted, RanOut, FirstGranted}, kinds)
+	require.Equal(t, []EventKind{Released, FirstGranted, Expired, FirstGranted}, kinds)
 	require.Equal(t, a, events[0].Previous)
 	require.Equal(t, time.Hour, events[0].Out)
 	require.Equal(t, out, events[2].Out)
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -11,173 +11,173 @@
 	"github.com/stretchr/testify/require"
 )
 
-// matrixSpan is how long a fault is watched.
-const matrixSpan = 30 * time.Second
-
-// play is a world without chance, driven as the gateway drives its grantors.
-type play struct {
-	*world
-	// ended VMs do nothing more until they start again.
-	ended    [worldVMs]bool
-	vacant   time.Duration
-	storeOut time.Duration
-	lost     [worldTargets]time.Duration
+// faultObservation is how long a fault is watched.
+const faultObservation = 30 * time.Second
+
+// scenario is a world without chance, driven as the gateway drives its grantors.
+type scenario struct {
+	*simulation
+	// stopped VMs do nothing more until they start again.
+	stopped         [simVMs]bool
+	leaderlessSince time.Duration
+	storeDownUntil  time.Duration
+	lostAt          [simTargets]time.Duration
 }
 
-// usualDraw takes chance out: orders arrive after a step and are answered, an
+// deterministicDraw takes chance out: orders arrive after a step and are answered, an
 // entry follows its target at once.
-func usualDraw(_, most int, what string) int {
-	switch what {
+func deterministicDraw(_, high int, label string) int {
+	switch label {
 	case "fate of an order":
 		return 5
 	case "entry written":
 		return 0
 	}
-	return min(1, most)
+	return min(1, high)
 }
 
-func newPlay(t *testing.T) *play {
-	p := &play{world: startWorld(usualDraw, func(text string) { require.Fail(t, text) })}
-	p.keepsAnswers = true
-	p.takeOver(0)
-	p.run(2 * time.Second)
-	return p
+func newScenario(t *testing.T) *scenario {
+	sc := &scenario{simulation: newSimulation(deterministicDraw, func(text string) { require.Fail(t, text) })}
+	sc.noLostAnswers = true
+	sc.takeOver(0)
+	sc.run(2 * time.Second)
+	return sc
 }
 
-// leading returns the VM that orders, or -1.
-func (p *play) leading() int {
+// leader returns the VM that orders, or -1.
+func (sc *scenario) leader() int {
 	best := -1
-	for vm := range p.vms {
-		v := &p.vms[vm]
-		if v.grantor == nil || p.ended[vm] || p.now < v.frozen {
+	for vm := range sc.vms {
+		v := &sc.vms[vm]
+		if v.grantor == nil || sc.stopped[vm] || sc.now < v.suspendedUntil {
 			continue
 		}
-		if best < 0 || v.grantor.Record().Epoch > p.vms[best].grantor.Record().Epoch {
+		if best < 0 || v.grantor.Record().Epoch > sc.vms[best].grantor.Record().Epoch {
 			best = vm
 		}
 	}
 	return best
 }
 
-// succeed has another VM take over from a grantor that is gone for 0.9 s, or has
+// failOver has another VM take over from a grantor that is gone for 0.9 s, or has
 // been without the store for that long.
-func (p *play) succeed() {
-	lead := p.leading()
-	if lead >= 0 && (p.reaches(lead) || p.now < p.storeOut) {
-		p.vacant = 0
+func (sc *scenario) failOver() {
+	leader := sc.leader()
+	if leader >= 0 && (sc.reachesStore(leader) || sc.now < sc.storeDownUntil) {
+		sc.leaderlessSince = 0
 		return
 	}
-	if p.vacant == 0 {
-		p.vacant = p.now
+	if sc.leaderlessSince == 0 {
+		sc.leaderlessSince = sc.now
 	}
-	if p.now-p.vacant < 900*time.Millisecond {
+	if sc.now-sc.leaderlessSince < 900*time.Millisecond {
 		return
 	}
-	for vm := range p.vms {
-		if !p.ended[vm] && p.now >= p.vms[vm].frozen && p.reaches(vm) {
-			p.takeOver(vm)
-			p.vacant = 0
+	for vm := range sc.vms {
+		if !sc.stopped[vm] && sc.now >= sc.vms[vm].suspendedUntil && sc.reachesStore(vm) {
+			sc.takeOver(vm)
+			sc.leaderlessSince = 0
 			return
 		}
 	}
 }
 
-// rehome moves what owners hold that are gone, silent or restarted.
-func (p *play) rehome() {
-	lead := p.leading()
-	if lead < 0 || !p.reaches(lead) || p.vms[lead].writing {
+// reassign moves what owners hold that are gone, silent or restarted.
+func (sc *scenario) reassign() {
+	leader := sc.leader()
+	if leader < 0 || !sc.reachesStore(leader) || sc.vms[leader].writePending {
 		return
 	}
-	g := p.vms[lead].grantor
-	if p.now-g.ConfirmedAt() > Authority/3 {
-		p.readEpoch(lead)
+	g := sc.vms[leader].grantor
+	if sc.now-g.ConfirmedAt() > Authority/3 {
+		sc.readEpoch(leader)
 	}
-	if p.vms[lead].grantor == nil {
+	if sc.vms[leader].grantor == nil {
 		return
 	}
 	for i, s := range g.Record().Slices {
 		o := indexOf(s.Owner)
-		gone := !p.targets[o].up && p.now-p.lost[o] > 2*time.Second
-		if gone || s.Owner.Born < p.listed[o] || g.SilentFor(s.Owner, p.now) > 1200*time.Millisecond {
-			p.move(lead, i, (o+1)%worldTargets)
+		gone := !sc.targets[o].up && sc.now-sc.lostAt[o] > 2*time.Second
+		if gone || s.Owner.Born < sc.listedBorn[o] || g.SilentFor(s.Owner, sc.now) > 1200*time.Millisecond {
+			sc.moveSlice(leader, i, (o+1)%simTargets)
 			return
 		}
 	}
 }
 
 // run lets time pass and returns for how long nobody owned the first keys.
-func (p *play) run(span time.Duration) (without time.Duration) {
-	for end := p.now + span; p.now < end; {
-		for vm := range p.vms {
-			if p.ended[vm] {
-				p.vms[vm].grantor = nil
+func (sc *scenario) run(span time.Duration) (unowned time.Duration) {
+	for end := sc.now + span; sc.now < end; {
+		for vm := range sc.vms {
+			if sc.stopped[vm] {
+				sc.vms[vm].grantor = nil
 			}
 		}
-		p.succeed()
-		p.rehome()
-		p.tick()
+		sc.failOver()
+		sc.reassign()
+		sc.step()
 		owned := false
-		for _, t := range p.targets {
-			owned = owned || t.up && p.now < t.out[0]
+		for _, t := range sc.targets {
+			owned = owned || t.up && sc.now < t.holdsUntil[0]
 		}
 		if !owned {
-			without += worldStep
+			unowned += simStep
 		}
 	}
-	return without
+	return unowned
 }
 
-func (p *play) endTarget(i int) {
-	p.targets[i].up = false
-	p.targets[i].out = [worldUnits]time.Duration{}
-	p.lost[i] = p.now
+func (sc *scenario) stopTarget(i int) {
+	sc.targets[i].up = false
+	sc.targets[i].holdsUntil = [simUnits]time.Duration{}
+	sc.lostAt[i] = sc.now
 }
 
-// matrixSteps lead a world to a step.
-var matrixSteps = []struct {
-	name string
-	lead func(p *play)
+// faultSteps lead a world to a step.
+var faultSteps = []struct {
+	name    string
+	prepare func(sc *scenario)
 }{
-	{"granted", func(*play) {}},
-	{"move on its way to the store", func(p *play) { p.move(0, 0, 1) }},
-	{"release on its way", func(p *play) {
-		p.move(0, 0, 1)
+	{"granted", func(*scenario) {}},
+	{"move on its way to the store", func(sc *scenario) { sc.moveSlice(0, 0, 1) }},
+	{"release on its way", func(sc *scenario) {
+		sc.moveSlice(0, 0, 1)
 		for range 3 {
-			p.tick()
+			sc.step()
 		}
 	}},
-	{"epoch of a successor written", func(p *play) {
-		p.ended[0] = true
-		p.vms[0].grantor = nil
-		p.takeOver(1)
+	{"epoch of a successor written", func(sc *scenario) {
+		sc.stopped[0] = true
+		sc.vms[0].grantor = nil
+		sc.takeOver(1)
 	}},
 }
 
-// matrixFaults strike at a step.
-var matrixFaults = []struct {
+// faultCases strike at a step.
+var faultCases = []struct {
 	name   string
-	strike func(p *play)
+	inject func(sc *scenario)
 }{
-	{"none", func(*play) {}},
-	{"owner ends", func(p *play) { p.endTarget(0) }},
-	{"owner starts again under its id", func(p *play) { p.restart(0) }},
-	{"owner out of the grantor's reach for 5 s", func(p *play) { p.vms[p.leading()].cutTargets[0] = p.now + 5*time.Second }},
-	{"grantor ends", func(p *play) { p.ended[p.leading()] = true }},
-	{"grantor stands still for 6 s", func(p *play) { p.vms[p.leading()].frozen = p.now + 6*time.Second }},
-	{"grantor without the store for 9 s", func(p *play) { p.vms[p.leading()].cut = p.now + 9*time.Second }},
-	{"store away for 9 s", func(p *play) {
-		p.storeOut = p.now + 9*time.Second
-		for vm := range p.vms {
-			p.vms[vm].cut = p.storeOut
+	{"none", func(*scenario) {}},
+	{"owner ends", func(sc *scenario) { sc.stopTarget(0) }},
+	{"owner starts again under its id", func(sc *scenario) { sc.restartTarget(0) }},
+	{"owner out of the grantor's reach for 5 s", func(sc *scenario) { sc.vms[sc.leader()].targetCutUntil[0] = sc.now + 5*time.Second }},
+	{"grantor ends", func(sc *scenario) { sc.stopped[sc.leader()] = true }},
+	{"grantor stands still for 6 s", func(sc *scenario) { sc.vms[sc.leader()].suspendedUntil = sc.now + 6*time.Second }},
+	{"grantor without the store for 9 s", func(sc *scenario) { sc.vms[sc.leader()].storeCutUntil = sc.now + 9*time.Second }},
+	{"store away for 9 s", func(sc *scenario) {
+		sc.storeDownUntil = sc.now + 9*time.Second
+		for vm := range sc.vms {
+			sc.vms[vm].storeCutUntil = sc.storeDownUntil
 		}
 	}},
-	{"grantor and owner end", func(p *play) {
-		p.ended[p.leading()] = true
-		p.endTarget(0)
+	{"grantor and owner end", func(sc *scenario) {
+		sc.stopped[sc.leader()] = true
+		sc.stopTarget(0)
 	}},
 }
 
-const matrixHead = `# Faults at the steps of a lease
+const faultPageHeader = `# Faults at the steps of a lease
 
 Written by TestFaultsAtStepsOfALease of internal/lease; see [FAULTS.md](../FAULTS.md).
 
@@ -194,22 +194,22 @@
 // in the end, and the page shows for how long it had none.
 func TestFaultsAtStepsOfALease(t *testing.T) {
 	var page strings.Builder
-	page.WriteString(matrixHead + "| fault |")
-	for _, s := range matrixSteps {
+	page.WriteString(faultPageHeader + "| fault |")
+	for _, s := range faultSteps {
 		page.WriteString(" " + s.name + " |")
 	}
-	page.WriteString("\n|---|" + strings.Repeat("---|", len(matrixSteps)) + "\n")
-	for _, f := range matrixFaults {
+	page.WriteString("\n|---|" + strings.Repeat("---|", len(faultSteps)) + "\n")
+	for _, f := range faultCases {
 		page.WriteString("| " + f.name + " |")
-		for _, s := range matrixSteps {
-			p := newPlay(t)
-			s.lead(p)
-			f.strike(p)
-			fmt.Fprintf(&page, " %.2f |", p.run(matrixSpan).Seconds())
-			for unit := range worldUnits {
+		for _, s := range faultSteps {
+			sc := newScenario(t)
+			s.prepare(sc)
+			f.inject(sc)
+			fmt.Fprintf(&page, " %.2f |", sc.run(faultObservation).Seconds())
+			for unit := range simUnits {
 				owned := false
-				for _, target := range p.targets {
-					owned = owned || target.up && p.now < target.out[unit]
+				for _, target := range sc.targets {
+					owned = owned || target.up && sc.now < target.holdsUntil[unit]
 				}
 				require.True(t, owned, "%s at %s: unit %d has no owner in the end", f.name, s.name, unit)
 			}
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -22,39 +22,39 @@
 type Grantor struct {
 	timing    Timing
 	record    Record
-	states    []state
+	states    []leaseState
 	confirmed time.Duration
-	nextFence uint64
-	// confirmedLives holds the targets that may be granted keys. A target is
+	lastFence uint64
+	// confirmedOwners holds the targets that may be granted keys. A target is
 	// taken out when no connection that was opened before the confirmation is left.
-	confirmedLives map[Owner]bool
-	// ended holds lives that are over: they are not granted anything more.
-	ended    map[Owner]bool
-	contacts map[Owner]*contact
+	confirmedOwners map[Owner]bool
+	// endedOwners holds lives that are over: they are not granted anything more.
+	endedOwners map[Owner]bool
+	breakers    map[Owner]*circuitBreaker
 	// events wait for TakeEvents.
 	events []Event
 }
 
-func (g *Grantor) contact(o Owner) *contact {
-	c := g.contacts[o]
+func (g *Grantor) breaker(o Owner) *circuitBreaker {
+	c := g.breakers[o]
 	if c == nil {
-		c = new(contact)
-		g.contacts[o] = c
+		c = new(circuitBreaker)
+		g.breakers[o] = c
 	}
 	return c
 }
 
-// state is what the grantor knows of one slice beyond the record.
-type state struct {
+// leaseState is what the grantor knows of one slice beyond the record.
+type leaseState struct {
 	fence uint64
 	// granted says that the owner has answered a grant of this epoch; acked
 	// dates the send of the last one.
-	granted bool
-	acked   time.Duration
-	// outAt is when the last grant that may have reached the owner is out.
-	outAt time.Duration
-	// previousOut is when the previous owner's last grant is out.
-	previousOut time.Duration
+	granted     bool
+	ackedSentAt time.Duration
+	// expiresAt is when the last grant that may have reached the owner is out.
+	expiresAt time.Duration
+	// previousExpiresAt is when the previous owner's last grant is out.
+	previousExpiresAt time.Duration
 	// released says that the previous owner gave the keys up, so that previousOut is
 	// not when its hold runs out.
 	released bool
@@ -90,33 +90,33 @@
 	PriorGrantsUnknown
 )
 
-// inFlight bounds the way of a predecessor's last grant: its connection is reset when it is
+// maxGrantTransit bounds the way of a predecessor's last grant: its connection is reset when it is
 // given up, or when the process ends. Where the process stands still after the send, the
 // system drops after this time what has not arrived.
-const inFlight = time.Second
+const maxGrantTransit = time.Second
 
-// lastGrant returns when the last grant of a predecessor may have arrived, after
+// lastGrantArrival returns when the last grant of a predecessor may have arrived, after
 // the successor's write was done.
-func (p PriorGrants) lastGrant(done time.Duration) time.Duration {
+func (p PriorGrants) lastGrantArrival(done time.Duration) time.Duration {
 	if p == PriorGrantsEnded {
-		return done + inFlight
+		return done + maxGrantTransit
 	}
-	return done + Authority + inFlight
+	return done + Authority + maxGrantTransit
 }
 
 // NewGrantor returns the grantor of a record that it has just written with its
 // own epoch. sent and done date the write.
-func NewGrantor(r Record, t Timing, sent, done time.Duration, past PriorGrants) *Grantor {
-	g := &Grantor{timing: t, record: r, confirmed: sent, nextFence: r.Epoch << epochShift}
-	g.confirmedLives, g.ended, g.contacts = make(map[Owner]bool), make(map[Owner]bool), make(map[Owner]*contact)
-	g.states = make([]state, len(r.Slices))
+func NewGrantor(r Record, t Timing, sent, done time.Duration, prior PriorGrants) *Grantor {
+	g := &Grantor{timing: t, record: r, confirmed: sent, lastFence: r.Epoch << epochShift}
+	g.confirmedOwners, g.endedOwners, g.breakers = make(map[Owner]bool), make(map[Owner]bool), make(map[Owner]*circuitBreaker)
+	g.states = make([]leaseState, len(r.Slices))
 	for i := range g.states {
 		s := &g.states[i]
-		s.fence = g.fence()
-		if past != NoPriorGrants {
+		s.fence = g.newFence()
+		if prior != NoPriorGrants {
 			s.inherited = true
-			s.outAt = holdEnd(past.lastGrant(done), t.Hold)
-			s.previousOut = s.outAt
+			s.expiresAt = holdExpiry(prior.lastGrantArrival(done), t.Hold)
+			s.previousExpiresAt = s.expiresAt
 		}
 	}
 	return g
@@ -129,16 +129,16 @@
 func (g *Grantor) PresumeServed(last *Routing, until time.Duration) {
 	for i := range g.states {
 		sl := &g.record.Slices[i]
-		owner, how := last.Find(sl.From)
-		if g.states[i].inherited && !sl.Previous.Known() && owner == sl.Owner.ID && how.Serves() {
+		owner, state := last.Find(sl.From)
+		if g.states[i].inherited && !sl.Previous.Known() && owner == sl.Owner.ID && state.Serves() {
 			g.states[i].presumedUntil = until
 		}
 	}
 }
 
-func (g *Grantor) fence() uint64 {
-	g.nextFence++
-	return g.nextFence
+func (g *Grantor) newFence() uint64 {
+	g.lastFence++
+	return g.lastFence
 }
 
 // Record returns the record in force.
@@ -157,16 +157,16 @@
 func (g *Grantor) MayOrder(now time.Duration) bool { return now < g.confirmed+Authority }
 
 // FencesExhausted reports whether the fences of the epoch are nearly used up.
-func (g *Grantor) FencesExhausted() bool { return g.nextFence+1<<16 > (g.record.Epoch+1)<<epochShift }
+func (g *Grantor) FencesExhausted() bool { return g.lastFence+1<<16 > (g.record.Epoch+1)<<epochShift }
 
 // State returns how slice i is served now.
 func (g *Grantor) State(i int, now time.Duration) SliceState {
 	s, sl := &g.states[i], &g.record.Slices[i]
-	waitsFor := sl.Owner
+	awaited := sl.Owner
 	if sl.Previous.Known() {
-		waitsFor = sl.Previous
+		awaited = sl.Previous
 	}
-	switch c := g.contacts[waitsFor]; {
+	switch c := g.breakers[awaited]; {
 	case g.Granted(i, now):
 		if now < s.coldUntil {
 			return Cold
@@ -174,7 +174,7 @@
 		return Served
 	case c != nil && c.failures > 0:
 		return Unserved
-	case waitsFor.SameIncarnation(sl.Owner) && s.inherited && now < s.presumedUntil:
+	case awaited.SameIncarnation(sl.Owner) && s.inherited && now < s.presumedUntil:
 		return Served
 	}
 	return Moving
@@ -183,7 +183,7 @@
 // Granted reports whether the owner of slice i holds the keys by a grant of this epoch.
 func (g *Grantor) Granted(i int, now time.Duration) bool {
 	s := &g.states[i]
-	return !g.record.Slices[i].Previous.Known() && s.granted && now < s.acked+g.timing.Hold
+	return !g.record.Slices[i].Previous.Known() && s.granted && now < s.ackedSentAt+g.timing.Hold
 }
 
 // DueOrders returns the orders to send now and marks them as pending.
@@ -197,8 +197,8 @@
 		if !due {
 			continue
 		}
-		c := g.contact(o.Target)
-		if !c.open(now) {
+		c := g.breaker(o.Target)
+		if !c.allows(now) {
 			continue
 		}
 		c.probing = true
@@ -214,15 +214,15 @@
 		return Order{}, false
 	}
 	if sl.Previous.Known() {
-		if now < s.previousOut {
+		if now < s.previousExpiresAt {
 			return g.order(Release, i, sl.Previous), now >= s.retryAt
 		}
-		g.free(i)
+		g.clearPrevious(i)
 	}
-	if !sl.Owner.Known() || !g.confirmedLives[sl.Owner] || now < s.retryAt {
+	if !sl.Owner.Known() || !g.confirmedOwners[sl.Owner] || now < s.retryAt {
 		return Order{}, false
 	}
-	if s.granted && now < s.acked+g.timing.Renew {
+	if s.granted && now < s.ackedSentAt+g.timing.Renew {
 		return Order{}, false
 	}
 	return g.order(Grant, i, sl.Owner), true
@@ -237,18 +237,18 @@
 	return o
 }
 
-// free ends the previous owner's hold on slice i. The new owner's fence is above
+// clearPrevious ends the previous owner's hold on slice i. The new owner's fence is above
 // the one of the release.
-func (g *Grantor) free(i int) {
+func (g *Grantor) clearPrevious(i int) {
 	s, sl := &g.states[i], &g.record.Slices[i]
-	previous, how := sl.Previous, RanOut
+	previous, kind := sl.Previous, Expired
 	if s.released {
-		how = Released
+		kind = Released
 	}
 	sl.Previous = Owner{}
-	s.fence = g.fence()
+	s.fence = g.newFence()
 	s.retryAt, s.released = 0, false
-	g.note(how, i, previous)
+	g.addEvent(kind, i, previous)
 }
 
 // MarkEnded notes that a life of a target is over: another one has begun under
@@ -257,12 +257,12 @@
 // The entry of a restarted target may still be of its last life while it takes connections. Its keys
 // are not free before the new life has answered a release.
 func (g *Grantor) MarkEnded(o Owner) {
-	g.ended[o] = true
-	delete(g.confirmedLives, o)
+	g.endedOwners[o] = true
+	delete(g.confirmedOwners, o)
 }
 
 // HasEnded reports whether a life is known to be over.
-func (g *Grantor) HasEnded(o Owner) bool { return g.ended[o] }
+func (g *Grantor) HasEnded(o Owner) bool { return g.endedOwners[o] }
 
 // Unconfirmed returns the owners whose life must be confirmed before they are
 // granted anything.
@@ -270,7 +270,7 @@
 	seen := make(map[Owner]bool)
 	var out []Owner
 	for _, sl := range g.record.Slices {
-		if o := sl.Owner; o.Known() && !g.confirmedLives[o] && !g.ended[o] && !seen[o] {
+		if o := sl.Owner; o.Known() && !g.confirmedOwners[o] && !g.endedOwners[o] && !seen[o] {
 			seen[o] = true
 			out = append(out, o)
 		}
@@ -280,14 +280,14 @@
 
 // MarkConfirmed notes that a target was in this life after the connection for its
 // orders was opened, and that the epoch stood after that.
-func (g *Grantor) MarkConfirmed(o Owner) { g.confirmedLives[o] = true }
+func (g *Grantor) MarkConfirmed(o Owner) { g.confirmedOwners[o] = true }
 
 // SilentFor returns for how long an owner has left orders unanswered; 0 while it
 // answers, or was never asked.
 func (g *Grantor) SilentFor(o Owner, now time.Duration) time.Duration {
-	c := g.contacts[o]
-	if c == nil || c.failures == 0 || c.answered == 0 {
+	c := g.breakers[o]
+	if c == nil || c.failures == 0 || c.lastAnswered == 0 {
 		return 0
 	}
-	return now - c.answered
+	return now - c.lastAnswered
 }
--- a/internal/lease/bounds_test.go
+++ b/internal/lease/holdexpiry_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outOf is when a grant that arrived at a time is out at the target with the slowest clock.
-func outOf(arrived time.Duration) time.Duration {
-	return arrived + time.Duration(float64(worldTiming.Hold)*(1+Drift))
+// slowestExpiry is when a grant that arrived at a time is out at the target with the slowest clock.
+func slowestExpiry(arrived time.Duration) time.Duration {
+	return arrived + time.Duration(float64(simTiming.Hold)*(1+MaxClockDrift))
 }
 
-// grantedAt plays a grantor whose orders to a target do not get a connection, and returns
+// runUntilGranted plays a grantor whose orders to a target do not get a connection, and returns
 // when another target is granted the first keys.
-func grantedAt(t *testing.T, g *Grantor, now time.Duration, silent, other Owner) time.Duration {
+func runUntilGranted(t *testing.T, g *Grantor, now time.Duration, silent, other Owner) time.Duration {
 	g.MarkConfirmed(other)
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
 		g.ConfirmEpoch(now)
@@ -31,16 +31,16 @@
 	return 0
 }
 
-// renewing returns a grantor of one slice whose owner's first renewal is in flight, and
+// grantorWithPendingRenewal returns a grantor of one slice whose owner's first renewal is in flight, and
 // when it was sent.
-func renewing(t *testing.T, owner Owner) (g *Grantor, renewal Order, now time.Duration) {
+func grantorWithPendingRenewal(t *testing.T, owner Owner) (g *Grantor, renewal Order, now time.Duration) {
 	now = time.Hour
-	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, worldTiming, now, now, NoPriorGrants)
+	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, simTiming, now, now, NoPriorGrants)
 	g.MarkConfirmed(owner)
 	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
-	now += worldTiming.Renew
+	now += simTiming.Renew
 	renewals := g.DueOrders(now)
 	require.Len(t, renewals, 1)
 	return g, renewals[0], now
@@ -50,28 +50,28 @@
 // last grant of the first one leaves right before its authority ends, into a cut or from a
 // process that is stopped after the send: it may still arrive until its connection ends.
 // The successor must not count the owner's hold from the end of the authority.
-func TestLastGrantOfAnUnknownPastIsOnItsWayForAWhile(t *testing.T) {
+func TestSuccessorWaitsForPredecessorsGrantInTransit(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}
-	first := NewGrantor(record, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	first := NewGrantor(record, simTiming, time.Hour, time.Hour, NoPriorGrants)
 	first.MarkConfirmed(a)
 	sent := time.Hour + Authority - time.Millisecond
 	require.Len(t, first.DueOrders(sent), 1)
 
 	record.Epoch++
-	next := NewGrantor(record, worldTiming, time.Hour, time.Hour, PriorGrantsUnknown)
+	next := NewGrantor(record, simTiming, time.Hour, time.Hour, PriorGrantsUnknown)
 	next.Commit(next.Plan([]Change{{Slice: 0, To: b}}), time.Hour)
-	granted := grantedAt(t, next, time.Hour, a, b)
-	require.GreaterOrEqual(t, granted, outOf(sent+worldGiveUp), "given up")
-	require.GreaterOrEqual(t, granted, outOf(sent+worldUnacked), "dropped by the system")
+	granted := runUntilGranted(t, next, time.Hour, a, b)
+	require.GreaterOrEqual(t, granted, slowestExpiry(sent+simOrderTimeout), "given up")
+	require.GreaterOrEqual(t, granted, slowestExpiry(sent+simRetransmitTimeout), "dropped by the system")
 }
 
 // A renewal waits for its turn while its slice is divided, for longer than any bound: the
 // target is slow, or the VM stands still. It reaches the owner then; the grants of the
 // parts do not. The end of the renewal must date the hold of the parts.
-func TestRenewalOfADividedSliceIsDatedByItsEnd(t *testing.T) {
+func TestRenewalDuringSplitExtendsHoldOfParts(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g, renewal, now := renewing(t, a)
+	g, renewal, now := grantorWithPendingRenewal(t, a)
 	g.SplitSlice(0, keySpace/2-1)
 
 	now += 7 * time.Second
@@ -79,8 +79,8 @@
 	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Unreached, "", now, now)
 	}
-	g.HandleResult(renewal, Unanswered, "", now, now+worldGiveUp)
-	arrived := now + worldGiveUp
+	g.HandleResult(renewal, Unanswered, "", now, now+simOrderTimeout)
+	arrived := now + simOrderTimeout
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
-	require.GreaterOrEqual(t, grantedAt(t, g, arrived, a, b), outOf(arrived))
+	require.GreaterOrEqual(t, runUntilGranted(t, g, arrived, a, b), slowestExpiry(arrived))
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,40 +17,40 @@
 // hold the same key.
 func TestNoKeyHasTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.takeOver(0)
+		sim := newRandomSimulation(t)
+		sim.takeOver(0)
 		for range rapid.IntRange(50, 500).Draw(t, "steps") {
-			disturb(t, w)
-			w.tick()
+			injectRandomFault(t, sim)
+			sim.step()
 		}
 	})
 }
 
-func disturb(t *rapid.T, w *world) {
-	vm := rapid.IntRange(0, worldVMs-1).Draw(t, "vm")
-	target := rapid.IntRange(0, worldTargets-1).Draw(t, "target")
-	span := func(most int) time.Duration {
-		return time.Duration(rapid.IntRange(1, most).Draw(t, "span")) * time.Second
+func injectRandomFault(t *rapid.T, sim *simulation) {
+	vm := rapid.IntRange(0, simVMs-1).Draw(t, "vm")
+	target := rapid.IntRange(0, simTargets-1).Draw(t, "target")
+	span := func(maxSeconds int) time.Duration {
+		return time.Duration(rapid.IntRange(1, maxSeconds).Draw(t, "span")) * time.Second
 	}
 	switch rapid.IntRange(0, 99).Draw(t, "event") {
 	case 0, 1:
-		w.takeOver(vm)
+		sim.takeOver(vm)
 	case 2, 3, 4, 5, 6, 7:
-		w.move(vm, rapid.IntRange(0, worldUnits-1).Draw(t, "slice"), target)
+		sim.moveSlice(vm, rapid.IntRange(0, simUnits-1).Draw(t, "slice"), target)
 	case 8, 9:
-		w.restart(target)
+		sim.restartTarget(target)
 	case 10:
-		w.freeze(vm, span(20))
+		sim.suspend(vm, span(20))
 	case 11:
-		w.cutStore(vm, span(20))
+		sim.cutStore(vm, span(20))
 	case 12, 13:
-		w.cutTarget(vm, target, span(10))
+		sim.cutTarget(vm, target, span(10))
 	case 14, 15:
-		w.readEpoch(vm)
+		sim.readEpoch(vm)
 	case 16, 17, 18:
-		w.divide(vm, rapid.IntRange(0, worldUnits-1).Draw(t, "slice"), rapid.IntRange(0, worldUnits-2).Draw(t, "unit"))
+		sim.splitSlice(vm, rapid.IntRange(0, simUnits-1).Draw(t, "slice"), rapid.IntRange(0, simUnits-2).Draw(t, "unit"))
 	case 19, 20, 21, 22, 23, 24:
-		w.moveSilent(vm, target)
+		sim.moveFromSilent(vm, target)
 	}
 }
 
@@ -67,7 +67,7 @@
 	r.Epoch = 5
 	r.Slices[2].Owner, r.Slices[2].Previous = b, a
 	now := time.Hour
-	g := NewGrantor(r, worldTiming, now, now, PriorGrantsUnknown)
+	g := NewGrantor(r, simTiming, now, now, PriorGrantsUnknown)
 	g.PresumeServed(last, now+time.Second)
 	require.Equal(t, Served, g.State(0, now))
 	require.Equal(t, Served, g.State(1, now))
@@ -87,7 +87,7 @@
 func TestSuccessorGrantsPresentOwnersAtOnce(t *testing.T) {
 	owners := []Owner{{ID: "a"}, {ID: "b"}}
 	r := Record{Service: "s", Epoch: 7, Slices: EvenSlices(4, owners)}
-	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, PriorGrantsUnknown)
+	g := NewGrantor(r, simTiming, time.Hour, time.Hour, PriorGrantsUnknown)
 	for _, o := range g.Unconfirmed() {
 		g.MarkConfirmed(o)
 	}
@@ -101,9 +101,9 @@
 
 // A grantor stands still for longer than its authority. When it wakes it must
 // send nothing: another may have moved the keys.
-func TestNothingIsOrderedPastTheAuthority(t *testing.T) {
+func TestNoOrdersAfterAuthorityExpires(t *testing.T) {
 	r := Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{{ID: "a"}})}
-	g := NewGrantor(r, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(r, simTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(Owner{ID: "a"})
 	require.Len(t, g.DueOrders(time.Hour+Authority-1), 2)
 	require.Empty(t, g.DueOrders(time.Hour+Authority))
@@ -113,9 +113,9 @@
 
 // An owner is lost. Its keys are granted to another once its last grant has run
 // out, and no later than a second after.
-func TestKeysOfALostOwnerAreFreeAfterTheHold(t *testing.T) {
+func TestKeysOfLostOwnerAreGrantedAfterHoldExpires(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
 	now := time.Hour
@@ -134,16 +134,16 @@
 			g.HandleResult(o, Unanswered, "", now, now)
 		}
 	}
-	require.GreaterOrEqual(t, granted, time.Hour+worldTiming.Hold)
-	require.LessOrEqual(t, granted, time.Hour+worldTiming.Hold+time.Second)
+	require.GreaterOrEqual(t, granted, time.Hour+simTiming.Hold)
+	require.LessOrEqual(t, granted, time.Hour+simTiming.Hold+time.Second)
 }
 
 // An owner with many slices is gone. To try every order again and again opened
 // hundreds of connections a second to nobody. One at a time goes out until one is
 // answered, and requests for the keys are refused meanwhile.
-func TestTargetThatDoesNotAnswerIsAskedOnceAtATime(t *testing.T) {
+func TestUnresponsiveTargetGetsOneOrderAtATime(t *testing.T) {
 	a := Owner{ID: "a"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(100, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(100, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(a)
 	now := time.Hour
 	for _, o := range g.DueOrders(now) {
@@ -161,7 +161,7 @@
 	require.Equal(t, Unserved, g.State(5, now))
 	require.Greater(t, g.SilentFor(a, now), 9*time.Second)
 	g.MarkConfirmed(a)
-	now += retryMost
+	now += maxRetryDelay
 	probe := g.DueOrders(now)
 	require.Len(t, probe, 1)
 	g.HandleResult(probe[0], Done, "", now, now)
@@ -172,7 +172,7 @@
 // the one of the release.
 func TestMoveReleasesThenGrantsWithHandover(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, worldTiming, time.Hour, time.Hour, NoPriorGrants)
+	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
 	g.MarkConfirmed(a)
 	g.MarkConfirmed(b)
 	first := g.DueOrders(time.Hour)[0]
@@ -190,7 +190,7 @@
 	require.Equal(t, Served, g.State(0, time.Hour))
 }
 
-func TestRehomeDealsEvenlyAndLeavesTheRest(t *testing.T) {
+func TestReassignSpreadsLostSlicesEvenlyAndKeepsOthers(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := EvenSlices(12, []Owner{a, b, c})
 	changes := Reassign(list, []Owner{a, b})
@@ -203,8 +203,8 @@
 	require.Equal(t, map[string]int{"a": 2, "b": 2}, got)
 }
 
-// idle is a targetLoad that keeps no slice where it is.
-var idle = TargetLoad{
+// zeroLoad is a load that keeps no slice where it is.
+var zeroLoad = TargetLoad{
 	Moving: func(int) bool { return false },
 	Rate:   func(int) float64 { return 0 },
 	Busy:   func(Owner) bool { return false },
@@ -212,49 +212,49 @@
 
 // A new target was slow. It gave up its hot slices, got the same ones back for being
 // the one with fewest, and so on three times a second for ten seconds.
-func TestBusyOwnerGetsNoMoreForHavingFew(t *testing.T) {
+func TestRebalanceSkipsBusyOwners(t *testing.T) {
 	a, b, slow := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "slow"}
 	live := []Owner{a, b, slow}
 	list := EvenSlices(30, []Owner{a, b})
-	targetLoad := idle
-	require.Len(t, Rebalance(list, live, targetLoad), 8)
-	targetLoad.Busy = func(o Owner) bool { return o == slow }
-	require.Empty(t, Rebalance(list, live, targetLoad))
-	targetLoad.Busy = func(Owner) bool { return true }
-	require.Empty(t, Rebalance(list, live, targetLoad))
+	load := zeroLoad
+	require.Len(t, Rebalance(list, live, load), 8)
+	load.Busy = func(o Owner) bool { return o == slow }
+	require.Empty(t, Rebalance(list, live, load))
+	load.Busy = func(Owner) bool { return true }
+	require.Empty(t, Rebalance(list, live, load))
 }
 
 // The slices that a new target got first were the hottest neighbourhood.
-func TestNewTargetGetsSlicesOfTheUsualRate(t *testing.T) {
+func TestRebalanceMovesSlicesOfAverageRate(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := EvenSlices(12, []Owner{a, b})
-	targetLoad := idle
+	load := zeroLoad
 	rates := []float64{60, 50, 40, 30, 1, 1, 2, 20, 3, 16, 18, 19}
-	targetLoad.Rate = func(i int) float64 { return rates[i] }
+	load.Rate = func(i int) float64 { return rates[i] }
 	var got []float64
-	for _, ch := range Rebalance(list, []Owner{a, b, c}, targetLoad) {
+	for _, ch := range Rebalance(list, []Owner{a, b, c}, load) {
 		got = append(got, rates[ch.Slice])
 	}
 	require.ElementsMatch(t, []float64{20, 19, 18, 40}, got, "closest to the mean of 21.7 of each owner's")
 }
 
-func TestNewTargetGetsItsShare(t *testing.T) {
+func TestRebalanceFillsNewTarget(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := EvenSlices(12, []Owner{a, b})
-	changes := Rebalance(list, []Owner{a, b, c}, idle)
+	changes := Rebalance(list, []Owner{a, b, c}, zeroLoad)
 	require.Len(t, changes, 4)
 	require.True(t, Unbalanced(list, []Owner{a, b, c}))
-	require.Empty(t, Rebalance(EvenSlices(12, []Owner{a, b, c}), []Owner{a, b, c}, idle))
+	require.Empty(t, Rebalance(EvenSlices(12, []Owner{a, b, c}), []Owner{a, b, c}, zeroLoad))
 	require.False(t, Unbalanced(EvenSlices(12, []Owner{a, b, c}), []Owner{a, b, c}))
 }
 
 // An owner gave up its hot slices and has a few less than the others. It must not
 // get cold ones for them, to give up more hot ones next.
-func TestOwnersWithSomewhatFewerSlicesAreLeftAlone(t *testing.T) {
+func TestRebalanceIgnoresSmallDifferences(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := EvenSlices(30, []Owner{a, b, c})
 	list[0].Owner, list[3].Owner, list[6].Owner = b, b, c
-	require.Empty(t, Rebalance(list, []Owner{a, b, c}, idle))
+	require.Empty(t, Rebalance(list, []Owner{a, b, c}, zeroLoad))
 }
 
 func TestIndexFindsTheSliceOfAKey(t *testing.T) {
@@ -278,27 +278,27 @@
 // The grantor loses the store and its peers, and goes on renewing at a target that
 // its successor cannot reach. The successor gives the keys to another target after
 // the authority and a hold. By then the first one must have fallen silent.
-func TestSucceededGrantorFallsSilentBeforeItsKeysMove(t *testing.T) {
-	w := startWorld(usualDraw, func(text string) { require.FailNow(t, text) })
-	w.keepsAnswers = true
-	w.takeOver(0)
+func TestSucceededGrantorStopsRenewingBeforeKeysMove(t *testing.T) {
+	sim := newSimulation(deterministicDraw, func(text string) { require.FailNow(t, text) })
+	sim.noLostAnswers = true
+	sim.takeOver(0)
 	for range 20 {
-		w.tick()
+		sim.step()
 	}
-	w.vms[0].cut = w.now + time.Hour
-	w.vms[1].cutTargets[0] = w.now + time.Hour
-	w.takeOver(1)
-	w.move(1, 0, 1)
-	moved := w.now
-	for w.now < moved+25*time.Second {
-		w.readEpoch(1)
-		w.tick()
+	sim.vms[0].storeCutUntil = sim.now + time.Hour
+	sim.vms[1].targetCutUntil[0] = sim.now + time.Hour
+	sim.takeOver(1)
+	sim.moveSlice(1, 0, 1)
+	moved := sim.now
+	for sim.now < moved+25*time.Second {
+		sim.readEpoch(1)
+		sim.step()
 	}
-	require.Greater(t, w.targets[1].out[0], moved+15*time.Second, "the keys have their new owner")
+	require.Greater(t, sim.targets[1].holdsUntil[0], moved+15*time.Second, "the keys have their new owner")
 }
 
 // What is not uneven has nothing to even out, whatever the load.
-func TestEvenOutNeedsUneven(t *testing.T) {
+func TestRebalanceDoesNothingUnlessUnbalanced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var live []Owner
 		for i := range rapid.IntRange(1, 8).Draw(t, "live") {
@@ -309,7 +309,7 @@
 			list[i].Owner = live[rapid.IntRange(0, len(live)-1).Draw(t, "owner")]
 		}
 		if !Unbalanced(list, live) {
-			require.Empty(t, Rebalance(list, live, idle))
+			require.Empty(t, Rebalance(list, live, zeroLoad))
 		}
 	})
 }
@@ -317,9 +317,9 @@
 // A target is lost, and its keys go to another without the state that it had. For some
 // seconds they are slow there; whoever sends requests must know. Keys that were handed
 // over are as fast as before, and so are those that had no owner before.
-func TestKeysWithoutTheirStateAreCold(t *testing.T) {
+func TestKeysGrantedWithoutHandoverAreCold(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	timing := worldTiming
+	timing := simTiming
 	timing.Cold = 5 * time.Second
 	now := time.Hour
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, timing, now, now, NoPriorGrants)
@@ -364,14 +364,14 @@
 // Keys of an owner that went silent had no service for five seconds longer than its hold.
 // A renewal was in flight as the keys were given to another owner; it was given up 0.3 s
 // later, and the bound that was assumed of it before stayed.
-func TestHoldOfASilentOwnerCountsFromTheEndOfItsLastGrant(t *testing.T) {
+func TestHoldOfSilentOwnerCountsFromEndOfLastGrant(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
-	g, renewal, now := renewing(t, a)
+	g, renewal, now := grantorWithPendingRenewal(t, a)
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
 	require.Empty(t, g.DueOrders(now+time.Minute), "nothing is free while it is on its way")
-	over := now + worldGiveUp
+	over := now + simOrderTimeout
 	g.HandleResult(renewal, Unanswered, "", now, over)
-	granted := grantedAt(t, g, over, a, b)
-	require.GreaterOrEqual(t, granted, outOf(over))
-	require.Less(t, granted, outOf(over)+time.Second)
+	granted := runUntilGranted(t, g, over, a, b)
+	require.GreaterOrEqual(t, granted, slowestExpiry(over))
+	require.Less(t, granted, slowestExpiry(over)+time.Second)
 }
--- a/internal/lease/limit_test.go
+++ b/internal/lease/limit_test.go
@@ -7,18 +7,18 @@
 	"pgregory.net/rapid"
 )
 
-func TestLimitIsCloseToThePartThatFits(t *testing.T) {
+func TestLimitIsCloseToRequestedFraction(t *testing.T) {
 	require.Equal(t, Unlimited, NewLimit(1, 5))
 	require.Equal(t, 1.0, Unlimited.Fraction())
 	rapid.Check(t, func(t *rapid.T) {
-		part := rapid.Float64Range(limitMost.Fraction(), 0.85).Draw(t, "part")
-		last := Limit(rapid.IntRange(0, int(limitMost)).Draw(t, "last"))
+		part := rapid.Float64Range(maxLimit.Fraction(), 0.85).Draw(t, "part")
+		last := Limit(rapid.IntRange(0, int(maxLimit)).Draw(t, "last"))
 		require.InDelta(t, 1, NewLimit(part, last).Fraction()/part, 0.45)
 	})
 }
 
 // Guards against an update to all VMs for each small change of a key's load.
-func TestSmallChangeOfTheLoadKeepsTheLimit(t *testing.T) {
+func TestSmallLoadChangeKeepsLimit(t *testing.T) {
 	limit := NewLimit(0.1, Unlimited)
 	for _, part := range []float64{0.09, 0.11, 0.1, 0.115} {
 		require.Equal(t, limit, NewLimit(part, limit))
@@ -26,7 +26,7 @@
 	require.NotEqual(t, limit, NewLimit(0.2, limit))
 }
 
-func TestLimitsReachTheOtherVMsWithUpdates(t *testing.T) {
+func TestUpdatesCarryLimits(t *testing.T) {
 	owners := []Owner{{ID: "a"}, {ID: "b"}}
 	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(4, owners)}
 	served := func(int) SliceState { return Served }
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// moveBatch bounds how many slices are moved at a time to even the load
+	// rebalanceBatch bounds how many slices are moved at a time to even the load
 	// out. Each is without service for a few milliseconds and the work that runs.
-	moveBatch = 16
-	// fewSlices is the part of the mean below which an owner gets slices of others,
+	rebalanceBatch = 16
+	// lowShare is the part of the mean below which an owner gets slices of others,
 	// enoughSlices the part up to which it does. Owners that have fewer because
 	// theirs are hot must be left alone: to give them cold ones and then to move
 	// the hot ones away went on for as long as the load lasted.
-	fewSlices    = 0.6
-	enoughSlices = 0.8
+	lowShare    = 0.6
+	refillShare = 0.8
 )
 
 // Reassign returns the changes that take slices from owners that are not in live,
@@ -25,11 +25,11 @@
 	if len(live) == 0 {
 		return nil
 	}
-	d := newPlanner(list, live)
+	p := newPlanner(list, live)
 	var out []Change
 	for i, s := range list {
-		if !d.lives(s.Owner) {
-			out = append(out, Change{Slice: i, To: d.least(neighbours(list, i))})
+		if !p.isLive(s.Owner) {
+			out = append(out, Change{Slice: i, To: p.assignLeast(neighbours(list, i))})
 		}
 	}
 	return out
@@ -48,60 +48,60 @@
 // Unbalanced reports whether a target has so few slices that Rebalance may bring it more: it is
 // asked often, and the targetLoad costs far more than the count.
 func Unbalanced(list []Slice, live []Owner) bool {
-	d := newPlanner(list, live)
-	few := fewSlices * float64(len(list)) / float64(len(live))
-	return slices.ContainsFunc(live, func(o Owner) bool { return float64(d.count[o]) < few })
+	p := newPlanner(list, live)
+	low := lowShare * float64(len(list)) / float64(len(live))
+	return slices.ContainsFunc(live, func(o Owner) bool { return float64(p.count[o]) < low })
 }
 
 // Rebalance returns the changes that bring slices of the usual rate to targets that have
 // far fewer than others and are not busy, such as one that has just started.
 // A target may have few slices because it is slow and gave up hot ones; it must not get them back.
-func Rebalance(list []Slice, live []Owner, b TargetLoad) []Change {
+func Rebalance(list []Slice, live []Owner, load TargetLoad) []Change {
 	if len(live) == 0 {
 		return nil
 	}
-	d := newPlanner(list, live)
-	mean := float64(len(list)) / float64(len(live))
-	usual := usualRate(list, b)
+	p := newPlanner(list, live)
+	meanCount := float64(len(list)) / float64(len(live))
+	mean := meanRate(list, load)
 	var out []Change
-	var filling Owner
-	for len(out) < moveBatch {
-		from, to := d.extremes(b.Busy)
-		has := float64(d.count[to])
-		if !to.Known() || !to.SameIncarnation(filling) && has >= fewSlices*mean || has >= enoughSlices*mean || d.count[from]-d.count[to] < 2 {
+	var receiver Owner
+	for len(out) < rebalanceBatch {
+		from, to := p.extremes(load.Busy)
+		has := float64(p.count[to])
+		if !to.Known() || !to.SameIncarnation(receiver) && has >= lowShare*meanCount || has >= refillShare*meanCount || p.count[from]-p.count[to] < 2 {
 			break
 		}
-		filling = to
-		i := mostUsual(list, from, usual, b, out)
+		receiver = to
+		i := closestToMean(list, from, mean, load, out)
 		if i < 0 {
 			break
 		}
-		d.count[from]--
-		d.count[to]++
+		p.count[from]--
+		p.count[to]++
 		out = append(out, Change{Slice: i, To: to})
 	}
 	return out
 }
 
-// usualRate is the mean rate of the slices.
-func usualRate(list []Slice, b TargetLoad) float64 {
+// meanRate is the mean rate of the slices.
+func meanRate(list []Slice, load TargetLoad) float64 {
 	sum := 0.0
 	for i := range list {
-		sum += b.Rate(i)
+		sum += load.Rate(i)
 	}
 	return sum / float64(len(list))
 }
 
-// mostUsual returns the owner's slice whose rate is closest to the usual one, of those
+// closestToMean returns the owner's slice whose rate is closest to the usual one, of those
 // that are not on the move nor chosen already; -1 without one.
-func mostUsual(list []Slice, owner Owner, usual float64, b TargetLoad, chosen []Change) int {
-	best, off := -1, math.Inf(1)
+func closestToMean(list []Slice, owner Owner, mean float64, load TargetLoad, chosen []Change) int {
+	best, distance := -1, math.Inf(1)
 	for i, s := range list {
-		if !s.Owner.SameIncarnation(owner) || b.Moving(i) || slices.ContainsFunc(chosen, func(c Change) bool { return c.Slice == i }) {
+		if !s.Owner.SameIncarnation(owner) || load.Moving(i) || slices.ContainsFunc(chosen, func(c Change) bool { return c.Slice == i }) {
 			continue
 		}
-		if o := math.Abs(b.Rate(i) - usual); o < off {
-			best, off = i, o
+		if d := math.Abs(load.Rate(i) - mean); d < distance {
+			best, distance = i, d
 		}
 	}
 	return best
@@ -114,42 +114,42 @@
 }
 
 func newPlanner(list []Slice, live []Owner) *planner {
-	d := &planner{live: slices.Clone(live), count: make(map[Owner]int)}
-	slices.SortFunc(d.live, func(a, b Owner) int { return cmp.Compare(a.ID, b.ID) })
-	for _, o := range d.live {
-		d.count[o] = 0
+	p := &planner{live: slices.Clone(live), count: make(map[Owner]int)}
+	slices.SortFunc(p.live, func(a, b Owner) int { return cmp.Compare(a.ID, b.ID) })
+	for _, o := range p.live {
+		p.count[o] = 0
 	}
 	for _, s := range list {
-		if _, ok := d.count[s.Owner]; ok {
-			d.count[s.Owner]++
+		if _, ok := p.count[s.Owner]; ok {
+			p.count[s.Owner]++
 		}
 	}
-	return d
+	return p
 }
 
-func (d *planner) lives(o Owner) bool {
-	_, ok := d.count[o]
+func (p *planner) isLive(o Owner) bool {
+	_, ok := p.count[o]
 	return ok
 }
 
-// least returns the owner with fewest slices, and counts one more for it. Owners
+// assignLeast returns the owner with fewest slices, and counts one more for it. Owners
 // of the slices beside are passed over where there is another: busy keys are
 // neighbours.
-func (d *planner) least(beside []Owner) Owner {
+func (p *planner) assignLeast(adjacent []Owner) Owner {
 	best := -1
-	for i, o := range d.live {
-		if best >= 0 && d.weight(o, beside) >= d.weight(d.live[best], beside) {
+	for i, o := range p.live {
+		if best >= 0 && p.weight(o, adjacent) >= p.weight(p.live[best], adjacent) {
 			continue
 		}
 		best = i
 	}
-	d.count[d.live[best]]++
-	return d.live[best]
+	p.count[p.live[best]]++
+	return p.live[best]
 }
 
-func (d *planner) weight(o Owner, beside []Owner) int {
-	w := d.count[o] * 2
-	if slices.ContainsFunc(beside, o.SameIncarnation) {
+func (p *planner) weight(o Owner, adjacent []Owner) int {
+	w := p.count[o] * 2
+	if slices.ContainsFunc(adjacent, o.SameIncarnation) {
 		w++
 	}
 	return w
@@ -157,13 +157,13 @@
 
 // extremes returns the owner with most slices, and the one with least that is not
 // busy, none where all are.
-func (d *planner) extremes(busy func(o Owner) bool) (most, least Owner) {
-	most = d.live[0]
-	for _, o := range d.live {
-		if d.count[o] > d.count[most] {
+func (p *planner) extremes(busy func(o Owner) bool) (most, least Owner) {
+	most = p.live[0]
+	for _, o := range p.live {
+		if p.count[o] > p.count[most] {
 			most = o
 		}
-		if !busy(o) && (!least.Known() || d.count[o] < d.count[least]) {
+		if !busy(o) && (!least.Known() || p.count[o] < p.count[least]) {
 			least = o
 		}
 	}
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -42,11 +42,11 @@
 	// HoldTime is how long a grant lasts at most. Keys of a lost owner are free again
 	// after it; a lost grantor must be succeeded within it.
 	HoldTime = 2400 * time.Millisecond
-	// Drift is how much longer than stated a hold may last: a target's clock
+	// MaxClockDrift is how much longer than stated a hold may last: a target's clock
 	// runs up to 2% slow.
-	Drift = 0.02
-	// Margin covers the steps between a clock reading and what it dates.
-	Margin = 100 * time.Millisecond
+	MaxClockDrift = 0.02
+	// TimingMargin covers the steps between a clock reading and what it dates.
+	TimingMargin = 100 * time.Millisecond
 	// epochShift leaves room for 2^24 fences in each epoch, at a thousand a
 	// second for more than four hours; a grantor that runs out begins a new epoch.
 	epochShift = 24
@@ -131,7 +131,7 @@
 	return i
 }
 
-// holdEnd is when a grant that arrived at the latest at the given time is out.
-func holdEnd(arrived, hold time.Duration) time.Duration {
-	return arrived + hold + time.Duration(float64(hold)*Drift) + Margin
+// holdExpiry is when a grant that arrived at the latest at the given time is out.
+func holdExpiry(arrived, hold time.Duration) time.Duration {
+	return arrived + hold + time.Duration(float64(hold)*MaxClockDrift) + TimingMargin
 }
--- a/internal/lease/ended.go
+++ b/internal/lease/results.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// HandleResult handles the end of an order, which was sent and over at these times. It
+// HandleResult handles the end of an order, which was sent and ended at these times. It
 // returns false for an order that no slice waits for any more.
-func (g *Grantor) HandleResult(o Order, r Result, handover string, sent, over time.Duration) bool {
+func (g *Grantor) HandleResult(o Order, r Result, handover string, sentAt, endedAt time.Duration) bool {
 	if o.Fence>>epochShift != g.record.Epoch {
 		// An order of an earlier epoch: its fence is below ours, so its end says
 		// nothing of what the target holds now.
 		return false
 	}
-	g.contact(o.Target).ended(r, sent, over, g.timing.Retry)
+	g.breaker(o.Target).record(r, sentAt, endedAt, g.timing.Retry)
 	i := Index(g.record.Slices, o.From)
 	s, sl := &g.states[i], &g.record.Slices[i]
 	if sl.From != o.From || sl.To != o.To {
@@ -20,67 +20,67 @@
 	}
 	s.pending = false
 	if o.Kind == Release {
-		return g.released(i, o, r, handover, over)
+		return g.handleRelease(i, o, r, handover, endedAt)
 	}
 	if !sl.Owner.SameIncarnation(o.Target) || s.fence != o.Fence {
-		g.overtaken(s, sl, o, r, over)
+		g.handleSuperseded(s, sl, o, r, endedAt)
 		return false
 	}
 	switch r {
 	case Done:
 		if s.moved {
-			g.note(FirstGranted, i, Owner{})
+			g.addEvent(FirstGranted, i, Owner{})
 		}
 		if s.moved && o.Handover == "" {
-			s.coldUntil = over + g.timing.Cold
+			s.coldUntil = endedAt + g.timing.Cold
 		}
-		s.granted, s.acked, s.handover, s.moved = true, max(s.acked, sent), "", false
-		s.outAt = holdEnd(over, g.timing.Hold)
+		s.granted, s.ackedSentAt, s.handover, s.moved = true, max(s.ackedSentAt, sentAt), "", false
+		s.expiresAt = holdExpiry(endedAt, g.timing.Hold)
 	case Unanswered:
 		// The connection is gone; others that were opened to the same life are not.
-		s.outAt = max(s.outAt, holdEnd(over, g.timing.Hold))
-		g.failed(s, over)
+		s.expiresAt = max(s.expiresAt, holdExpiry(endedAt, g.timing.Hold))
+		g.scheduleRetry(s, endedAt)
 	case Unreached:
-		delete(g.confirmedLives, o.Target)
-		g.failed(s, over)
+		delete(g.confirmedOwners, o.Target)
+		g.scheduleRetry(s, endedAt)
 	case Misdirected:
 		g.MarkEnded(o.Target)
-		g.failed(s, over)
+		g.scheduleRetry(s, endedAt)
 	case Fenced:
-		s.fence = g.fence()
-		g.failed(s, over)
+		s.fence = g.newFence()
+		g.scheduleRetry(s, endedAt)
 	}
 	return true
 }
 
-// overtaken dates the previous owner's hold after a grant that was in flight
+// handleSuperseded dates the previous owner's hold after a grant that was in flight
 // while the slice was given to another.
-func (g *Grantor) overtaken(s *state, sl *Slice, o Order, r Result, over time.Duration) {
+func (g *Grantor) handleSuperseded(s *leaseState, sl *Slice, o Order, r Result, endedAt time.Duration) {
 	if !sl.Previous.SameIncarnation(o.Target) {
 		return
 	}
 	switch r {
 	case Done:
-		s.previousOut = holdEnd(over, g.timing.Hold)
+		s.previousExpiresAt = holdExpiry(endedAt, g.timing.Hold)
 	case Unanswered:
-		s.previousOut = max(s.previousOut, holdEnd(over, g.timing.Hold))
+		s.previousExpiresAt = max(s.previousExpiresAt, holdExpiry(endedAt, g.timing.Hold))
 	}
 }
 
-func (g *Grantor) failed(s *state, now time.Duration) {
+func (g *Grantor) scheduleRetry(s *leaseState, now time.Duration) {
 	s.retryAt = now + g.timing.Retry
 }
 
-func (g *Grantor) released(i int, o Order, r Result, handover string, over time.Duration) bool {
+func (g *Grantor) handleRelease(i int, o Order, r Result, handover string, endedAt time.Duration) bool {
 	s, sl := &g.states[i], &g.record.Slices[i]
 	if !sl.Previous.SameIncarnation(o.Target) {
 		return false
 	}
 	// Where another target has the address, the process that had it is gone.
 	if r == Done || r == Misdirected {
-		s.previousOut, s.handover, s.released = over, handover, true
+		s.previousExpiresAt, s.handover, s.released = endedAt, handover, true
 		return true
 	}
-	g.failed(s, over)
+	g.scheduleRetry(s, endedAt)
 	return true
 }
--- a/internal/lease/routing.go
+++ b/internal/lease/routing.go
@@ -56,7 +56,7 @@
 	for i := range limits {
 		limits[i] = limit(i)
 	}
-	r.Limits = compact(limits)
+	r.Limits = omitIfUnlimited(limits)
 }
 
 // limit returns the limit of slice i.
@@ -70,7 +70,7 @@
 // routingBuilder puts a routing together, slice by slice.
 type routingBuilder struct {
 	out    Routing
-	owners places[string]
+	owners interner[string]
 }
 
 // newRoutingBuilder begins with a routing without slices; about so many will come.
@@ -81,7 +81,7 @@
 
 func (b *routingBuilder) add(from uint16, owner string, state SliceState) {
 	b.out.From = append(b.out.From, from)
-	b.out.Owner = append(b.out.Owner, uint16(b.owners.of(owner)))
+	b.out.Owner = append(b.out.Owner, uint16(b.owners.index(owner)))
 	b.out.States = append(b.out.States, state)
 	b.out.Limits = append(b.out.Limits, Unlimited)
 }
@@ -93,8 +93,8 @@
 }
 
 func (b *routingBuilder) routing() *Routing {
-	b.out.Owners = b.owners.list
-	b.out.Limits = compact(b.out.Limits)
+	b.out.Owners = b.owners.values
+	b.out.Limits = omitIfUnlimited(b.out.Limits)
 	return &b.out
 }
 
@@ -108,7 +108,7 @@
 	if len(r.From) == 0 {
 		return "", Moving
 	}
-	i := r.slice(key)
+	i := r.sliceIndex(key)
 	return r.Owners[r.Owner[i]], r.States[i]
 }
 
@@ -117,11 +117,11 @@
 	if len(r.From) == 0 {
 		return Unlimited
 	}
-	return r.limit(r.slice(key))
+	return r.limit(r.sliceIndex(key))
 }
 
-// slice returns the index of the slice that holds a key.
-func (r *Routing) slice(key uint16) int {
+// sliceIndex returns the index of the sliceIndex that holds a key.
+func (r *Routing) sliceIndex(key uint16) int {
 	lo, hi := 0, len(r.From)
 	for hi-lo > 1 {
 		if mid := (lo + hi) / 2; r.From[mid] <= key {
--- a/internal/lease/stored.go
+++ b/internal/lease/stored.go
@@ -27,18 +27,18 @@
 
 // MarshalJSON implements json.Marshaler.
 func (r Record) MarshalJSON() ([]byte, error) {
-	var owners places[Owner]
+	var owners interner[Owner]
 	out := storedRecord{
 		Service: r.Service, Epoch: r.Epoch, Holder: r.Holder, HolderAddr: r.HolderAddr, Incarnation: r.Incarnation, Resigned: r.Resigned,
 		From: make([]uint16, len(r.Slices)), Owner: make([]int, len(r.Slices)), Previous: make(map[int]int),
 	}
 	for i, s := range r.Slices {
-		out.From[i], out.Owner[i] = s.From, owners.of(s.Owner)
+		out.From[i], out.Owner[i] = s.From, owners.index(s.Owner)
 		if s.Previous.Known() {
-			out.Previous[i] = owners.of(s.Previous)
+			out.Previous[i] = owners.index(s.Previous)
 		}
 	}
-	out.Owners = owners.list
+	out.Owners = owners.values
 	return json.Marshal(out)
 }
 
--- a/internal/lease/stored_test.go
+++ b/internal/lease/stored_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestStoredRecordIsTheSame(t *testing.T) {
+func TestRecordRoundTripsThroughJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(what string) Owner {
 			return Owner{ID: fmt.Sprintf("t-%d", rapid.IntRange(0, 5).Draw(t, what)), Born: rapid.Int64Range(0, 3).Draw(t, "born"), Addr: "10.0.0.1:1"}
@@ -35,7 +35,7 @@
 
 // At 114 targets and 800 slices the record was 160 kB. Ten writes a second filled a
 // link of 10 Mbit/s, and every grant and renewal waited behind them.
-func TestLargeRecordIsAFewKilobytes(t *testing.T) {
+func TestLargeRecordIsUnder16KB(t *testing.T) {
 	var owners []Owner
 	for i := range 114 {
 		owners = append(owners, Owner{ID: fmt.Sprintf("i-%010x", i), Born: 1784441816220 + int64(i), Addr: fmt.Sprintf("10.2.64.%d:8027", i)})
@@ -45,7 +45,7 @@
 	require.Less(t, len(text), 16_000)
 }
 
-func TestRecordThatCannotBeIsRefused(t *testing.T) {
+func TestInvalidRecordIsRejected(t *testing.T) {
 	for _, text := range []string{
 		`{"Owners":[{"ID":"a"}],"From":[0],"Owner":[1]}`,
 		`{"Owners":[{"ID":"a"}],"From":[0],"Owner":[-1]}`,
--- a/internal/lease/update.go
+++ b/internal/lease/update.go
@@ -15,24 +15,24 @@
 }
 
 // UpdateBetween returns the update from a version that a VM has, nil if it has none.
-func UpdateBetween(old, now *Routing) *Update {
+func UpdateBetween(old, current *Routing) *Update {
 	if old == nil || old.Seq == 0 {
-		return &Update{Routing: *now}
+		return &Update{Routing: *current}
 	}
-	b := newRoutingBuilder(now.head(), 0)
-	known := 0
-	for i, from := range now.From {
+	b := newRoutingBuilder(current.head(), 0)
+	matched := 0
+	for i, from := range current.From {
 		at, ok := slices.BinarySearch(old.From, from)
 		if ok {
-			known++
+			matched++
 		}
-		if !ok || now.States[i] != old.States[at] || now.limit(i) != old.limit(at) || now.Owners[now.Owner[i]] != old.Owners[old.Owner[at]] {
-			b.addFrom(now, i)
+		if !ok || current.States[i] != old.States[at] || current.limit(i) != old.limit(at) || current.Owners[current.Owner[i]] != old.Owners[old.Owner[at]] {
+			b.addFrom(current, i)
 		}
 	}
-	if known != len(old.From) {
+	if matched != len(old.From) {
 		// Slices were joined, which an update cannot express.
-		return &Update{Routing: *now}
+		return &Update{Routing: *current}
 	}
 	return &Update{Base: old.Seq, BaseEpoch: old.Epoch, Routing: *b.routing()}
 }
@@ -41,8 +41,8 @@
 // builds on another one.
 func (u *Update) Apply(old *Routing) (*Routing, bool) {
 	if u.Base == 0 {
-		whole := u.Routing
-		return &whole, true
+		full := u.Routing
+		return &full, true
 	}
 	if old == nil || old.Epoch != u.BaseEpoch || old.Seq != u.Base {
 		return nil, false
--- a/internal/lease/update_test.go
+++ b/internal/lease/update_test.go
@@ -62,7 +62,7 @@
 // VMs of each with the whole routing. Its 10 Mbit/s were taken up for a minute; its
 // calls to the store and its orders timed out, and one grantor after the other
 // resigned.
-func TestOneChangedSliceIsTensOfBytes(t *testing.T) {
+func TestUpdateOfOneSliceIsUnder150Bytes(t *testing.T) {
 	b := newRoutingBuilder(Routing{Service: "s", Epoch: 5, Seq: 7, Holder: "a", Incarnation: 3}, 512)
 	for i := range 512 {
 		b.add(uint16(i*128), fmt.Sprintf("i-%010x", i%114), Moving)
@@ -76,7 +76,7 @@
 	require.Less(t, len(bytes), 150)
 }
 
-func TestRoutingWithListsThatDoNotFitIsNotValid(t *testing.T) {
+func TestRoutingWithMismatchedListsIsInvalid(t *testing.T) {
 	good := Routing{Owners: []string{"a"}, From: []uint16{0}, Owner: []uint16{0}, States: []SliceState{Served}}
 	require.True(t, good.Valid())
 	bad := good
