--- a/internal/lease/breaker.go
+++ b/internal/lease/breaker.go
@@ -4,28 +4,32 @@
 	"time"
 )
 
-// circuitBreaker is how orders to one life of a target fared.
-// After some failures in a row one order at a time is sent, at growing intervals: a target that is gone
-// must not cost a connection for each of its slices.
+// circuitBreaker tracks the results of the orders to one incarnation of a target. After
+// failureThreshold failures in a row it allows one order at a time, at growing intervals: a target that
+// is gone must not cost a connection for each of its slices.
 type circuitBreaker struct {
-	failures     int
-	retryAt      time.Duration
-	probing      bool
+	// failures counts the failed orders since the last success.
+	failures int
+	// retryAt is when the next probe may be sent, probing whether one is in flight.
+	retryAt time.Duration
+	probing bool
+	// lastAnswered is when the last order that was answered was sent.
 	lastAnswered time.Duration
 }
 
-// failureThreshold is how many orders in a row must fail before a target is taken for gone.
-// With fewer, a target that leaves half of its orders unanswered is renewed too rarely to keep its keys.
+// failureThreshold is how many orders in a row must fail before a target is considered gone. With a
+// lower value, a target that leaves half of its orders unanswered is renewed too rarely to keep its keys.
 const failureThreshold = 4
 
-// maxRetryDelay bounds the pause between two orders to a target that does not answer.
+// maxRetryDelay bounds the time between two orders to a target that does not answer.
 const maxRetryDelay = 1600 * time.Millisecond
 
-// allows reports whether an order may go out now.
+// allows reports whether an order may be sent now.
 func (c *circuitBreaker) allows(now time.Duration) bool {
 	return c.failures < failureThreshold || !c.probing && now >= c.retryAt
 }
 
+// record updates the breaker with the result of an order.
 func (c *circuitBreaker) record(r Result, sentAt, endedAt, retry time.Duration) {
 	c.probing = false
 	if r == Unreached || r == Unanswered {
--- a/internal/lease/changes.go
+++ b/internal/lease/changes.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Change is a slice that gets another owner.
+// Change gives a slice to another owner.
 type Change struct {
 	Slice int
 	To    Owner
 }
 
-// Plan returns the record with the changes in it, to be written to the store, and
-// freezes their slices until Commit or Abandon. Slices that are on the move keep
-// their previous owner: it may still hold the keys, and the owner in between was
-// never granted.
+// Plan returns a copy of the record with the changes applied, to be written to the store, and freezes the
+// changed slices until Commit or Abandon. A slice that is already moving keeps its previous owner: that
+// one may still hold the keys, and the owner in between was never granted them.
 //
-// A slice that is not movable keeps its owner.
-// While the write is in flight, the previous owner may answer its release and the owner in between be
-// granted: the record would then name two targets, neither of which holds the keys.
+// A slice that is not movable keeps its owner. Otherwise, while the write is in flight, the previous
+// owner could answer its release and the owner in between could be granted the keys: the record would
+// then name two targets, neither of which holds the keys.
 func (g *Grantor) Plan(changes []Change) Record {
 	next := g.record
 	next.Slices = slices.Clone(g.record.Slices)
@@ -36,17 +35,16 @@
 	return next
 }
 
-// Movable reports whether slice i may get another owner now.
-// A predecessor may have granted the keys to the owner already. A move away would drop it from the
-// record while it holds them, so the previous owner must be free first.
+// Movable reports whether slice i may be given to another owner now. A predecessor may already have
+// granted the keys to the owner of an inherited slice that is moving. Another move would drop that owner from
+// the record while it holds the keys, so the previous owner must be cleared first.
 func (g *Grantor) Movable(i int) bool {
 	return !g.record.Slices[i].Previous.Known() || !g.states[i].inherited
 }
 
-// SplitSlice cuts slice i after a key, which must not be its last. Both parts have
-// the same owner, so the record need not be written before. It returns false for a
-// slice that is on the move, and for one with a renewal in flight.
-// The end of a renewal of the whole slice would belong to neither part.
+// SplitSlice splits slice i after a key, which must not be its last. Both parts keep the owner, so the
+// record need not be written first. It returns false for a slice that is moving and for one with a
+// renewal in flight: the result of a renewal of the whole slice would belong to neither part.
 func (g *Grantor) SplitSlice(i int, after uint16) bool {
 	sl, s := g.record.Slices[i], g.states[i]
 	if sl.Previous.Known() || s.frozen || s.pending || !s.granted || after < sl.From || after >= sl.To {
@@ -55,7 +53,7 @@
 	right, rightState := sl, s
 	sl.To, right.From = after, after+1
 	s.fence, rightState.fence = g.newFence(), g.newFence()
-	// Granted at once: the first move of a part needs the fence in place.
+	// Both parts are due for a grant at once: the first move of a part needs its fence at the owner.
 	s.ackedSentAt, rightState.ackedSentAt = s.ackedSentAt-g.timing.Renew, s.ackedSentAt-g.timing.Renew
 	list := slices.Clone(g.record.Slices)
 	list[i] = sl
@@ -65,33 +63,33 @@
 	return true
 }
 
-// Abandon ends a plan that the store surely did not take, and never will. A write
-// whose answer is lost is not abandoned: it may take effect later. Its slices stay
-// frozen until another write was taken, which makes it fail.
+// Abandon drops a plan that the store has certainly not accepted and never will. A write whose answer
+// was lost must not be abandoned, as it may take effect later: its slices stay frozen until the store
+// has accepted another write, after which the lost one must fail.
 func (g *Grantor) Abandon() {
 	for i := range g.states {
 		g.states[i].frozen = false
 	}
 }
 
-// Commit puts a planned record in force that the store took. sent dates the write.
+// Commit puts a planned record into force after the store has accepted it. The write was sent at sent.
 //
-// A grant that is in flight to the previous owner needs no bound here: its slice waits for
-// its end, which dates the hold.
+// A grant to the previous owner that is still in flight needs no bound here: the slice waits for its
+// result, which determines when that owner's hold expires.
 func (g *Grantor) Commit(next Record, sent time.Duration) {
 	g.ConfirmEpoch(sent)
 	g.Abandon()
 	for i := range next.Slices {
 		old, sl, s := g.record.Slices[i], &next.Slices[i], &g.states[i]
 		if sl.Owner.SameIncarnation(old.Owner) {
-			// Its previous owner may have been freed meanwhile.
+			// The previous owner may have been cleared while the write was in flight.
 			sl.Previous = old.Previous
 			continue
 		}
 		if !old.Previous.Known() {
 			s.previousExpiresAt = s.expiresAt
 		}
-		// The new owner was not granted these keys.
+		// The new owner has not been granted these keys yet.
 		s.granted, s.inherited, s.expiresAt, s.retryAt, s.moved = false, false, 0, 0, true
 		s.fence = g.newFence()
 	}
--- a/internal/lease/cut_test.go
+++ b/internal/lease/cut_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runCutAndMove plays an owner that is cut off for six seconds, and the move of its keys. It
-// returns the breach, if there was one.
-func runCutAndMove(onlyCloses bool) (breach string) {
+// runCutAndMove simulates an owner that is cut off from the grantor for six seconds while its keys move to
+// another target. It returns the first violation of single ownership, if there is one.
+func runCutAndMove(closeWithoutReset bool) (violation string) {
 	sim := newSimulation(deterministicDraw, func(text string) {
-		if breach == "" {
-			breach = text
+		if violation == "" {
+			violation = text
 		}
 	})
-	sim.noLostAnswers, sim.closeWithoutReset = true, onlyCloses
+	sim.noLostAnswers, sim.closeWithoutReset = true, closeWithoutReset
 	sim.takeOver(0)
 	for range 40 {
 		sim.step()
@@ -29,13 +29,13 @@
 		sim.readEpoch(0)
 		sim.step()
 	}
-	return breach
+	return violation
 }
 
-// An owner was cut off; renewals to it that were given up arrived at the end of the cut,
-// when another held its keys. The random walks had no bytes that wait in a cut, and passed.
-// The world must show the breach where connections are only closed, and none where they
-// are reset.
+// Guards against a simulation that misses grants delayed by a network cut. Renewals to an owner behind a cut
+// timed out, but arrived when the cut ended and another target held its keys. Random runs did not find
+// this while the simulation did not keep data in transit during a cut. The simulation must report two
+// owners if connections are only closed, and none if they are reset.
 func TestAbandonedGrantsBreakOwnershipOnlyWithoutReset(t *testing.T) {
 	require.Contains(t, runCutAndMove(true), "has owners [0 1]")
 	require.Empty(t, runCutAndMove(false))
--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// EventKind says what changed in who holds a slice's keys.
+// EventKind is the kind of an event.
 type EventKind int
 
 // The kinds of events.
 const (
-	// Released: the previous owner answered a release, or another target has its address.
+	// Released: the previous owner acknowledged a release, or another target has its address.
 	Released EventKind = iota
-	// Expired: every grant that may have reached the previous owner is out.
+	// Expired: every grant that may have reached the previous owner has expired.
 	Expired
-	// FirstGranted: the new owner answered its first grant.
+	// FirstGranted: the new owner acknowledged its first grant.
 	FirstGranted
 )
 
-// String names the kind in logs.
+// String returns the name of the kind in logs.
 func (k EventKind) String() string {
 	switch k {
 	case Released:
@@ -28,19 +28,19 @@
 	return "unknown"
 }
 
-// Event is a step of a move of keys from one owner to another.
+// Event is a step in moving a slice from one owner to another.
 type Event struct {
 	Kind     EventKind
 	From, To uint16
-	// Owner has or gets the keys, Previous had them; the latter is unknown for a grant.
+	// Owner is the new owner of the keys, Previous the one before. Previous is not set for FirstGranted.
 	Owner, Previous Owner
-	// Fence is the owner's.
+	// Fence is the fence of the new owner.
 	Fence uint64
-	// Out is when the previous owner's hold was over, on the grantor's clock.
+	// Out is when the hold of the previous owner ended, on the grantor's clock.
 	Out time.Duration
 }
 
-// TakeEvents returns what happened since it was last asked, in order.
+// TakeEvents returns the events since the last call, in order.
 func (g *Grantor) TakeEvents() []Event {
 	out := g.events
 	g.events = nil
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two targets held the same keys, and no log showed why the grantor had taken the keys for
-// free: because the old owner gave them up, or because its hold had run out.
+// Guards against events that do not show why keys became free. After two targets held the same keys, no
+// log showed whether the previous owner had released them or its hold had expired.
 func TestEventsDistinguishReleaseFromExpiry(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
@@ -18,7 +18,7 @@
 	for _, o := range g.DueOrders(now) {
 		g.HandleResult(o, Done, "", now, now)
 	}
-	require.Empty(t, g.TakeEvents(), "the first grant of a key is no move")
+	require.Empty(t, g.TakeEvents(), "the first grant of a key is not a move")
 	out := holdExpiry(now, simTiming.Hold)
 
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}, {Slice: 1, To: b}}), now)
--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -11,31 +11,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// faultObservation is how long a fault is watched.
+// faultObservation is how long the simulation runs after a fault.
 const faultObservation = 30 * time.Second
 
-// scenario is a world without chance, driven as the gateway drives its grantors.
+// scenario is a simulation without random choices, in which leaders are replaced and keys reassigned as
+// the gateway does.
 type scenario struct {
 	*simulation
-	// stopped VMs do nothing more until they start again.
-	stopped         [simVMs]bool
+	// stopped VMs do nothing until they start again.
+	stopped [simVMs]bool
+	// leaderlessSince is when the last grantor stopped working, 0 while one works.
 	leaderlessSince time.Duration
-	storeDownUntil  time.Duration
-	lostAt          [simTargets]time.Duration
+	// storeDownUntil is when the store can be reached again.
+	storeDownUntil time.Duration
+	// lostAt is when each target stopped.
+	lostAt [simTargets]time.Duration
 }
 
-// deterministicDraw takes chance out: orders arrive after a step and are answered, an
-// entry follows its target at once.
+// deterministicDraw replaces random choices by fixed ones: orders arrive after one step and are answered,
+// and the list of targets is updated at once.
 func deterministicDraw(_, high int, label string) int {
 	switch label {
-	case "fate of an order":
+	case "delivery of an order":
 		return 5
-	case "entry written":
+	case "listing updated":
 		return 0
 	}
 	return min(1, high)
 }
 
+// newScenario returns a scenario in which VM 0 has granted all keys.
 func newScenario(t *testing.T) *scenario {
 	sc := &scenario{simulation: newSimulation(deterministicDraw, func(text string) { require.Fail(t, text) })}
 	sc.noLostAnswers = true
@@ -44,7 +49,7 @@
 	return sc
 }
 
-// leader returns the VM that orders, or -1.
+// leader returns the VM that sends orders, or -1.
 func (sc *scenario) leader() int {
 	best := -1
 	for vm := range sc.vms {
@@ -59,8 +64,7 @@
 	return best
 }
 
-// failOver has another VM take over from a grantor that is gone for 0.9 s, or has
-// been without the store for that long.
+// failOver lets another VM take over when the grantor has been gone, or without the store, for 0.9 s.
 func (sc *scenario) failOver() {
 	leader := sc.leader()
 	if leader >= 0 && (sc.reachesStore(leader) || sc.now < sc.storeDownUntil) {
@@ -82,7 +86,7 @@
 	}
 }
 
-// reassign moves what owners hold that are gone, silent or restarted.
+// reassign moves the next slice whose owner has stopped, restarted or does not answer.
 func (sc *scenario) reassign() {
 	leader := sc.leader()
 	if leader < 0 || !sc.reachesStore(leader) || sc.vms[leader].writePending {
@@ -105,7 +109,7 @@
 	}
 }
 
-// run lets time pass and returns for how long nobody owned the first keys.
+// run advances the simulation and returns for how long the first keys had no owner.
 func (sc *scenario) run(span time.Duration) (unowned time.Duration) {
 	for end := sc.now + span; sc.now < end; {
 		for vm := range sc.vms {
@@ -127,13 +131,14 @@
 	return unowned
 }
 
+// stopTarget ends a target for good.
 func (sc *scenario) stopTarget(i int) {
 	sc.targets[i].up = false
 	sc.targets[i].holdsUntil = [simUnits]time.Duration{}
 	sc.lostAt[i] = sc.now
 }
 
-// faultSteps lead a world to a step.
+// faultSteps are the steps of a lease at which faults are injected.
 var faultSteps = []struct {
 	name    string
 	prepare func(sc *scenario)
@@ -153,7 +158,7 @@
 	}},
 }
 
-// faultCases strike at a step.
+// faultCases are the faults that are injected at each step.
 var faultCases = []struct {
 	name   string
 	inject func(sc *scenario)
@@ -190,8 +195,8 @@
 
 `
 
-// Every fault at every step of a lease: no key has two owners, every key has one
-// in the end, and the page shows for how long it had none.
+// Injects every fault at every step of a lease. No key may ever have two owners, every key must have one in
+// the end, and the generated page shows for how long the first keys had none.
 func TestFaultsAtStepsOfALease(t *testing.T) {
 	var page strings.Builder
 	page.WriteString(faultPageHeader + "| fault |")
@@ -211,7 +216,7 @@
 				for _, target := range sc.targets {
 					owned = owned || target.up && sc.now < target.holdsUntil[unit]
 				}
-				require.True(t, owned, "%s at %s: unit %d has no owner in the end", f.name, s.name, unit)
+				require.True(t, owned, "%s at %s: unit %d has no owner at the end", f.name, s.name, unit)
 			}
 		}
 		page.WriteString("\n")
@@ -222,5 +227,5 @@
 	}
 	shown, err := os.ReadFile(file)
 	require.NoError(t, err)
-	require.Equal(t, page.String(), string(shown), "HQ_UPDATE=1 writes the page anew")
+	require.Equal(t, page.String(), string(shown), "the page is out of date; set HQ_UPDATE=1 to regenerate it")
 }
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -4,37 +4,39 @@
 	"time"
 )
 
-// Timing are the periods of a grantor.
+// Timing holds the durations and intervals that a grantor uses.
 type Timing struct {
-	// Hold is how long a grant lasts at the target.
+	// Hold is how long a grant is valid at the target.
 	Hold time.Duration
 	// Renew is the time between two grants of a range.
 	Renew time.Duration
-	// Retry is the pause after a failed order.
+	// Retry is the delay after a failed order.
 	Retry time.Duration
-	// Cold is how long an owner is slow with keys that it got without the state of
-	// the last owner.
+	// Cold is how long an owner is slow with keys that it got without the previous owner's state.
 	Cold time.Duration
 }
 
-// Grantor is the state of one service's grantor in one epoch. Its clock counts
-// suspended time.
+// Grantor is the state of the grantor of one service in one epoch. All times are readings of a clock
+// that keeps running while the VM is suspended.
 type Grantor struct {
-	timing    Timing
-	record    Record
-	states    []leaseState
+	timing Timing
+	record Record
+	states []leaseState
+	// confirmed is when the last request was sent in which the store confirmed the epoch.
 	confirmed time.Duration
+	// lastFence is the last fence that was issued.
 	lastFence uint64
-	// confirmedOwners holds the targets that may be granted keys. A target is
-	// taken out when no connection that was opened before the confirmation is left.
+	// confirmedOwners holds the incarnations that may be granted keys. One is removed when no connection
+	// that was opened before its confirmation is left.
 	confirmedOwners map[Owner]bool
-	// endedOwners holds lives that are over: they are not granted anything more.
+	// endedOwners holds the incarnations that have ended. They get no more grants.
 	endedOwners map[Owner]bool
 	breakers    map[Owner]*circuitBreaker
-	// events wait for TakeEvents.
+	// events holds the events until TakeEvents returns them.
 	events []Event
 }
 
+// breaker returns the circuit breaker for orders to o.
 func (g *Grantor) breaker(o Owner) *circuitBreaker {
 	c := g.breakers[o]
 	if c == nil {
@@ -47,55 +49,56 @@
 // leaseState is what the grantor knows of one slice beyond the record.
 type leaseState struct {
 	fence uint64
-	// granted says that the owner has answered a grant of this epoch; acked
-	// dates the send of the last one.
+	// granted says that the owner has acknowledged a grant of this epoch; ackedSentAt is when the last
+	// acknowledged grant was sent.
 	granted     bool
 	ackedSentAt time.Duration
-	// expiresAt is when the last grant that may have reached the owner is out.
+	// expiresAt is when the last grant that may have reached the owner expires.
 	expiresAt time.Duration
-	// previousExpiresAt is when the previous owner's last grant is out.
+	// previousExpiresAt is when the previous owner's last grant expires.
 	previousExpiresAt time.Duration
-	// released says that the previous owner gave the keys up, so that previousOut is
-	// not when its hold runs out.
+	// released says that the previous owner gave the keys up; previousExpiresAt is then the time of the
+	// release, not the end of its hold.
 	released bool
-	pending  bool
-	retryAt  time.Duration
-	// handover is the state that the next grant carries.
+	// pending says that an order for the slice is in flight.
+	pending bool
+	retryAt time.Duration
+	// handover is the state that the next grant carries to the owner.
 	handover string
-	// moved says that the keys had another owner before; coldUntil is until when the
-	// owner is slow with them.
+	// moved says that the keys had another owner before; coldUntil is when the owner stops being slow
+	// with them.
 	moved     bool
 	coldUntil time.Duration
-	// frozen says that a planned change of the slice is in flight to the store:
-	// neither owner may be granted for the first time until it is settled.
+	// frozen says that the record with a planned change of the slice is being written to the store.
+	// Neither owner may get a first grant until the result of the write is known.
 	frozen bool
-	// inherited says that the owner stood in the record before this epoch: a
-	// predecessor may have granted it the keys.
+	// inherited says that the owner was in the record before this epoch: a predecessor may have granted it
+	// the keys.
 	inherited bool
-	// presumedUntil is until when an inherited owner is presumed to serve the keys by a
-	// grant of the predecessor.
+	// presumedUntil ends the time in which an inherited owner is presumed to serve the keys under a grant of
+	// the predecessor.
 	presumedUntil time.Duration
 }
 
-// PriorGrants says what may still be in force of the grantors before.
+// PriorGrants says which grants of earlier grantors may still be valid.
 type PriorGrants int
 
-// The pasts.
+// The cases of PriorGrants.
 const (
 	// NoPriorGrants: no grant was ever sent for this service.
 	NoPriorGrants PriorGrants = iota
-	// PriorGrantsEnded: the predecessor has sent its last order before the write.
+	// PriorGrantsEnded: the predecessor sent its last order before the successor's write.
 	PriorGrantsEnded
-	// PriorGrantsUnknown: the predecessor may go on for as long as its authority lasts.
+	// PriorGrantsUnknown: the predecessor may send orders until its authority expires.
 	PriorGrantsUnknown
 )
 
-// maxGrantTransit bounds the way of a predecessor's last grant: its connection is reset when it is
-// given up, or when the process ends. Where the process stands still after the send, the
-// system drops after this time what has not arrived.
+// maxGrantTransit bounds the time that a predecessor's last grant is in transit. Its connection is reset
+// when the predecessor stops waiting for the answer, or when its process ends. If the process is
+// suspended after the send, the operating system drops what has not arrived after this time.
 const maxGrantTransit = time.Second
 
-// lastGrantArrival returns when the last grant of a predecessor may have arrived, after
+// lastGrantArrival returns the latest time at which the last grant of a predecessor may arrive, given when
 // the successor's write was done.
 func (p PriorGrants) lastGrantArrival(done time.Duration) time.Duration {
 	if p == PriorGrantsEnded {
@@ -104,8 +107,8 @@
 	return done + Authority + maxGrantTransit
 }
 
-// NewGrantor returns the grantor of a record that it has just written with its
-// own epoch. sent and done date the write.
+// NewGrantor returns the grantor of a record that it has just written with its own epoch. The write was
+// sent at sent and answered at done.
 func NewGrantor(r Record, t Timing, sent, done time.Duration, prior PriorGrants) *Grantor {
 	g := &Grantor{timing: t, record: r, confirmed: sent, lastFence: r.Epoch << epochShift}
 	g.confirmedOwners, g.endedOwners, g.breakers = make(map[Owner]bool), make(map[Owner]bool), make(map[Owner]*circuitBreaker)
@@ -122,10 +125,10 @@
 	return g
 }
 
-// PresumeServed has the owners that served their slices in the predecessor's last published
-// version count as serving them until the given time, unless orders to them fail. It decides
-// where senders try, and nothing of who holds keys: an owner refuses what it does not hold.
-// Without it, all keys of the service are refused until their owners were granted them anew.
+// PresumeServed treats owners that served their slices in the predecessor's last published version as
+// serving them until the given time, unless orders to them fail. This affects only where senders try, not
+// who holds keys: an owner rejects requests for keys that it does not hold. Without it, all keys of the
+// service would be refused until their owners are granted them again.
 func (g *Grantor) PresumeServed(last *Routing, until time.Duration) {
 	for i := range g.states {
 		sl := &g.record.Slices[i]
@@ -136,6 +139,7 @@
 	}
 }
 
+// newFence returns a fence that is higher than all before.
 func (g *Grantor) newFence() uint64 {
 	g.lastFence++
 	return g.lastFence
@@ -144,16 +148,15 @@
 // Record returns the record in force.
 func (g *Grantor) Record() Record { return g.record }
 
-// ConfirmEpoch notes that the store confirmed the epoch to a call sent at that time.
+// ConfirmEpoch records that the store confirmed the epoch in a request that was sent at the given time.
 func (g *Grantor) ConfirmEpoch(sent time.Duration) { g.confirmed = max(g.confirmed, sent) }
 
-// ConfirmedAt returns the send of the last confirmation.
+// ConfirmedAt returns when the last request was sent in which the store confirmed the epoch.
 func (g *Grantor) ConfirmedAt() time.Duration { return g.confirmed }
 
-// MayOrder reports whether orders may be sent. It is asked again right before each
-// send.
-// A grantor may be suspended while another takes over and moves keys. A successor waits for Authority
-// before it relies on the silence of its predecessor.
+// MayOrder reports whether orders may be sent. It is called again right before each send: a grantor may
+// be suspended while another one takes over and moves keys. A successor waits for Authority before it
+// assumes that its predecessor has stopped.
 func (g *Grantor) MayOrder(now time.Duration) bool { return now < g.confirmed+Authority }
 
 // FencesExhausted reports whether the fences of the epoch are nearly used up.
@@ -180,13 +183,13 @@
 	return Moving
 }
 
-// Granted reports whether the owner of slice i holds the keys by a grant of this epoch.
+// Granted reports whether the owner of slice i holds the keys under a grant of this epoch.
 func (g *Grantor) Granted(i int, now time.Duration) bool {
 	s := &g.states[i]
 	return !g.record.Slices[i].Previous.Known() && s.granted && now < s.ackedSentAt+g.timing.Hold
 }
 
-// DueOrders returns the orders to send now and marks them as pending.
+// DueOrders returns the orders to send now and marks their slices as pending.
 func (g *Grantor) DueOrders(now time.Duration) []Order {
 	if !g.MayOrder(now) {
 		return nil
@@ -208,6 +211,7 @@
 	return out
 }
 
+// due returns the next order for slice i, and whether it is to be sent now.
 func (g *Grantor) due(i int, now time.Duration) (Order, bool) {
 	s, sl := &g.states[i], &g.record.Slices[i]
 	if s.pending || s.frozen && !s.granted {
@@ -237,8 +241,8 @@
 	return o
 }
 
-// clearPrevious ends the previous owner's hold on slice i. The new owner's fence is above
-// the one of the release.
+// clearPrevious removes the previous owner of slice i, which no longer holds the keys. The new owner gets
+// a fence above that of the release.
 func (g *Grantor) clearPrevious(i int) {
 	s, sl := &g.states[i], &g.record.Slices[i]
 	previous, kind := sl.Previous, Expired
@@ -251,21 +255,19 @@
 	g.addEvent(kind, i, previous)
 }
 
-// MarkEnded notes that a life of a target is over: another one has begun under
-// its id. It gets no more grants. Its keys are released like any others, which the
-// new life answers.
-// The entry of a restarted target may still be of its last life while it takes connections. Its keys
-// are not free before the new life has answered a release.
+// MarkEnded records that an incarnation of a target has ended because another one has started under its
+// id. It gets no more grants. Its keys are released like any others, and the new incarnation answers:
+// the list of targets may still name the old incarnation while the restarted target accepts connections, so
+// the keys are not free before the new incarnation has acknowledged a release.
 func (g *Grantor) MarkEnded(o Owner) {
 	g.endedOwners[o] = true
 	delete(g.confirmedOwners, o)
 }
 
-// HasEnded reports whether a life is known to be over.
+// HasEnded reports whether an incarnation is known to have ended.
 func (g *Grantor) HasEnded(o Owner) bool { return g.endedOwners[o] }
 
-// Unconfirmed returns the owners whose life must be confirmed before they are
-// granted anything.
+// Unconfirmed returns the owners whose incarnation must be confirmed before they may be granted keys.
 func (g *Grantor) Unconfirmed() []Owner {
 	seen := make(map[Owner]bool)
 	var out []Owner
@@ -278,12 +280,12 @@
 	return out
 }
 
-// MarkConfirmed notes that a target was in this life after the connection for its
-// orders was opened, and that the epoch stood after that.
+// MarkConfirmed records that a target was still this incarnation after the connection for its orders was
+// opened, and that the epoch was still valid after that.
 func (g *Grantor) MarkConfirmed(o Owner) { g.confirmedOwners[o] = true }
 
-// SilentFor returns for how long an owner has left orders unanswered; 0 while it
-// answers, or was never asked.
+// SilentFor returns for how long an owner has left orders unanswered. It returns 0 if the last order was
+// answered, or if none ever was.
 func (g *Grantor) SilentFor(o Owner, now time.Duration) time.Duration {
 	c := g.breakers[o]
 	if c == nil || c.failures == 0 || c.lastAnswered == 0 {
--- a/internal/lease/holdexpiry_test.go
+++ b/internal/lease/holdexpiry_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowestExpiry is when a grant that arrived at a time is out at the target with the slowest clock.
+// slowestExpiry returns when a grant that arrived at a time expires at a target with the slowest clock.
 func slowestExpiry(arrived time.Duration) time.Duration {
 	return arrived + time.Duration(float64(simTiming.Hold)*(1+MaxClockDrift))
 }
 
-// runUntilGranted plays a grantor whose orders to a target do not get a connection, and returns
-// when another target is granted the first keys.
+// runUntilGranted runs a grantor whose orders to the silent target get no connection, and returns when
+// the other target is granted the first keys.
 func runUntilGranted(t *testing.T, g *Grantor, now time.Duration, silent, other Owner) time.Duration {
 	g.MarkConfirmed(other)
 	for end := now + time.Minute; now < end; now += 10 * time.Millisecond {
@@ -27,12 +27,12 @@
 			}
 		}
 	}
-	require.Fail(t, "the keys have no owner")
+	require.Fail(t, "the keys were not granted within a minute")
 	return 0
 }
 
 // grantorWithPendingRenewal returns a grantor of one slice whose owner's first renewal is in flight, and
-// when it was sent.
+// when that renewal was sent.
 func grantorWithPendingRenewal(t *testing.T, owner Owner) (g *Grantor, renewal Order, now time.Duration) {
 	now = time.Hour
 	g = NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{owner})}, simTiming, now, now, NoPriorGrants)
@@ -46,10 +46,10 @@
 	return g, renewals[0], now
 }
 
-// A grantor loses the store and its peers, and its successor does not reach an owner. The
-// last grant of the first one leaves right before its authority ends, into a cut or from a
-// process that is stopped after the send: it may still arrive until its connection ends.
-// The successor must not count the owner's hold from the end of the authority.
+// Guards against a successor that counts the owner's hold from the end of its predecessor's authority. A
+// grantor loses the store and its peers, and its successor cannot reach an owner. The predecessor sends its
+// last grant right before its authority ends, into a network cut or from a process that is suspended after
+// the send. The grant may still arrive until its connection ends.
 func TestSuccessorWaitsForPredecessorsGrantInTransit(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}
@@ -62,13 +62,14 @@
 	next := NewGrantor(record, simTiming, time.Hour, time.Hour, PriorGrantsUnknown)
 	next.Commit(next.Plan([]Change{{Slice: 0, To: b}}), time.Hour)
 	granted := runUntilGranted(t, next, time.Hour, a, b)
-	require.GreaterOrEqual(t, granted, slowestExpiry(sent+simOrderTimeout), "given up")
-	require.GreaterOrEqual(t, granted, slowestExpiry(sent+simRetransmitTimeout), "dropped by the system")
+	require.GreaterOrEqual(t, granted, slowestExpiry(sent+simOrderTimeout), "the order timed out")
+	require.GreaterOrEqual(t, granted, slowestExpiry(sent+simRetransmitTimeout), "dropped by the operating system")
 }
 
-// A renewal waits for its turn while its slice is divided, for longer than any bound: the
-// target is slow, or the VM stands still. It reaches the owner then; the grants of the
-// parts do not. The end of the renewal must date the hold of the parts.
+// Guards against a hold that is counted too short when a slice is to be split while a renewal is in flight.
+// The renewal is delayed for longer than any bound, because the target is slow or the VM is suspended. It
+// still reaches the owner, and grants sent after the split do not. The hold must count from the end of the
+// renewal.
 func TestRenewalDuringSplitExtendsHoldOfParts(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g, renewal, now := grantorWithPendingRenewal(t, a)
--- a/internal/lease/interner.go
+++ b/internal/lease/interner.go
@@ -1,13 +1,13 @@
 package lease
 
-// interner gives values their interner in a list, in the order in which they come: lists
-// that travel or are stored name each owner once.
+// interner numbers distinct values in the order in which they are first seen. Lists that are sent or
+// stored use it to hold each owner only once.
 type interner[K comparable] struct {
 	values  []K
 	indexes map[K]int
 }
 
-// index returns the place index a value, which it gets now if it has none.
+// index returns the index of value in the list, and adds the value if it is not there yet.
 func (p *interner[K]) index(value K) int {
 	index, ok := p.indexes[value]
 	if !ok {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,10 +11,9 @@
 	_ "hemlockquay/internal/fixedseed"
 )
 
-// Three VMs succeed each other as the grantor while targets restart without
-// memory, VMs stand still, links and the store are cut, and orders are lost, late
-// by up to twelve seconds, or done without an answer. At no moment may two targets
-// hold the same key.
+// No two targets may ever hold the same key while three VMs succeed each other as the grantor, targets
+// restart without memory, VMs are suspended, links and the store are cut, and orders are lost, up to twelve
+// seconds late, or carried out without an answer.
 func TestNoKeyHasTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newRandomSimulation(t)
@@ -26,6 +25,7 @@
 	})
 }
 
+// injectRandomFault draws at most one event and applies it.
 func injectRandomFault(t *rapid.T, sim *simulation) {
 	vm := rapid.IntRange(0, simVMs-1).Draw(t, "vm")
 	target := rapid.IntRange(0, simTargets-1).Draw(t, "target")
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against keys that are refused while a successor's grants are in flight.
+// Guards against refused requests while a successor's first grants are in flight.
 func TestSuccessorPresumesThatOwnersServeUntilTheirGrantsExpire(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	r := Record{Service: "s", Epoch: 4, Slices: EvenSlices(4, []Owner{a, b})}
@@ -71,7 +71,7 @@
 	g.PresumeServed(last, now+time.Second)
 	require.Equal(t, Served, g.State(0, now))
 	require.Equal(t, Served, g.State(1, now))
-	require.Equal(t, Moving, g.State(2, now), "on the move")
+	require.Equal(t, Moving, g.State(2, now), "moving")
 	require.Equal(t, Moving, g.State(3, now), "was not served before")
 	require.Equal(t, Moving, g.State(0, now+time.Second))
 
@@ -82,8 +82,8 @@
 	require.Equal(t, Served, g.State(1, now))
 }
 
-// A grantor is lost. Its successor serves all keys at once from their present
-// owners: no key moves, and none waits.
+// After the loss of a grantor, its successor must grant all keys to their present owners at once, so that no
+// key moves and no request waits.
 func TestSuccessorGrantsPresentOwnersAtOnce(t *testing.T) {
 	owners := []Owner{{ID: "a"}, {ID: "b"}}
 	r := Record{Service: "s", Epoch: 7, Slices: EvenSlices(4, owners)}
@@ -99,8 +99,8 @@
 	}
 }
 
-// A grantor stands still for longer than its authority. When it wakes it must
-// send nothing: another may have moved the keys.
+// A grantor that was suspended for longer than its authority must send nothing when it resumes: another
+// one may have moved the keys.
 func TestNoOrdersAfterAuthorityExpires(t *testing.T) {
 	r := Record{Service: "s", Epoch: 1, Slices: EvenSlices(2, []Owner{{ID: "a"}})}
 	g := NewGrantor(r, simTiming, time.Hour, time.Hour, NoPriorGrants)
@@ -111,8 +111,8 @@
 	require.False(t, g.MayOrder(time.Hour+2*Authority))
 }
 
-// An owner is lost. Its keys are granted to another once its last grant has run
-// out, and no later than a second after.
+// The keys of a lost owner must be granted to another target after its last grant has expired, and no later
+// than a second after that.
 func TestKeysOfLostOwnerAreGrantedAfterHoldExpires(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
@@ -138,9 +138,9 @@
 	require.LessOrEqual(t, granted, time.Hour+simTiming.Hold+time.Second)
 }
 
-// An owner with many slices is gone. To try every order again and again opened
-// hundreds of connections a second to nobody. One at a time goes out until one is
-// answered, and requests for the keys are refused meanwhile.
+// Guards against hundreds of connections a second to an owner with many slices that is gone, caused by
+// retrying each order on its own. One order at a time may be sent until one is answered, and requests for
+// the keys are refused until then.
 func TestUnresponsiveTargetGetsOneOrderAtATime(t *testing.T) {
 	a := Owner{ID: "a"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(100, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
@@ -157,7 +157,7 @@
 			g.HandleResult(o, Unanswered, "", now, now)
 		}
 	}
-	require.Less(t, orders, 100+20, "the first failure comes to all that are on their way")
+	require.Less(t, orders, 100+20, "all orders in flight fail at first")
 	require.Equal(t, Unserved, g.State(5, now))
 	require.Greater(t, g.SilentFor(a, now), 9*time.Second)
 	g.MarkConfirmed(a)
@@ -168,8 +168,8 @@
 	require.Len(t, g.DueOrders(now), 99)
 }
 
-// A planned move carries the state of the last owner and raises the fence over
-// the one of the release.
+// A planned move must carry the state of the previous owner to the new one and raise the fence above that of
+// the release.
 func TestMoveReleasesThenGrantsWithHandover(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g := NewGrantor(Record{Service: "s", Epoch: 1, Slices: EvenSlices(1, []Owner{a})}, simTiming, time.Hour, time.Hour, NoPriorGrants)
@@ -210,8 +210,8 @@
 	Busy:   func(Owner) bool { return false },
 }
 
-// A new target was slow. It gave up its hot slices, got the same ones back for being
-// the one with fewest, and so on three times a second for ten seconds.
+// Guards against slices that move back and forth. A slow new target gave up its hot slices and got the same
+// ones back because it had the fewest, three times a second for ten seconds.
 func TestRebalanceSkipsBusyOwners(t *testing.T) {
 	a, b, slow := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "slow"}
 	live := []Owner{a, b, slow}
@@ -224,7 +224,7 @@
 	require.Empty(t, Rebalance(list, live, load))
 }
 
-// The slices that a new target got first were the hottest neighbourhood.
+// Guards against giving a new target a group of adjacent slices that are the hottest of all.
 func TestRebalanceMovesSlicesOfAverageRate(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := EvenSlices(12, []Owner{a, b})
@@ -235,7 +235,7 @@
 	for _, ch := range Rebalance(list, []Owner{a, b, c}, load) {
 		got = append(got, rates[ch.Slice])
 	}
-	require.ElementsMatch(t, []float64{20, 19, 18, 40}, got, "closest to the mean of 21.7 of each owner's")
+	require.ElementsMatch(t, []float64{20, 19, 18, 40}, got, "each owner's slices closest to the mean rate of 21.7")
 }
 
 func TestRebalanceFillsNewTarget(t *testing.T) {
@@ -248,8 +248,8 @@
 	require.False(t, Unbalanced(EvenSlices(12, []Owner{a, b, c}), []Owner{a, b, c}))
 }
 
-// An owner gave up its hot slices and has a few less than the others. It must not
-// get cold ones for them, to give up more hot ones next.
+// An owner that gave up hot slices, and so has a few less than the others, must not get cold ones in their
+// place: it would give up more hot ones next.
 func TestRebalanceIgnoresSmallDifferences(t *testing.T) {
 	a, b, c := Owner{ID: "a"}, Owner{ID: "b"}, Owner{ID: "c"}
 	list := EvenSlices(30, []Owner{a, b, c})
@@ -275,9 +275,9 @@
 	})
 }
 
-// The grantor loses the store and its peers, and goes on renewing at a target that
-// its successor cannot reach. The successor gives the keys to another target after
-// the authority and a hold. By then the first one must have fallen silent.
+// Guards against two grantors that renew the same keys. A grantor loses the store and its peers, and keeps
+// renewing at a target that its successor cannot reach. The successor gives the keys to another target after
+// the authority and a hold have passed. The predecessor must have stopped by then.
 func TestSucceededGrantorStopsRenewingBeforeKeysMove(t *testing.T) {
 	sim := newSimulation(deterministicDraw, func(text string) { require.FailNow(t, text) })
 	sim.noLostAnswers = true
@@ -294,10 +294,10 @@
 		sim.readEpoch(1)
 		sim.step()
 	}
-	require.Greater(t, sim.targets[1].holdsUntil[0], moved+15*time.Second, "the keys have their new owner")
+	require.Greater(t, sim.targets[1].holdsUntil[0], moved+15*time.Second, "the new owner holds the keys")
 }
 
-// What is not uneven has nothing to even out, whatever the load.
+// Rebalance must return no changes if Unbalanced is false, whatever the load.
 func TestRebalanceDoesNothingUnlessUnbalanced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var live []Owner
@@ -314,9 +314,9 @@
 	})
 }
 
-// A target is lost, and its keys go to another without the state that it had. For some
-// seconds they are slow there; whoever sends requests must know. Keys that were handed
-// over are as fast as before, and so are those that had no owner before.
+// When a target is lost, its keys go to another one without their state and are slow there for some seconds,
+// which senders of requests must know. Keys that were handed over are not slow, and neither are keys that had
+// no owner before.
 func TestKeysGrantedWithoutHandoverAreCold(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	timing := simTiming
@@ -331,7 +331,7 @@
 		}
 	}
 	answer(Done, "")
-	require.Equal(t, Served, g.State(0, now), "its first owner")
+	require.Equal(t, Served, g.State(0, now), "the first owner of the keys")
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}, {Slice: 1, To: b}}), now)
 
 	release := g.DueOrders(now)
@@ -350,7 +350,7 @@
 			g.HandleResult(o, r, "", now, now)
 		}
 	}
-	require.Equal(t, Cold, g.State(1, now), "waited out")
+	require.Equal(t, Cold, g.State(1, now), "the previous hold expired")
 	require.True(t, Cold.Serves())
 	for range 500 {
 		now += 10 * time.Millisecond
@@ -361,14 +361,14 @@
 	require.Equal(t, Served, g.State(0, now))
 }
 
-// Keys of an owner that went silent had no service for five seconds longer than its hold.
-// A renewal was in flight as the keys were given to another owner; it was given up 0.3 s
-// later, and the bound that was assumed of it before stayed.
+// Guards against keys of a silent owner that stay unavailable for five seconds longer than its hold. A renewal
+// was in flight when the keys were given to another owner, and timed out 0.3 s later. The bound that had been
+// assumed before its end must not remain in force.
 func TestHoldOfSilentOwnerCountsFromEndOfLastGrant(t *testing.T) {
 	a, b := Owner{ID: "a"}, Owner{ID: "b"}
 	g, renewal, now := grantorWithPendingRenewal(t, a)
 	g.Commit(g.Plan([]Change{{Slice: 0, To: b}}), now)
-	require.Empty(t, g.DueOrders(now+time.Minute), "nothing is free while it is on its way")
+	require.Empty(t, g.DueOrders(now+time.Minute), "no keys are free while the renewal is in flight")
 	over := now + simOrderTimeout
 	g.HandleResult(renewal, Unanswered, "", now, over)
 	granted := runUntilGranted(t, g, over, a, b)
--- a/internal/lease/limit_test.go
+++ b/internal/lease/limit_test.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// Guards against an update to all VMs for each small change of a key's load.
+// Guards against sending an update to all VMs for each small change of a key's load.
 func TestSmallLoadChangeKeepsLimit(t *testing.T) {
 	limit := NewLimit(0.1, Unlimited)
 	for _, part := range []float64{0.09, 0.11, 0.1, 0.115} {
@@ -31,7 +31,7 @@
 	record := Record{Service: "s", Epoch: 1, Slices: EvenSlices(4, owners)}
 	served := func(int) SliceState { return Served }
 	before, now := NewRouting(record, 1, served), NewRouting(record, 2, served)
-	require.Empty(t, before.Limits, "nothing to send where nothing is limited")
+	require.Empty(t, before.Limits, "no limits are sent if nothing is limited")
 	now.SetLimits(func(i int) Limit { return Limit(10 * (i / 3)) })
 	require.False(t, now.SameAs(before))
 	update := UpdateBetween(before, now)
@@ -44,5 +44,5 @@
 	after := NewRouting(record, 3, served)
 	got, ok = UpdateBetween(now, after).Apply(got)
 	require.True(t, ok)
-	require.True(t, got.SameAs(after), "a limit ends as it began")
+	require.True(t, got.SameAs(after), "an update removes a limit")
 }
--- a/internal/lease/longepochs_test.go
+++ b/internal/lease/longepochs_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// Two owners after a cut of six seconds were found by no random walk: numbers that rapid
-// draws from a range are mostly small, so that a VM took over every fifth step, and no hold
-// ran out within an epoch. These walks draw evenly: an epoch lasts many holds, and keys of
-// silent owners are given to others as the gateway does.
+// Runs the simulation with evenly distributed random numbers. Numbers that rapid draws from a range are
+// mostly small, so that a VM took over every fifth step and no hold expired within an epoch. For this reason
+// the random runs missed two owners after a cut of six seconds. Here an epoch lasts many holds, and the keys
+// of silent owners are reassigned as the gateway does.
 func TestNoKeyHasTwoOwnersInLongEpochs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "walk"), 0))
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		steps := rapid.IntRange(200, 3000).Draw(t, "steps")
 		sim := newSimulation(
 			func(low, high int, _ string) int { return low + random.IntN(high-low+1) },
@@ -28,7 +28,7 @@
 	})
 }
 
-// rareFaults are the disturbances of a walk, each with how many of a thousand steps have it.
+// rareFaults lists the faults and the number of steps in a thousand at which each is injected.
 var rareFaults = []struct {
 	perMille int
 	inject   func(random *rand.Rand, sim *simulation, vm, target int)
@@ -48,11 +48,12 @@
 	}},
 }
 
-// randomSpan draws a span, which need not end at a step.
+// randomSpan draws a duration that need not be a multiple of the simulation step.
 func randomSpan(c *rand.Rand, maxSeconds int) time.Duration {
 	return time.Duration(c.Int64N(int64(maxSeconds) * int64(time.Second)))
 }
 
+// injectRareFault injects at most one of rareFaults.
 func injectRareFault(random *rand.Rand, sim *simulation) {
 	at, vm, target := random.IntN(1000), random.IntN(simVMs), random.IntN(simTargets)
 	for _, d := range rareFaults {
--- a/internal/lease/orders.go
+++ b/internal/lease/orders.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// OrderKind says what an order asks of a target.
+// OrderKind is what an order asks of a target.
 type OrderKind int
 
-// The orders.
+// The kinds of orders.
 const (
-	// Grant gives or renews a range of keys.
+	// Grant gives a range of keys to the target, or renews it.
 	Grant OrderKind = iota
-	// Release takes a range of keys back.
+	// Release takes a range of keys away from the target.
 	Release
 )
 
-// String names the kind in logs.
+// String returns the name of the kind in logs.
 func (k OrderKind) String() string {
 	if k == Release {
 		return "release"
@@ -30,29 +30,29 @@
 	From, To uint16
 	Fence    uint64
 	Hold     time.Duration
-	// Handover is the state of the last holder, if it gave one.
+	// Handover is the state that the previous owner returned on release, if any.
 	Handover string
 }
 
-// Result is how an order ended.
+// Result is the outcome of an order.
 type Result int
 
 // The results.
 const (
-	// Done: the target has done it.
+	// Done: the target carried out the order.
 	Done Result = iota
-	// Fenced: the target has seen a higher fence on one of the keys.
+	// Fenced: the target has seen a higher fence for one of the keys.
 	Fenced
-	// Unreached: the order surely did not arrive.
+	// Unreached: the order certainly did not arrive.
 	Unreached
-	// Unanswered: the order may have arrived, until its connection was reset. A closed
-	// one would not do: the system goes on sending what was written to it.
+	// Unanswered: the order may have arrived at any time until its connection was reset. Closing the
+	// connection would not be enough: the operating system keeps sending what was written to it.
 	Unanswered
 	// Misdirected: another target has the address.
 	Misdirected
 )
 
-// String names the result in logs and metrics.
+// String returns the name of the result in logs and metrics.
 func (r Result) String() string {
 	switch r {
 	case Done:
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// rebalanceBatch bounds how many slices are moved at a time to even the load
-	// out. Each is without service for a few milliseconds and the work that runs.
+	// rebalanceBatch bounds how many slices are moved at a time to balance the load. Each is unavailable for
+	// a few milliseconds plus the time of the work in progress.
 	rebalanceBatch = 16
-	// lowShare is the part of the mean below which an owner gets slices of others,
-	// enoughSlices the part up to which it does. Owners that have fewer because
-	// theirs are hot must be left alone: to give them cold ones and then to move
-	// the hot ones away went on for as long as the load lasted.
+	// lowShare is the share of the mean number of slices per owner below which an owner gets slices from
+	// others, and refillShare the share up to which it gets them. Owners that have fewer slices because
+	// theirs are hot must be left alone: giving them cold slices and then moving the hot ones away went on
+	// for as long as the load lasted.
 	lowShare    = 0.6
 	refillShare = 0.8
 )
 
-// Reassign returns the changes that take slices from owners that are not in live,
-// and deal them to those that have least. It answers the loss or leaving of a
-// target: every slice without it is unavailable, so all move at once.
+// Reassign returns the changes that take slices from owners that are not in live and give them to the
+// live owners with the fewest. It is used when a target is lost or leaves: a slice without its target is
+// unavailable, so all of them move at once.
 func Reassign(list []Slice, live []Owner) []Change {
 	if len(live) == 0 {
 		return nil
@@ -35,27 +35,27 @@
 	return out
 }
 
-// TargetLoad is what the load says of slices and owners.
+// TargetLoad gives access to the load of slices and owners.
 type TargetLoad struct {
-	// Moving reports whether slice i is on the move already.
+	// Moving reports whether slice i is already moving.
 	Moving func(i int) bool
-	// Rate is the requests per second for slice i.
+	// Rate returns the requests per second for slice i.
 	Rate func(i int) float64
-	// Busy reports whether an owner has enough to do, however few slices it has.
+	// Busy reports whether an owner has enough load, however few slices it has.
 	Busy func(o Owner) bool
 }
 
-// Unbalanced reports whether a target has so few slices that Rebalance may bring it more: it is
-// asked often, and the targetLoad costs far more than the count.
+// Unbalanced reports whether a target has so few slices that Rebalance may give it more. It is called
+// often, and a TargetLoad costs far more than counting slices.
 func Unbalanced(list []Slice, live []Owner) bool {
 	p := newPlanner(list, live)
 	low := lowShare * float64(len(list)) / float64(len(live))
 	return slices.ContainsFunc(live, func(o Owner) bool { return float64(p.count[o]) < low })
 }
 
-// Rebalance returns the changes that bring slices of the usual rate to targets that have
-// far fewer than others and are not busy, such as one that has just started.
-// A target may have few slices because it is slow and gave up hot ones; it must not get them back.
+// Rebalance returns the changes that move slices of average rate to targets that have far fewer than
+// others and are not busy, such as one that has just started. A target may have few slices because it is
+// slow and gave up hot ones; it must not get them back.
 func Rebalance(list []Slice, live []Owner, load TargetLoad) []Change {
 	if len(live) == 0 {
 		return nil
@@ -83,7 +83,7 @@
 	return out
 }
 
-// meanRate is the mean rate of the slices.
+// meanRate returns the mean request rate of the slices.
 func meanRate(list []Slice, load TargetLoad) float64 {
 	sum := 0.0
 	for i := range list {
@@ -92,8 +92,8 @@
 	return sum / float64(len(list))
 }
 
-// closestToMean returns the owner's slice whose rate is closest to the usual one, of those
-// that are not on the move nor chosen already; -1 without one.
+// closestToMean returns the index of the owner's slice whose rate is closest to the mean, ignoring slices
+// that are moving or already chosen. It returns -1 if there is none.
 func closestToMean(list []Slice, owner Owner, mean float64, load TargetLoad, chosen []Change) int {
 	best, distance := -1, math.Inf(1)
 	for i, s := range list {
@@ -107,7 +107,7 @@
 	return best
 }
 
-// planner counts the slices of the live owners.
+// planner counts the slices of each live owner.
 type planner struct {
 	live  []Owner
 	count map[Owner]int
@@ -132,9 +132,8 @@
 	return ok
 }
 
-// assignLeast returns the owner with fewest slices, and counts one more for it. Owners
-// of the slices beside are passed over where there is another: busy keys are
-// neighbours.
+// assignLeast returns the owner with the fewest slices and counts one more for it. Among owners with
+// equal counts it prefers one that owns no adjacent slice, as busy keys are often adjacent.
 func (p *planner) assignLeast(adjacent []Owner) Owner {
 	best := -1
 	for i, o := range p.live {
@@ -147,6 +146,7 @@
 	return p.live[best]
 }
 
+// weight orders owners by their number of slices, and ties by whether they own an adjacent slice.
 func (p *planner) weight(o Owner, adjacent []Owner) int {
 	w := p.count[o] * 2
 	if slices.ContainsFunc(adjacent, o.SameIncarnation) {
@@ -155,8 +155,8 @@
 	return w
 }
 
-// extremes returns the owner with most slices, and the one with least that is not
-// busy, none where all are.
+// extremes returns the owner with the most slices, and among those that are not busy the one with the
+// fewest. least is not set if all are busy.
 func (p *planner) extremes(busy func(o Owner) bool) (most, least Owner) {
 	most = p.live[0]
 	for _, o := range p.live {
@@ -170,6 +170,7 @@
 	return most, least
 }
 
+// neighbours returns the owners of the slices next to slice i.
 func neighbours(list []Slice, i int) []Owner {
 	var out []Owner
 	if i > 0 {
--- a/internal/lease/record.go
+++ b/internal/lease/record.go
@@ -1,30 +1,27 @@
-// Package lease decides who holds the keys of a service whose targets check
-// nothing but an integer fence. It has no network, clock or goroutine.
+// Package lease assigns the keys of a service to targets so that no key ever has two owners, although
+// the targets check nothing but an integer fence. It uses no network, clock or goroutine.
 //
-// A target is granted a range of keys for a short hold, which renewals extend. It
-// refuses a grant whose fence is below the highest that it has seen on one of the
-// keys, stops new work when the keys are released, and forgets everything when it
-// restarts. One VM, the grantor of the service, sends all orders.
+// A target is granted a range of keys for a limited time, the hold, which renewals extend. It rejects a
+// grant whose fence is lower than the highest that it has seen for any of the keys, takes no new work
+// once the keys are released, and loses all of this state when it restarts. One VM, the grantor of the
+// service, sends all orders.
 //
-// What makes two owners of a key impossible:
+// These rules keep a key from having two owners:
 //
-//  1. The record of the service stands in the store and is written before a grant
-//     that it allows. A grantor is the VM that wrote the record's epoch; fences
-//     begin with the epoch, so they only rise.
-//  2. A grantor orders only within Authority of the send of its last confirmation
-//     at the store.
-//  3. A successor first grants every range to the owner in the record, with its
-//     own higher fence. From then on the owner refuses the predecessor, and no key
-//     has moved. An owner that it cannot reach keeps its keys until Authority and
-//     a hold have passed since the successor's write.
-//  4. Keys leave an owner when the process at its address answers a release
-//     (whose fence is above all that were sent), or when every grant that may have
-//     reached it has run out. A grant without an answer may arrive until its
-//     connection is reset.
-//  5. A grant is sent to the life of a target that the record names. After a
-//     broken order the runner has that life confirmed before the next grant: a
-//     restarted target has forgotten its fences and would take a grant of a
-//     grantor that was succeeded.
+//  1. The record of the service is kept in the store and is written before any grant that it allows. The
+//     grantor is the VM that wrote the epoch of the record. A fence begins with the epoch, so fences
+//     only increase.
+//  2. A grantor sends orders only for Authority after it sent the last request in which the store
+//     confirmed its epoch.
+//  3. A successor first grants every range to its owner in the record, with its own, higher fence. From
+//     then on the owner rejects the predecessor, and no key has moved. An owner that the successor
+//     cannot reach keeps its keys until Authority and a hold have passed since the successor's write.
+//  4. Keys are taken from an owner when the process at its address acknowledges a release, whose fence
+//     is higher than all that were sent before, or when every grant that may have reached the owner
+//     has expired. An unanswered grant may still arrive until its connection is reset.
+//  5. A grant is sent to the incarnation of a target that the record names. After an order that could
+//     not be delivered, the caller has that incarnation confirmed before the next grant: a restarted
+//     target has lost its fences and would accept a grant from a superseded grantor.
 package lease
 
 import (
@@ -34,72 +31,72 @@
 	"time"
 )
 
-// Figures of leases.
+// Timing of leases and layout of fences.
 const (
-	// Authority is how long a grantor may order without the store: longer than
-	// the outages of the store, which last up to about nine seconds.
+	// Authority is how long a grantor may send orders without the store. It exceeds the outages of the
+	// store, which last up to about nine seconds.
 	Authority = 12 * time.Second
-	// HoldTime is how long a grant lasts at most. Keys of a lost owner are free again
-	// after it; a lost grantor must be succeeded within it.
+	// HoldTime is the longest time that a grant is valid. The keys of a lost owner become free after it,
+	// and a lost grantor must be succeeded within it.
 	HoldTime = 2400 * time.Millisecond
-	// MaxClockDrift is how much longer than stated a hold may last: a target's clock
+	// MaxClockDrift is the fraction by which a hold may last longer than stated: the clock of a target
 	// runs up to 2% slow.
 	MaxClockDrift = 0.02
-	// TimingMargin covers the steps between a clock reading and what it dates.
+	// TimingMargin covers the time between reading the clock and the event that the reading stands for.
 	TimingMargin = 100 * time.Millisecond
-	// epochShift leaves room for 2^24 fences in each epoch, at a thousand a
-	// second for more than four hours; a grantor that runs out begins a new epoch.
+	// epochShift leaves room for 2^24 fences in each epoch, which lasts more than four hours at a
+	// thousand a second. A grantor that uses them up begins a new epoch.
 	epochShift = 24
 )
 
-// Owner is one life of a target.
+// Owner is one incarnation of a target: one run of its process.
 type Owner struct {
 	ID string
-	// Born is the start of the life, Unix milliseconds.
+	// Born is when the incarnation started, in Unix milliseconds.
 	Born int64
 	Addr string
 }
 
-// SameIncarnation reports whether both are the same life of the same target.
+// SameIncarnation reports whether both are the same incarnation of the same target.
 func (o Owner) SameIncarnation(p Owner) bool { return o.ID == p.ID && o.Born == p.Born }
 
-// Known reports whether there is an owner.
+// Known reports whether o names a target; the zero Owner means that there is no owner.
 func (o Owner) Known() bool { return o.ID != "" }
 
 // Slice is a range of keys, both ends inclusive, with its owner.
 type Slice struct {
 	From, To uint16
 	Owner    Owner
-	// Previous may still hold the keys; it is released or waited out before
-	// Owner is granted.
+	// Previous is the previous owner while it may still hold the keys. It must acknowledge a release, or
+	// its hold must expire, before Owner is granted the keys.
 	Previous Owner
 }
 
-// Record is what must last of a service's leases.
+// Record is the part of a service's leases that is kept in the store.
 type Record struct {
 	Service string
 	Epoch   uint64
-	// Holder names the grantor's VM, Incarnation its process.
+	// Holder names the VM of the grantor, HolderAddr its address and Incarnation its process.
 	Holder      string
 	HolderAddr  string
 	Incarnation uint64
-	// Resigned says that the grantor has stopped before it wrote this.
+	// Resigned says that the grantor had stopped sending orders before it wrote this record.
 	Resigned bool
-	// Slices cover the key space without gaps, in order.
+	// Slices cover the key space in order and without gaps.
 	Slices []Slice
 }
 
-// Check reports a record that cannot be used.
+// Check returns an error if the slices do not cover the key space in order and without gaps.
 func (r *Record) Check() error {
 	next := 0
 	for _, s := range r.Slices {
 		if int(s.From) != next || s.To < s.From {
-			return fmt.Errorf("check record of %s: slice %d to %d, expected one from %d", r.Service, s.From, s.To, next)
+			return fmt.Errorf("invalid record of service %s: slice of keys %d to %d, expected one that starts at key %d", r.Service, s.From, s.To, next)
 		}
 		next = int(s.To) + 1
 	}
 	if next != keySpace {
-		return fmt.Errorf("check record of %s: slices end at %d", r.Service, next-1)
+		return fmt.Errorf("invalid record of service %s: slices end at key %d", r.Service, next-1)
 	}
 	return nil
 }
@@ -107,8 +104,8 @@
 // keySpace is the number of keys.
 const keySpace = 1 << 16
 
-// EvenSlices returns n slices of equal width, dealt to the owners in turn.
-// Busy keys are neighbours: each owner's slices lie apart, so that several owners share them.
+// EvenSlices returns n slices of equal width, assigned to the owners in turn. Busy keys are often
+// adjacent, so the slices of one owner are kept apart and several owners share the load.
 func EvenSlices(n int, owners []Owner) []Slice {
 	slices.SortFunc(owners, func(a, b Owner) int { return cmp.Compare(a.ID, b.ID) })
 	out := make([]Slice, n)
@@ -122,7 +119,7 @@
 	return out
 }
 
-// Index returns the slice of a key.
+// Index returns the index of the slice that holds a key.
 func Index(list []Slice, key uint16) int {
 	i, found := slices.BinarySearchFunc(list, key, func(s Slice, k uint16) int { return cmp.Compare(s.From, k) })
 	if !found {
@@ -131,7 +128,7 @@
 	return i
 }
 
-// holdExpiry is when a grant that arrived at the latest at the given time is out.
+// holdExpiry returns when a grant that arrived no later than the given time has surely expired.
 func holdExpiry(arrived, hold time.Duration) time.Duration {
 	return arrived + hold + time.Duration(float64(hold)*MaxClockDrift) + TimingMargin
 }
--- a/internal/lease/results.go
+++ b/internal/lease/results.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// HandleResult handles the end of an order, which was sent and ended at these times. It
-// returns false for an order that no slice waits for any more.
+// HandleResult processes the result of an order that was sent at sentAt and ended at endedAt. It returns
+// false if no slice waits for the order any more.
 func (g *Grantor) HandleResult(o Order, r Result, handover string, sentAt, endedAt time.Duration) bool {
 	if o.Fence>>epochShift != g.record.Epoch {
-		// An order of an earlier epoch: its fence is below ours, so its end says
-		// nothing of what the target holds now.
+		// An order of an earlier epoch: its fence is lower than those of this epoch, so
+		// its result says nothing about what the target holds now.
 		return false
 	}
 	g.breaker(o.Target).record(r, sentAt, endedAt, g.timing.Retry)
 	i := Index(g.record.Slices, o.From)
 	s, sl := &g.states[i], &g.record.Slices[i]
 	if sl.From != o.From || sl.To != o.To {
-		// The slice was divided while the order was in flight; Divide has
-		// dated what it may have done.
+		// The slice has been split since the order was sent, so no slice waits for the
+		// result. SplitSlice refuses to split a slice with an order in flight.
 		return false
 	}
 	s.pending = false
@@ -37,7 +37,7 @@
 		s.granted, s.ackedSentAt, s.handover, s.moved = true, max(s.ackedSentAt, sentAt), "", false
 		s.expiresAt = holdExpiry(endedAt, g.timing.Hold)
 	case Unanswered:
-		// The connection is gone; others that were opened to the same life are not.
+		// Only this connection was reset; others to the same incarnation may still be open.
 		s.expiresAt = max(s.expiresAt, holdExpiry(endedAt, g.timing.Hold))
 		g.scheduleRetry(s, endedAt)
 	case Unreached:
@@ -53,8 +53,8 @@
 	return true
 }
 
-// handleSuperseded dates the previous owner's hold after a grant that was in flight
-// while the slice was given to another.
+// handleSuperseded updates when the previous owner's hold expires, after a grant that was in flight while
+// the slice was given to another owner.
 func (g *Grantor) handleSuperseded(s *leaseState, sl *Slice, o Order, r Result, endedAt time.Duration) {
 	if !sl.Previous.SameIncarnation(o.Target) {
 		return
@@ -67,16 +67,18 @@
 	}
 }
 
+// scheduleRetry delays the next order for a slice after a failed one.
 func (g *Grantor) scheduleRetry(s *leaseState, now time.Duration) {
 	s.retryAt = now + g.timing.Retry
 }
 
+// handleRelease processes the result of a release of slice i.
 func (g *Grantor) handleRelease(i int, o Order, r Result, handover string, endedAt time.Duration) bool {
 	s, sl := &g.states[i], &g.record.Slices[i]
 	if !sl.Previous.SameIncarnation(o.Target) {
 		return false
 	}
-	// Where another target has the address, the process that had it is gone.
+	// If another target has the address, the process that had it before has ended.
 	if r == Done || r == Misdirected {
 		s.previousExpiresAt, s.handover, s.released = endedAt, handover, true
 		return true
--- a/internal/lease/routing.go
+++ b/internal/lease/routing.go
@@ -1,47 +1,47 @@
 package lease
 
-// Routing is what the senders of requests need to know of a service's leases.
-// Lists run in parallel, which keeps it small on the wire.
+// Routing is what senders of requests need to know of the leases of a service. The slices are stored as
+// parallel lists to keep the message small.
 type Routing struct {
 	Service string `msgpack:"s"`
 	// Epoch and Seq order the versions.
 	Epoch uint64 `msgpack:"e"`
 	Seq   uint64 `msgpack:"q"`
-	// Holder is the grantor's VM, in this life.
+	// Holder is the VM of the grantor, Incarnation the VM's process.
 	Holder      string `msgpack:"h"`
 	Incarnation uint64 `msgpack:"i"`
-	// Owners are the ids of targets; From the first keys of the slices, Owner
-	// the index of each slice's owner.
+	// Owners are the ids of the targets. From holds the first key of each slice, Owner the index of its
+	// owner in Owners.
 	Owners []string `msgpack:"o"`
 	From   []uint16 `msgpack:"f"`
 	Owner  []uint16 `msgpack:"w"`
-	// States is how each slice is served.
+	// States says how each slice is served.
 	States []SliceState `msgpack:"t"`
-	// Limits is which part of the requests for each slice is let through; empty: all of all.
+	// Limits says which fraction of the requests for each slice is admitted; empty means all of them.
 	Limits []Limit `msgpack:"l,omitempty"`
 }
 
 // SliceState is how a slice is served.
 type SliceState uint8
 
-// The states.
+// The ways in which a slice is served.
 const (
-	// Served: the owner answers for its keys.
+	// Served: the owner serves its keys.
 	Served SliceState = iota
-	// Moving: the keys have an owner again soon; requests wait.
+	// Moving: the keys will have an owner again soon; requests wait.
 	Moving
-	// Unserved: a target that may hold the keys does not answer, and they are
-	// without service until its hold has run out; requests are refused.
+	// Unserved: a target that may hold the keys does not answer. The keys are unavailable until its hold has
+	// expired, and requests are refused.
 	Unserved
-	// Cold: served, but the owner got the keys without the state of the last one and
-	// is slow with them.
+	// Cold: the owner serves the keys but got them without the previous owner's state, and is slow with
+	// them.
 	Cold
 )
 
-// Serves reports whether the owner answers for the keys.
+// Serves reports whether the owner serves the keys.
 func (s SliceState) Serves() bool { return s == Served || s == Cold }
 
-// NewRouting returns the routing of a record. state returns that of slice i.
+// NewRouting returns the routing of a record. The function state returns how slice i is served.
 func NewRouting(r Record, seq uint64, state func(i int) SliceState) *Routing {
 	b := newRoutingBuilder(Routing{Service: r.Service, Epoch: r.Epoch, Seq: seq, Holder: r.Holder, Incarnation: r.Incarnation}, len(r.Slices))
 	for i, s := range r.Slices {
@@ -50,7 +50,7 @@
 	return b.routing()
 }
 
-// SetLimits sets which part of the requests for each slice is let through.
+// SetLimits sets the limit of each slice.
 func (r *Routing) SetLimits(limit func(slice int) Limit) {
 	limits := make([]Limit, len(r.From))
 	for i := range limits {
@@ -67,18 +67,20 @@
 	return r.Limits[i]
 }
 
-// routingBuilder puts a routing together, slice by slice.
+// routingBuilder builds a routing slice by slice.
 type routingBuilder struct {
 	out    Routing
 	owners interner[string]
 }
 
-// newRoutingBuilder begins with a routing without slices; about so many will come.
+// newRoutingBuilder returns a builder that adds slices to head, which has none. slices is the expected
+// number of slices.
 func newRoutingBuilder(head Routing, slices int) *routingBuilder {
 	head.From, head.Owner, head.States = make([]uint16, 0, slices), make([]uint16, 0, slices), make([]SliceState, 0, slices)
 	return &routingBuilder{out: head}
 }
 
+// add appends an unlimited slice.
 func (b *routingBuilder) add(from uint16, owner string, state SliceState) {
 	b.out.From = append(b.out.From, from)
 	b.out.Owner = append(b.out.Owner, uint16(b.owners.index(owner)))
@@ -86,12 +88,13 @@
 	b.out.Limits = append(b.out.Limits, Unlimited)
 }
 
-// addFrom adds slice i of another routing.
+// addFrom appends slice i of another routing, with its limit.
 func (b *routingBuilder) addFrom(r *Routing, i int) {
 	b.add(r.From[i], r.Owners[r.Owner[i]], r.States[i])
 	b.out.Limits[len(b.out.Limits)-1] = r.limit(i)
 }
 
+// routing returns the built routing.
 func (b *routingBuilder) routing() *Routing {
 	b.out.Owners = b.owners.values
 	b.out.Limits = omitIfUnlimited(b.out.Limits)
@@ -112,7 +115,7 @@
 	return r.Owners[r.Owner[i]], r.States[i]
 }
 
-// LimitOf returns which part of the requests for a key is let through.
+// LimitOf returns the limit that applies to a key.
 func (r *Routing) LimitOf(key uint16) Limit {
 	if len(r.From) == 0 {
 		return Unlimited
@@ -133,14 +136,14 @@
 	return lo
 }
 
-// Bytes of the parts of a routing in MessagePack.
+// Estimated bytes of the parts of a routing in MessagePack.
 const (
 	headBytes  = 64
 	ownerBytes = 2
 	sliceBytes = 3 + 3 + 1
 )
 
-// WireSize estimates the bytes of a routing in a message.
+// WireSize estimates the size of the routing in a message, in bytes.
 func (r *Routing) WireSize() int {
 	size := headBytes + len(r.From)*sliceBytes
 	for _, owner := range r.Owners {
@@ -149,7 +152,8 @@
 	return size
 }
 
-// SameAs reports whether both are the same for every key.
+// SameAs reports whether both have the same epoch, and the same slices with the same owners, states and
+// limits.
 func (r *Routing) SameAs(o *Routing) bool {
 	if o == nil || r.Epoch != o.Epoch || len(r.From) != len(o.From) {
 		return false
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -9,30 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// The world of the property test: grantors, targets that check nothing but a
-// fence, and a store, with late, lost and repeated orders between them.
+// The simulation of the property tests: grantors, targets that check nothing but a fence, and a store,
+// with late, lost and repeated orders between them.
 
 const (
 	simStep   = 50 * time.Millisecond
 	simSlices = 4
-	// simUnits is how finely slices may be divided.
+	// simUnits is the number of units that slices can be split into.
 	simUnits     = 16
 	simUnitWidth = keySpace / simUnits
 	simTargets   = 3
 	simVMs       = 3
-	// simOrderTimeout is how long a VM waits for the answer to an order; then it resets the
-	// connection.
+	// simOrderTimeout is how long a VM waits for the answer to an order before it resets the connection.
 	simOrderTimeout = 400 * time.Millisecond
-	// simRetransmitTimeout is how long the system of a VM whose process stands still sends again
-	// what does not arrive.
+	// simRetransmitTimeout is how long the operating system of a VM with a suspended process retransmits
+	// data that does not arrive.
 	simRetransmitTimeout = time.Second
-	// simSilentTimeout is for how long an owner is silent before its keys are given to others.
+	// simSilentTimeout is how long an owner must be silent before its keys are given to others.
 	simSilentTimeout = 1200 * time.Millisecond
 )
 
 var simTiming = Timing{Hold: 3 * time.Second, Renew: 750 * time.Millisecond, Retry: 100 * time.Millisecond}
 
-// simTarget is a target as the platform describes it.
+// simTarget is a target that behaves as the platform specifies.
 type simTarget struct {
 	born       int64
 	up         bool
@@ -40,8 +39,7 @@
 	holdsUntil [simUnits]time.Duration
 }
 
-// message is an order in flight. It reaches only the life to which its
-// connection was opened.
+// message is an order in flight. It reaches only the incarnation to which its connection was opened.
 type message struct {
 	vm          int
 	order       Order
@@ -51,64 +49,68 @@
 	arrives     time.Duration
 	applied     time.Duration
 	answered    bool
-	// abandoned says that its sender has abandoned it up.
+	// abandoned says that its sender has stopped waiting for the answer.
 	abandoned bool
 }
 
+// simVM is a VM that may be the grantor.
 type simVM struct {
 	grantor *Grantor
 	version int
-	// conns holds the life to which the connection for orders leads.
+	// conns holds the incarnation of each target to which the connection for orders was opened.
 	conns map[int]int64
-	// suspendedUntil is until when the VM stands still.
+	// suspendedUntil is when the process resumes.
 	suspendedUntil time.Duration
-	// storeCutUntil is until when it does not reach the store; cutTargets until when it
-	// does not reach the targets.
+	// storeCutUntil is when the VM can reach the store again, targetCutUntil when it can reach each target
+	// again.
 	storeCutUntil  time.Duration
 	targetCutUntil [simTargets]time.Duration
-	results        []func()
-	// writePending says that a planned change is in flight to the store.
+	// results are processed in the next step of the VM.
+	results []func()
+	// writePending says that a planned change is being written to the store.
 	writePending bool
 	// answerLost says that the answer to the last write was lost.
 	answerLost bool
-	// processes counts the processes of the VM.
+	// processes counts the restarts of the VM.
 	processes int
-	// queues hold the grants for each target that wait to be sent, stalled until when they
-	// wait.
+	// queues hold the grants for each target that wait to be sent; stalledUntil is when that wait ends.
 	queues       [simTargets][]Order
 	stalledUntil [simTargets]time.Duration
 }
 
+// scheduledAction is a function to run at a given time.
 type scheduledAction struct {
 	at time.Duration
 	do func()
 }
 
+// simulation is the state of all VMs, targets and the store.
 type simulation struct {
-	// draw chooses a number in a range.
+	// draw returns a number between low and high, both inclusive.
 	draw func(low, high int, label string) int
-	// fatal ends a test.
-	fatal      func(text string)
-	now        time.Duration
-	record     Record
-	version    int
-	vms        [simVMs]simVM
-	targets    [simTargets]simTarget
+	// fatal fails the test.
+	fatal   func(text string)
+	now     time.Duration
+	record  Record
+	version int
+	vms     [simVMs]simVM
+	targets [simTargets]simTarget
+	// listedBorn is the incarnation of each target in the list of targets, which may be outdated.
 	listedBorn [simTargets]int64
 	inFlight   []message
-	// heldInCut are orders that were sent into a cut. They arrive when it heals, unless their
+	// heldInCut are orders that were sent during a network cut. They arrive when it ends, unless their
 	// connection was reset before.
 	heldInCut []message
 	scheduled []scheduledAction
 	log       []string
-	// noLostAnswers says that the store loses none.
+	// noLostAnswers says that no answer of the store is lost.
 	noLostAnswers bool
-	// closeWithoutReset says that a connection is closed, not reset, when an order is given up:
-	// the system goes on sending what was written to it.
+	// closeWithoutReset says that a connection is closed, not reset, when an order times out: the
+	// operating system keeps sending what was written to it.
 	closeWithoutReset bool
 }
 
-// newRandomSimulation returns a world in which chance is drawn.
+// newRandomSimulation returns a simulation whose choices are drawn by rapid.
 func newRandomSimulation(t *rapid.T) *simulation {
 	return newSimulation(
 		func(low, high int, label string) int { return rapid.IntRange(low, high).Draw(t, label) },
@@ -116,6 +118,7 @@
 	)
 }
 
+// newSimulation returns a simulation whose choices are made by draw.
 func newSimulation(draw func(low, high int, label string) int, fatal func(text string)) *simulation {
 	sim := &simulation{draw: draw, fatal: fatal, now: time.Hour}
 	for i := range sim.targets {
@@ -130,20 +133,22 @@
 
 func targetID(i int) string { return fmt.Sprintf("t%d", i) }
 
+// listedOwner returns the listed incarnation of a target.
 func (sim *simulation) listedOwner(i int) Owner {
 	return Owner{ID: targetID(i), Born: sim.listedBorn[i]}
 }
 
+// logf adds a line to the log that is shown on failure.
 func (sim *simulation) logf(format string, args ...any) {
 	sim.log = append(sim.log, fmt.Sprintf("%8.2f ", (sim.now-time.Hour).Seconds())+fmt.Sprintf(format, args...))
 }
 
 func indexOf(o Owner) int { return int(o.ID[1] - '0') }
 
-// reachesStore reports whether a VM reachesStore the store.
+// reachesStore reports whether a VM can reach the store.
 func (sim *simulation) reachesStore(vm int) bool { return sim.now >= sim.vms[vm].storeCutUntil }
 
-// takeOver writes a new epoch.
+// takeOver makes a VM the grantor by writing a new epoch.
 func (sim *simulation) takeOver(vm int) {
 	if !sim.reachesStore(vm) || sim.now < sim.vms[vm].suspendedUntil {
 		return
@@ -170,7 +175,7 @@
 	next.Incarnation = sim.incarnation(vm)
 	sim.record = next
 	sim.version++
-	sim.logf("vm%d takes epoch %d, past %d", vm, next.Epoch, prior)
+	sim.logf("vm%d takes over with epoch %d, prior grants %d", vm, next.Epoch, prior)
 	v := &sim.vms[vm]
 	v.queues = [simTargets][]Order{}
 	v.grantor = NewGrantor(next, simTiming, sim.now, sim.now, prior)
@@ -180,20 +185,20 @@
 	v.conns = make(map[int]int64)
 }
 
-// incarnation names a VM's process.
+// incarnation identifies the current process of a VM.
 func (sim *simulation) incarnation(vm int) uint64 { return uint64(sim.vms[vm].processes*simVMs + vm) }
 
-// restartVM ends a VM's process, and the next one begins: its connections are reset.
+// restartVM replaces a VM's process by a new one. The connections of the old process are reset.
 func (sim *simulation) restartVM(vm int) {
 	v := &sim.vms[vm]
 	v.processes++
 	v.grantor, v.results, v.suspendedUntil = nil, nil, 0
 	v.queues = [simTargets][]Order{}
 	sim.heldInCut = slices.DeleteFunc(sim.heldInCut, func(m message) bool { return m.vm == vm })
-	sim.logf("vm%d is killed", vm)
+	sim.logf("vm%d restarts its process", vm)
 }
 
-// stepVM lets a VM do what a leader does in one step.
+// stepVM runs what a grantor does in one step.
 func (sim *simulation) stepVM(vm int) {
 	v := &sim.vms[vm]
 	if sim.now < v.suspendedUntil || v.grantor == nil {
@@ -222,7 +227,7 @@
 	sim.sendQueued(vm)
 }
 
-// sendQueued sends grants whose turn has come, if the VM may still order.
+// sendQueued sends the grants that need not wait any longer, if the VM may still send orders.
 func (sim *simulation) sendQueued(vm int) {
 	v := &sim.vms[vm]
 	for i := range v.queues {
@@ -240,6 +245,7 @@
 	}
 }
 
+// markEnded tells a grantor which incarnations have ended according to the list of targets.
 func (sim *simulation) markEnded(g *Grantor) {
 	for _, s := range g.Record().Slices {
 		for _, o := range []Owner{s.Owner, s.Previous} {
@@ -250,7 +256,7 @@
 	}
 }
 
-// connect opens connections to unconfirmed owners, then asks the store.
+// connect opens connections to unconfirmed owners and then checks the epoch in the store.
 func (sim *simulation) connect(vm int) {
 	v := &sim.vms[vm]
 	for _, o := range v.grantor.Unconfirmed() {
@@ -270,12 +276,13 @@
 	}
 }
 
+// send puts an order in flight and decides when it arrives and whether it is answered.
 func (sim *simulation) send(vm int, o Order) {
 	v := &sim.vms[vm]
 	i := indexOf(o.Target)
 	m := message{vm: vm, order: o, target: i, incarnation: v.conns[i], sent: sim.now}
 	if o.Kind == Release {
-		// Releases open a connection of their own.
+		// Each release uses a new connection.
 		m.incarnation = sim.targets[i].born
 	}
 	if !sim.targets[i].up || m.incarnation != sim.targets[i].born {
@@ -284,21 +291,21 @@
 	}
 	if sim.now < v.targetCutUntil[i] {
 		if o.Kind == Release {
-			// It gets no connection.
+			// The new connection cannot be opened.
 			sim.report(m, Unreached, sim.now+simOrderTimeout)
 			return
 		}
 		sim.heldInCut = append(sim.heldInCut, m)
 		return
 	}
-	fate := sim.draw(0, 19, "fate of an order")
-	// At the latest right before it is given up.
-	m.arrives = sim.now + time.Duration(sim.draw(0, int(simOrderTimeout/simStep), "on the way"))*simStep
+	fate := sim.draw(0, 19, "delivery of an order")
+	// It arrives no later than the sender stops waiting for the answer.
+	m.arrives = sim.now + time.Duration(sim.draw(0, int(simOrderTimeout/simStep), "transit time"))*simStep
 	m.applied, m.answered = m.arrives, true
 	switch {
 	case fate == 0:
-		// Done late, and not answered.
-		m.applied = m.arrives + time.Duration(sim.draw(40, 240, "late"))*simStep
+		// It is carried out late and not answered.
+		m.applied = m.arrives + time.Duration(sim.draw(40, 240, "delay"))*simStep
 		m.answered = false
 	case fate == 1:
 		m.answered = false
@@ -309,7 +316,7 @@
 	}
 }
 
-// deliverHeld lets orders arrive whose cut has healed, and drops those that were given up.
+// deliverHeld delivers the orders whose cut has ended and drops those whose connection was reset.
 func (sim *simulation) deliverHeld() {
 	var rest []message
 	for _, m := range sim.heldInCut {
@@ -325,7 +332,7 @@
 			sim.report(m, Unanswered, sim.now)
 			rest = append(rest, m)
 		case !sim.closeWithoutReset && (givenUp || sim.now >= m.sent+simRetransmitTimeout):
-			// A process that stands still learns of it when it goes on.
+			// A suspended process learns of it when it resumes.
 			sim.report(m, Unanswered, max(sim.now, v.suspendedUntil))
 		default:
 			rest = append(rest, m)
@@ -334,7 +341,7 @@
 	sim.heldInCut = rest
 }
 
-// report hands the end of an order to its VM.
+// report passes the result of an order to its VM at endedAt.
 func (sim *simulation) report(m message, r Result, endedAt time.Duration) {
 	v := &sim.vms[m.vm]
 	g := v.grantor
@@ -350,6 +357,7 @@
 	})
 }
 
+// readEpoch has a grantor check its epoch in the store; a grantor that was succeeded stops.
 func (sim *simulation) readEpoch(vm int) {
 	v := &sim.vms[vm]
 	if !sim.reachesStore(vm) || v.grantor == nil {
@@ -375,6 +383,7 @@
 	sim.inFlight = rest
 }
 
+// apply has a target process an order.
 func (sim *simulation) apply(m message) {
 	t := &sim.targets[m.target]
 	result := Done
@@ -391,7 +400,7 @@
 	default:
 		for u := first; u <= last; u++ {
 			t.maxFence[u] = max(t.maxFence[u], m.order.Fence)
-			// The slowest clock that is allowed; nothing after a release.
+			// The slowest clock that is allowed; a release has a hold of 0.
 			t.holdsUntil[u] = m.arrives + time.Duration(float64(m.order.Hold)*(1+MaxClockDrift))
 		}
 	}
@@ -402,7 +411,7 @@
 	sim.checkSingleOwner()
 }
 
-// checkSingleOwner is the promise: no key has two owners.
+// checkSingleOwner fails the test if a key has two owners.
 func (sim *simulation) checkSingleOwner() {
 	for s := range simUnits {
 		var owners []int
@@ -417,8 +426,8 @@
 	}
 }
 
-// moveSlice has a grantor give a slice to another target. The write may be lost after
-// it took effect.
+// moveSlice has a grantor give a slice to another target. The answer to the write may be lost after it took
+// effect.
 func (sim *simulation) moveSlice(vm, slice, target int) {
 	v := &sim.vms[vm]
 	if v.grantor == nil || sim.now < v.suspendedUntil {
@@ -435,10 +444,10 @@
 	next := v.grantor.Plan(changes)
 	v.writePending = true
 	g, sent, version := v.grantor, sim.now, v.version
-	sim.schedule(sim.draw(0, 5, "write on the way"), func() { sim.write(vm, g, next, sent, version) })
+	sim.schedule(sim.draw(0, 5, "transit time of a write"), func() { sim.write(vm, g, next, sent, version) })
 }
 
-// moveFromSilent has a grantor give a slice of an owner that is silent to another target.
+// moveFromSilent has a grantor give a slice of a silent owner to another target.
 func (sim *simulation) moveFromSilent(vm, target int) {
 	g := sim.vms[vm].grantor
 	if g == nil {
@@ -452,7 +461,7 @@
 	}
 }
 
-// write takes effect at the store, and answers some time later.
+// write applies a planned record in the store and answers some time later.
 func (sim *simulation) write(vm int, g *Grantor, next Record, sent time.Duration, planned int) {
 	v := &sim.vms[vm]
 	taken := sim.reachesStore(vm) && planned == sim.version
@@ -460,7 +469,7 @@
 		sim.record = next
 		sim.record.Slices = append([]Slice(nil), next.Slices...)
 		sim.version++
-		sim.logf("vm%d moves written", vm)
+		sim.logf("vm%d wrote the record with its moves", vm)
 	}
 	version := sim.version
 	if taken && !sim.noLostAnswers && sim.draw(0, 9, "answer lost") == 0 {
@@ -471,7 +480,7 @@
 		})
 		return
 	}
-	sim.schedule(sim.draw(0, 5, "answer on the way"), func() {
+	sim.schedule(sim.draw(0, 5, "transit time of an answer"), func() {
 		if v.grantor != g {
 			return
 		}
@@ -481,7 +490,7 @@
 			v.version, v.answerLost = version, false
 			g.Commit(next, sent)
 		case v.answerLost:
-			// The lost write stands: begin again from what the store holds.
+			// The write whose answer was lost took effect: start again from the stored record.
 			v.grantor = nil
 		default:
 			g.Abandon()
@@ -489,11 +498,12 @@
 	})
 }
 
-// schedule does something after so many steps.
+// schedule runs a function after a number of steps.
 func (sim *simulation) schedule(steps int, do func()) {
 	sim.scheduled = append(sim.scheduled, scheduledAction{at: sim.now + time.Duration(steps)*simStep, do: do})
 }
 
+// runScheduled runs the functions that are due.
 func (sim *simulation) runScheduled() {
 	due := sim.scheduled
 	sim.scheduled = nil
@@ -506,7 +516,7 @@
 	}
 }
 
-// splitSlice has a grantor cut a slice in two.
+// splitSlice has a grantor split a slice in two.
 func (sim *simulation) splitSlice(vm, slice, unit int) {
 	v := &sim.vms[vm]
 	if v.grantor == nil || sim.now < v.suspendedUntil || v.writePending {
@@ -515,16 +525,16 @@
 	slice %= len(v.grantor.Record().Slices)
 	after := uint16((unit+1)*simUnitWidth - 1)
 	if v.grantor.SplitSlice(slice, after) {
-		sim.logf("vm%d divides slice %d after unit %d", vm, slice, unit)
+		sim.logf("vm%d splits slice %d after unit %d", vm, slice, unit)
 	}
 }
 
-// step lets a moment pass.
+// step advances the simulation by one step.
 func (sim *simulation) step() {
 	sim.now += simStep
 	for i := range sim.targets {
-		// An entry follows its target after a while.
-		if sim.listedBorn[i] != sim.targets[i].born && sim.draw(0, 9, "entry written") == 0 {
+		// The list of targets is updated some time after a restart.
+		if sim.listedBorn[i] != sim.targets[i].born && sim.draw(0, 9, "listing updated") == 0 {
 			sim.listedBorn[i] = sim.targets[i].born
 		}
 	}
@@ -537,31 +547,31 @@
 	sim.checkSingleOwner()
 }
 
-// restartTarget ends a life of a target; the next has the same id and knows nothing.
+// restartTarget ends an incarnation of a target. The next one has the same id and no state.
 func (sim *simulation) restartTarget(i int) {
 	sim.targets[i] = simTarget{born: sim.targets[i].born + 1, up: true}
-	sim.logf("t%d restarts as %d", i, sim.targets[i].born)
+	sim.logf("t%d restarts as incarnation %d", i, sim.targets[i].born)
 }
 
-// suspend has a VM stand still for a while.
+// suspend stops a VM for a while.
 func (sim *simulation) suspend(vm int, span time.Duration) {
 	sim.vms[vm].suspendedUntil = sim.now + span
-	sim.logf("vm%d stands still for %.2f s", vm, span.Seconds())
+	sim.logf("vm%d is suspended for %.2f s", vm, span.Seconds())
 }
 
-// cutStore takes the store from a VM for a while.
+// cutStore cuts a VM off from the store for a while.
 func (sim *simulation) cutStore(vm int, span time.Duration) {
 	sim.vms[vm].storeCutUntil = sim.now + span
-	sim.logf("vm%d without store for %.2f s", vm, span.Seconds())
+	sim.logf("vm%d cannot reach the store for %.2f s", vm, span.Seconds())
 }
 
 // cutTarget cuts a target off from a VM for a while.
 func (sim *simulation) cutTarget(vm, target int, span time.Duration) {
 	sim.vms[vm].targetCutUntil[target] = sim.now + span
-	sim.logf("vm%d without t%d for %.2f s", vm, target, span.Seconds())
+	sim.logf("vm%d cannot reach t%d for %.2f s", vm, target, span.Seconds())
 }
 
-// stallGrants has a VM's grants for a target wait for a while.
+// stallGrants delays a VM's grants for a target.
 func (sim *simulation) stallGrants(vm, target int, span time.Duration) {
 	sim.vms[vm].stalledUntil[target] = sim.now + span
 	sim.logf("vm%d sends no grant to t%d for %.2f s", vm, target, span.Seconds())
--- a/internal/lease/stored.go
+++ b/internal/lease/stored.go
@@ -5,9 +5,8 @@
 	"fmt"
 )
 
-// storedRecord is a record as it stands in the store: each owner once, and the slices
-// in lists that run in parallel.
-// A record that names the owner with each slice fills a slow link when many slices move.
+// storedRecord is the form in which a record is stored: each owner once, and the slices as parallel
+// lists. A record that repeats the owner for each slice saturates a slow link when many slices move.
 type storedRecord struct {
 	Service     string
 	Epoch       uint64
@@ -16,12 +15,10 @@
 	Incarnation uint64
 	Resigned    bool `json:",omitempty"`
 	Owners      []Owner
-	// From are the first keys of the slices, Owner the place of each slice's owner
-	// in Owners.
+	// From holds the first key of each slice, Owner the index of the owner of each slice in Owners.
 	From  []uint16
 	Owner []int
-	// Previous is the place of the previous owner in Owners, by slice, for those
-	// that have one.
+	// Previous maps the index of a slice that has a previous owner to the index of that owner in Owners.
 	Previous map[int]int `json:",omitempty"`
 }
 
@@ -49,7 +46,7 @@
 		return err
 	}
 	if len(in.Owner) != len(in.From) {
-		return fmt.Errorf("record of %s: %d owners of %d slices", in.Service, len(in.Owner), len(in.From))
+		return fmt.Errorf("decode record of service %s: %d owner indexes for %d slices", in.Service, len(in.Owner), len(in.From))
 	}
 	out := Record{
 		Service: in.Service, Epoch: in.Epoch, Holder: in.Holder, HolderAddr: in.HolderAddr, Incarnation: in.Incarnation, Resigned: in.Resigned,
@@ -76,12 +73,13 @@
 	return nil
 }
 
+// ownerAt returns the owner at an index of Owners.
 func (s *storedRecord) ownerAt(at int) (Owner, error) {
 	if at < 0 || at >= len(s.Owners) {
-		return Owner{}, fmt.Errorf("record of %s: owner %d of %d", s.Service, at, len(s.Owners))
+		return Owner{}, fmt.Errorf("decode record of service %s: owner index %d, but there are %d owners", s.Service, at, len(s.Owners))
 	}
 	if !s.Owners[at].Known() {
-		return Owner{}, fmt.Errorf("record of %s: owner %d has no id", s.Service, at)
+		return Owner{}, fmt.Errorf("decode record of service %s: owner %d has no ID", s.Service, at)
 	}
 	return s.Owners[at], nil
 }
--- a/internal/lease/stored_test.go
+++ b/internal/lease/stored_test.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// At 114 targets and 800 slices the record was 160 kB. Ten writes a second filled a
-// link of 10 Mbit/s, and every grant and renewal waited behind them.
+// Guards against large records: with 114 targets and 800 slices the record had 160 kB. Ten writes a second
+// saturated a link of 10 Mbit/s, which delayed every grant and renewal.
 func TestLargeRecordIsUnder16KB(t *testing.T) {
 	var owners []Owner
 	for i := range 114 {
@@ -61,8 +61,8 @@
 	require.Error(t, r.Check(), "slices out of order")
 }
 
-// A record of another writer, or of a later version, must not end the process, and
-// what is taken for good covers the key space.
+// A record from another writer or a later version must not crash the process, and a record that passes
+// Check must cover the key space.
 func FuzzRecord(f *testing.F) {
 	f.Add(`{"Service":"s","Epoch":3,"Owners":[{"ID":"a","Born":1,"Addr":"h:1"}],"From":[0,100],"Owner":[0,0],"Previous":{"1":0}}`)
 	f.Add(`{"Service":"s","Owners":[{"ID":"a"}],"From":[0,0],"Owner":[0,0]}`)
--- a/internal/lease/update.go
+++ b/internal/lease/update.go
@@ -2,19 +2,20 @@
 
 import "slices"
 
-// Update takes a VM from one version of a service's routing to a later one. It holds
-// only the slices that changed.
-// A whole routing for each change fills the grantor's link.
+// Update leads from one version of the routing of a service to a later one. It holds only the changed
+// slices: sending the full routing for each change saturates the grantor's link.
 type Update struct {
-	// Base is the Seq of the version that the update builds on; 0: it is whole.
+	// Base is the Seq of the version that the update applies to; 0 means that Routing is complete.
 	Base uint64 `msgpack:"b"`
-	// BaseEpoch is the epoch of that version: a successor builds on its predecessor's last.
+	// BaseEpoch is the epoch of that version. It may differ from the epoch of Routing, as a successor's
+	// first update applies to the last version of its predecessor.
 	BaseEpoch uint64 `msgpack:"e"`
-	// Routing holds the changed slices, or all.
+	// Routing holds the changed slices, or all of them if Base is 0.
 	Routing Routing `msgpack:"r"`
 }
 
-// UpdateBetween returns the update from a version that a VM has, nil if it has none.
+// UpdateBetween returns the update that leads from the version old to current. If old is nil, as for a VM
+// that has no version yet, the update is complete.
 func UpdateBetween(old, current *Routing) *Update {
 	if old == nil || old.Seq == 0 {
 		return &Update{Routing: *current}
@@ -31,14 +32,14 @@
 		}
 	}
 	if matched != len(old.From) {
-		// Slices were joined, which an update cannot express.
+		// Slices were merged, which an update of changed slices cannot express.
 		return &Update{Routing: *current}
 	}
 	return &Update{Base: old.Seq, BaseEpoch: old.Epoch, Routing: *b.routing()}
 }
 
-// Apply returns the routing that follows from the version at hand; false if the update
-// builds on another one.
+// Apply returns the routing that results from applying the update to old. It returns false if the update
+// applies to another version.
 func (u *Update) Apply(old *Routing) (*Routing, bool) {
 	if u.Base == 0 {
 		full := u.Routing
@@ -65,13 +66,13 @@
 	return b.routing(), true
 }
 
-// head returns a routing without its slices.
+// head returns the routing without its slices.
 func (r *Routing) head() Routing {
 	return Routing{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq, Holder: r.Holder, Incarnation: r.Incarnation}
 }
 
-// Valid reports whether a routing that came from another VM can be used: its lists run
-// in parallel and name known owners.
+// Valid reports whether a routing from another VM is consistent: its lists have the same length, and every
+// slice refers to an owner in Owners.
 func (r *Routing) Valid() bool {
 	if len(r.Owner) != len(r.From) || len(r.States) != len(r.From) {
 		return false
--- a/internal/lease/update_test.go
+++ b/internal/lease/update_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawRouting draws a routing whose slices begin at the given keys.
+// drawRouting draws a routing whose slices start at the given keys.
 func drawRouting(t *rapid.T, from []uint16, epoch, seq uint64) *Routing {
 	b := newRoutingBuilder(Routing{Service: "s", Epoch: epoch, Seq: seq, Holder: "a", Incarnation: 3}, len(from))
 	for _, f := range from {
@@ -19,6 +19,7 @@
 	return b.routing()
 }
 
+// drawFrom draws the first keys of slices.
 func drawFrom(t *rapid.T) []uint16 {
 	from := append([]uint16{0}, rapid.SliceOfN(rapid.Uint16(), 0, 12).Draw(t, "from")...)
 	slices.Sort(from)
@@ -30,10 +31,10 @@
 		from := drawFrom(t)
 		old := drawRouting(t, from, 5, 7)
 		later := from
-		if rapid.Bool().Draw(t, "divided") {
+		if rapid.Bool().Draw(t, "split") {
 			later = slices.Compact(slices.Sorted(slices.Values(append(slices.Clone(from), drawFrom(t)...))))
 		}
-		if rapid.Bool().Draw(t, "joined") {
+		if rapid.Bool().Draw(t, "merged") {
 			later = later[:1]
 		}
 		now := drawRouting(t, later, rapid.Uint64Range(5, 6).Draw(t, "epoch"), 9)
@@ -58,10 +59,9 @@
 	})
 }
 
-// A grantor of 114 targets granted their 512 slices one after the other, and sent 60
-// VMs of each with the whole routing. Its 10 Mbit/s were taken up for a minute; its
-// calls to the store and its orders timed out, and one grantor after the other
-// resigned.
+// Guards against a saturated link of the grantor. The grantor of 114 targets granted their 512 slices one
+// after the other and sent the full routing to 60 VMs each time. This used all of its 10 Mbit/s for a
+// minute; calls to the store and orders timed out, and one grantor after the other resigned.
 func TestUpdateOfOneSliceIsUnder150Bytes(t *testing.T) {
 	b := newRoutingBuilder(Routing{Service: "s", Epoch: 5, Seq: 7, Holder: "a", Incarnation: 3}, 512)
 	for i := range 512 {
