--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -159,7 +159,7 @@
 		entry := l.Log.Info().Str("step", "lease").Str("service", l.service).Uint64("epoch", l.grants.Record().Epoch).
 			Uint16("from", e.From).Uint16("to", e.To).Stringer("how", e.Kind).Str("owner", e.Owner.ID).Uint64("fence", e.Fence)
 		if e.Previous.Known() {
-			entry = entry.Str("previous", e.Previous.ID).Dur("free", now-e.Out)
+			entry = entry.Str("previous", e.Previous.ID).Dur("free", now-e.PreviousHoldEnd)
 		}
 		entry.Msg("keys on the move")
 	}
--- a/internal/lease/events.go
+++ b/internal/lease/events.go
@@ -36,8 +36,8 @@
 	Owner, Previous Owner
 	// Fence is the fence of the new owner.
 	Fence uint64
-	// Out is when the hold of the previous owner ended, on the grantor's clock.
-	Out time.Duration
+	// PreviousHoldEnd is when the hold of the previous owner ended, on the grantor's clock.
+	PreviousHoldEnd time.Duration
 }
 
 // TakeEvents returns the events since the last call, in order.
@@ -50,6 +50,6 @@
 func (g *Grantor) addEvent(kind EventKind, i int, previous Owner) {
 	s, sl := &g.states[i], &g.record.Slices[i]
 	g.events = append(g.events, Event{
-		Kind: kind, From: sl.From, To: sl.To, Owner: sl.Owner, Previous: previous, Fence: s.fence, Out: s.previousExpiresAt,
+		Kind: kind, From: sl.From, To: sl.To, Owner: sl.Owner, Previous: previous, Fence: s.fence, PreviousHoldEnd: s.previousExpiresAt,
 	})
 }
--- a/internal/lease/events_test.go
+++ b/internal/lease/events_test.go
@@ -48,7 +48,7 @@
 	}
 	require.Equal(t, []EventKind{Released, FirstGranted, Expired, FirstGranted}, kinds)
 	require.Equal(t, a, events[0].Previous)
-	require.Equal(t, time.Hour, events[0].Out)
-	require.Equal(t, out, events[2].Out)
+	require.Equal(t, time.Hour, events[0].PreviousHoldEnd)
+	require.Equal(t, out, events[2].PreviousHoldEnd)
 	require.Equal(t, events[2].Fence, events[3].Fence)
 }
