--- a/internal/lease/changes.go
+++ b/internal/lease/changes.go
@@ -11,13 +11,13 @@
 	To    Owner
 }
 
-// Plan returns a copy of the record with the changes applied, to be written to the store, and freezes the
-// changed slices until Commit or Abandon. A slice that is already moving keeps its previous owner: that
-// one may still hold the keys, and the owner in between was never granted them.
+// Plan returns a copy of the record with the changes applied, to be written to the store. A slice that is
+// not movable keeps its owner. A slice that is already moving keeps its previous owner: that one may still
+// hold the keys, and the owner in between was never granted them.
 //
-// A slice that is not movable keeps its owner. Otherwise, while the write is in flight, the previous
-// owner could answer its release and the owner in between could be granted the keys: the record would
-// then name two targets, neither of which holds the keys.
+// The changed slices are frozen until Commit or Abandon. Otherwise the previous owner could answer its
+// release while the write is in flight, and the owner in between could be granted the keys: the record
+// would then name two targets, neither of which holds the keys.
 func (g *Grantor) Plan(changes []Change) Record {
 	next := g.record
 	next.Slices = slices.Clone(g.record.Slices)
@@ -36,8 +36,8 @@
 }
 
 // Movable reports whether slice i may be given to another owner now. A predecessor may already have
-// granted the keys to the owner of an inherited slice that is moving. Another move would drop that owner from
-// the record while it holds the keys, so the previous owner must be cleared first.
+// granted the keys to the owner of an inherited slice that is moving. Another move would drop that owner
+// from the record while it holds the keys, so the previous owner must be cleared first.
 func (g *Grantor) Movable(i int) bool {
 	return !g.record.Slices[i].Previous.Known() || !g.states[i].inherited
 }
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -107,8 +107,8 @@
 	return done + Authority + maxGrantTransit
 }
 
-// NewGrantor returns the grantor of a record that it has just written with its own epoch. The write was
-// sent at sent and answered at done.
+// NewGrantor returns the grantor of a record that it has just written with its own epoch. sent and done
+// are the times at which the write was sent and answered.
 func NewGrantor(r Record, t Timing, sent, done time.Duration, prior PriorGrants) *Grantor {
 	g := &Grantor{timing: t, record: r, confirmed: sent, lastFence: r.Epoch << epochShift}
 	g.confirmedOwners, g.endedOwners, g.breakers = make(map[Owner]bool), make(map[Owner]bool), make(map[Owner]*circuitBreaker)
@@ -256,8 +256,8 @@
 }
 
 // MarkEnded records that an incarnation of a target has ended because another one has started under its
-// id. It gets no more grants. Its keys are released like any others, and the new incarnation answers:
-// the list of targets may still name the old incarnation while the restarted target accepts connections, so
+// id. It gets no more grants. Its keys are released like any others, and the new incarnation answers. The
+// list of targets may still name the old incarnation while the restarted target accepts connections, so
 // the keys are not free before the new incarnation has acknowledged a release.
 func (g *Grantor) MarkEnded(o Owner) {
 	g.endedOwners[o] = true
