--- a/internal/decide/placement/balance.go
+++ b/internal/decide/placement/balance.go
@@ -12,17 +12,17 @@
 // Bounds on moves under way. A target that gets a group serves its keys from cold
 // caches; two at a time are at most a third of a usual target's six groups.
 const (
-	maxTowards  = 2
-	maxUnderWay = 6
+	maxMovesPerTarget  = 2
+	maxConcurrentMoves = 6
 )
 
-// priorShare is the part of the load that is taken as spread evenly over the
+// evenShare is the part of the load that is taken as spread evenly over the
 // groups: it keeps a silent service, or one without figures, spread by number.
-const priorShare = 0.1
+const evenShare = 0.1
 
-// standbyWorth is the part of the best gain at which the standby is taken in its
+// standbyGainRatio is the part of the best gain at which the standby is taken in its
 // place: it needs no new pair, one epoch less.
-const standbyWorth = 0.7
+const standbyGainRatio = 0.7
 
 // loads is the load of each usable target as it will be after the moves under way.
 type loads struct {
@@ -31,17 +31,17 @@
 	mean   float64
 }
 
-func (r *round) measure() loads {
+func (r *round) measureLoads() loads {
 	l := loads{group: make(map[uint64]float64, len(r.next.Groups)), target: make(map[string]float64)}
 	var total float64
 	for i := range r.next.Groups {
 		total += r.in.Load[r.next.Groups[i].ID]
 	}
-	prior := priorShare * total / float64(len(r.next.Groups))
+	prior := evenShare * total / float64(len(r.next.Groups))
 	if total == 0 {
 		prior = 1
 	}
-	names := r.fit
+	names := r.eligible
 	for _, n := range names {
 		l.target[n] = 0
 	}
@@ -62,9 +62,9 @@
 // The first dozen requests may look like one target with nine times the mean.
 const warmUp = loadmeter.Constant
 
-// warm reports whether the figures may move anything. Without any load, groups are
+// warmedUp reports whether the figures may move anything. Without any load, groups are
 // spread by number at once.
-func (r *round) warm() bool {
+func (r *round) warmedUp() bool {
 	if !r.loadKnown && len(r.in.Load) > 0 {
 		r.loadKnown, r.loadSince = true, r.in.Now
 	}
@@ -74,11 +74,11 @@
 // balance starts moves while one is worth its cost and the budget allows it.
 func (r *round) balance() {
 	r.budget.refill(r.in.Now, r.policy.Churn*float64(len(r.next.Groups)))
-	if !r.warm() || !r.in.Service.ChecksFences || len(r.next.Groups) == 0 {
+	if !r.warmedUp() || !r.in.Service.ChecksFences || len(r.next.Groups) == 0 {
 		return
 	}
-	for len(r.moves) < maxUnderWay {
-		l := r.measure()
+	for len(r.moves) < maxConcurrentMoves {
+		l := r.measureLoads()
 		best := r.bestMove(&l)
 		if best == nil || !r.budget.take() {
 			return
@@ -88,8 +88,8 @@
 	}
 }
 
-// option is one move that could be made.
-type option struct {
+// candidateMove is one move that could be made.
+type candidateMove struct {
 	group *model.Group
 	to    string
 	gain  float64
@@ -97,21 +97,21 @@
 
 // bestMove returns the move of the highest gain from a target above the band, or
 // towards one as far below it, or nil where none is worth its cost.
-func (r *round) bestMove(l *loads) *option {
-	to := r.coldest(l)
+func (r *round) bestMove(l *loads) *candidateMove {
+	to := r.leastLoaded(l)
 	if to == "" || l.mean == 0 {
 		return nil
 	}
 	cold := l.target[to] < l.mean*(1-r.policy.Band)
-	least := r.policy.Gain * float64(len(r.fit)) / float64(len(r.next.Groups))
-	var best *option
+	least := r.policy.Gain * float64(len(r.eligible)) / float64(len(r.next.Groups))
+	var best *candidateMove
 	for i := range r.next.Groups {
 		g := &r.next.Groups[i]
 		from := l.target[g.Owner.Name]
 		if !r.movable(g) || !cold && from <= l.mean*(1+r.policy.Band) || cold && from <= l.mean {
 			continue
 		}
-		o := r.choose(l, g, to)
+		o := r.chooseTarget(l, g, to)
 		if o.gain >= least && (best == nil || better(o, best)) {
 			best = &o
 		}
@@ -119,19 +119,19 @@
 	return best
 }
 
-func better(a option, b *option) bool {
+func better(a candidateMove, b *candidateMove) bool {
 	return cmp.Or(cmp.Compare(a.gain, b.gain), cmp.Compare(b.group.ID, a.group.ID)) > 0
 }
 
-// choose weighs the coldest target against the group's standby.
-func (r *round) choose(l *loads, g *model.Group, coldest string) option {
-	o := option{group: g, to: coldest, gain: l.gain(g, coldest)}
+// chooseTarget weighs the coldest target against the group's standby.
+func (r *round) chooseTarget(l *loads, g *model.Group, coldest string) candidateMove {
+	o := candidateMove{group: g, to: coldest, gain: l.gain(g, coldest)}
 	standby := g.Standby.Name
-	if !r.usable(standby) || r.towards(standby) >= maxTowards {
+	if !r.usable(standby) || r.incomingMoves(standby) >= maxMovesPerTarget {
 		return o
 	}
-	if gain := l.gain(g, standby); gain >= standbyWorth*o.gain {
-		return option{group: g, to: standby, gain: gain}
+	if gain := l.gain(g, standby); gain >= standbyGainRatio*o.gain {
+		return candidateMove{group: g, to: standby, gain: gain}
 	}
 	return o
 }
@@ -144,12 +144,12 @@
 }
 
 func (r *round) movable(g *model.Group) bool {
-	return r.moves[g.ID] == nil && g.MoveTo == "" && !r.touched[g.ID] && r.usable(g.Owner.Name)
+	return r.moves[g.ID] == nil && g.MoveTo == "" && !r.changed[g.ID] && r.usable(g.Owner.Name)
 }
 
-// coldest returns the usable target of the lowest load that may take more.
-func (r *round) coldest(l *loads) string {
-	names := slices.DeleteFunc(slices.Clone(r.fit), func(n string) bool { return r.towards(n) >= maxTowards })
+// leastLoaded returns the usable target of the lowest load that may take more.
+func (r *round) leastLoaded(l *loads) string {
+	names := slices.DeleteFunc(slices.Clone(r.eligible), func(n string) bool { return r.incomingMoves(n) >= maxMovesPerTarget })
 	if len(names) == 0 {
 		return ""
 	}
@@ -158,7 +158,7 @@
 	})
 }
 
-func (r *round) towards(target string) int {
+func (r *round) incomingMoves(target string) int {
 	n := 0
 	for _, m := range r.moves {
 		if m.to == target {
--- a/internal/decide/placement/faults_test.go
+++ b/internal/decide/placement/faults_test.go
@@ -11,42 +11,42 @@
 
 const noRequests = "no request, entry or dispatcher takes part in the planning of a move; what requests see of it stands in grant and request"
 
-// moveBreakages has an entry for each fault: why it cannot be, or what it does.
-var moveBreakages = map[faults.Fault]struct {
+// moveFaults has an entry for each fault: why it cannot be, or what it does.
+var moveFaults = map[faults.Fault]struct {
 	impossible string
-	inject     func(*movePlay)
+	inject     func(*moveSimulation)
 }{
-	faults.None:            {inject: func(*movePlay) {}},
-	faults.Partition:       {inject: func(p *movePlay) { p.cut(5 * time.Second) }},
-	faults.Pause:           {inject: func(p *movePlay) { p.pausedTo = p.in.Now + 4*time.Second }},
+	faults.None:            {inject: func(*moveSimulation) {}},
+	faults.Partition:       {inject: func(p *moveSimulation) { p.partition(5 * time.Second) }},
+	faults.Pause:           {inject: func(p *moveSimulation) { p.pausedTo = p.in.Now + 4*time.Second }},
 	faults.EntryLost:       {impossible: noRequests},
 	faults.DispatchLost:    {impossible: noRequests},
-	faults.AgentLost:       {inject: func(p *movePlay) { p.restart(7 * time.Second) }},
-	faults.TargetFrozen:    {inject: func(p *movePlay) { p.loseTarget(p.to, 3*time.Second) }},
-	faults.TargetLost:      {inject: func(p *movePlay) { p.loseTarget(p.to, time.Hour) }},
-	faults.StoreDown:       {inject: func(p *movePlay) { p.storeDown(15 * time.Second) }},
-	faults.StoreSlow:       {inject: func(p *movePlay) { p.slowTo = p.in.Now + 30*time.Second }},
-	faults.StoreAnswerLost: {inject: func(p *movePlay) { p.loseAnswers = 2 }},
-	faults.LeaseLapsed:     {inject: (*movePlay).lapse},
-	faults.OperatorsRace:   {inject: (*movePlay).race},
-	faults.CrashingRequest: {inject: func(p *movePlay) {
+	faults.AgentLost:       {inject: func(p *moveSimulation) { p.restart(7 * time.Second) }},
+	faults.TargetFrozen:    {inject: func(p *moveSimulation) { p.loseTarget(p.to, 3*time.Second) }},
+	faults.TargetLost:      {inject: func(p *moveSimulation) { p.loseTarget(p.to, time.Hour) }},
+	faults.StoreDown:       {inject: func(p *moveSimulation) { p.storeDown(15 * time.Second) }},
+	faults.StoreSlow:       {inject: func(p *moveSimulation) { p.slowTo = p.in.Now + 30*time.Second }},
+	faults.StoreAnswerLost: {inject: func(p *moveSimulation) { p.loseAnswers = 2 }},
+	faults.LeaseLapsed:     {inject: (*moveSimulation).lapseLease},
+	faults.OperatorsRace:   {inject: (*moveSimulation).raceOperators},
+	faults.CrashingRequest: {inject: func(p *moveSimulation) {
 		p.loseTarget(p.from, time.Second)
-		p.after(time.Second, func(p *movePlay) { p.loseTarget(p.to, time.Second) })
+		p.after(time.Second, func(p *moveSimulation) { p.loseTarget(p.to, time.Second) })
 	}},
-	faults.VMLeaves:       {inject: func(p *movePlay) { p.in.VMs = p.in.VMs[1:] }},
-	faults.TargetLeaves:   {inject: func(p *movePlay) { p.in.Leaving[p.to] = true }},
-	faults.DataCentreLost: {inject: func(p *movePlay) { p.loseTarget(p.to, time.Hour); p.restart(7 * time.Second) }},
-	faults.TargetLostTwice: {inject: func(p *movePlay) {
+	faults.VMLeaves:       {inject: func(p *moveSimulation) { p.in.VMs = p.in.VMs[1:] }},
+	faults.TargetLeaves:   {inject: func(p *moveSimulation) { p.in.Leaving[p.to] = true }},
+	faults.DataCentreLost: {inject: func(p *moveSimulation) { p.loseTarget(p.to, time.Hour); p.restart(7 * time.Second) }},
+	faults.TargetLostTwice: {inject: func(p *moveSimulation) {
 		p.loseTarget(p.to, time.Hour)
-		p.after(2*time.Second, func(p *movePlay) { p.loseTarget(p.from, 10*time.Second) })
+		p.after(2*time.Second, func(p *moveSimulation) { p.loseTarget(p.from, 10*time.Second) })
 	}},
-	faults.PartitionTwice: {inject: func(p *movePlay) {
-		p.cut(3 * time.Second)
-		p.after(4*time.Second, func(p *movePlay) { p.cut(5 * time.Second) })
+	faults.PartitionTwice: {inject: func(p *moveSimulation) {
+		p.partition(3 * time.Second)
+		p.after(4*time.Second, func(p *moveSimulation) { p.partition(5 * time.Second) })
 	}},
-	faults.TargetAndStore:   {inject: func(p *movePlay) { p.loseTarget(p.to, time.Hour); p.storeDown(10 * time.Second) }},
-	faults.AgentAndTarget:   {inject: func(p *movePlay) { p.loseTarget(p.from, 10*time.Second); p.restart(7 * time.Second) }},
-	faults.PauseInPartition: {inject: func(p *movePlay) { p.cut(8 * time.Second); p.pausedTo = p.in.Now + 4*time.Second }},
+	faults.TargetAndStore:   {inject: func(p *moveSimulation) { p.loseTarget(p.to, time.Hour); p.storeDown(10 * time.Second) }},
+	faults.AgentAndTarget:   {inject: func(p *moveSimulation) { p.loseTarget(p.from, 10*time.Second); p.restart(7 * time.Second) }},
+	faults.PauseInPartition: {inject: func(p *moveSimulation) { p.partition(8 * time.Second); p.pausedTo = p.in.Now + 4*time.Second }},
 }
 
 const moveAbout = `The real planner moves a group to a target that does not stand by yet. It looks every 500 ms; the
@@ -65,21 +65,21 @@
 func TestFaultsAtStepsOfMove(t *testing.T) {
 	m := faults.New(moveChart, moveAbout)
 	for _, step := range faults.Steps(moveChart) {
-		l, ok := moveLeads[step]
+		l, ok := stepPreludes[step]
 		require.True(t, ok, "nothing leads to %s", faults.Name(step))
 		for _, f := range faults.All() {
-			b, ok := moveBreakages[f]
+			b, ok := moveFaults[f]
 			require.True(t, ok, "no entry for %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
 			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
-				p := newMovePlay(t, step, l.ordered, b.inject)
+				p := newMoveSimulation(t, step, l.ordered, b.inject)
 				if l.begin != nil {
 					l.begin(p)
 				}
-				m.Set(f, step, p.play())
+				m.Set(f, step, p.run())
 			})
 		}
 	}
--- a/internal/decide/placement/initial.go
+++ b/internal/decide/placement/initial.go
@@ -8,14 +8,14 @@
 	"hemlockquay/internal/model"
 )
 
-// succession is how many grantors stand in a group's line: the loss of two VMs
+// successionLength is how many grantors stand in a group's line: the loss of two VMs
 // within grantorPatience leaves one.
-const succession = 3
+const successionLength = 3
 
-// firstPatience bounds how long a first plan waits for VMs that the platform
+// firstPlanTimeout bounds how long a first plan waits for VMs that the platform
 // lists and nobody heard: heartbeats start within a second of an agent, and a
 // service without a plan refuses all its callers.
-const firstPatience = 2 * time.Second
+const firstPlanTimeout = 2 * time.Second
 
 // First plans a service that has no assignment, once every listed VM is heard or
 // firstPatience passed.
@@ -24,13 +24,13 @@
 // yet. Lines of one or two grantors are written, and a VM lost before they are
 // filled up leaves groups that nobody takes over.
 func (p *Planner) First(in *Input) Result {
-	if !p.asked {
-		p.asked, p.wanted = true, in.Now
+	if !p.firstPlanDue {
+		p.firstPlanDue, p.firstPlanSince = true, in.Now
 	}
-	if len(in.VMs) < max(in.Listed, succession) && in.Now-p.wanted < firstPatience {
+	if len(in.VMs) < max(in.Listed, successionLength) && in.Now-p.firstPlanSince < firstPlanTimeout {
 		return Result{}
 	}
-	return Result{Assignment: Initial(in), Decisions: []Decision{{Kind: First, Text: "first assignment of " + in.Service.Name}}}
+	return Result{Assignment: Initial(in), Decisions: []Decision{{Kind: Initialise, Text: "first assignment of " + in.Service.Name}}}
 }
 
 // Initial plans a service that has no assignment: slices spread evenly, one group
@@ -39,7 +39,7 @@
 func Initial(in *Input) model.Assignment {
 	r := newRound(New(), in)
 	s := in.Service
-	owners := r.fit
+	owners := r.eligible
 	if len(owners) == 0 {
 		return model.Assignment{Service: s.Name}
 	}
@@ -48,7 +48,7 @@
 			ID: uint64(i), Slices: []keyspace.Slice{slice}, Epoch: 1, Author: in.Author, Owner: r.ref(owners[i%len(owners)]),
 		})
 	}
-	r.planned = r.measure()
+	r.initialLoads = r.measureLoads()
 	for i := range r.next.Groups {
 		g := &r.next.Groups[i]
 		g.Standby = r.ref(r.pickStandby(g))
--- a/internal/decide/placement/load_test.go
+++ b/internal/decide/placement/load_test.go
@@ -16,20 +16,20 @@
 	worstMinute            int
 }
 
-// drive sends traffic for so many minutes after a warm-up of five.
-func drive(w *world, t *traffic, minutes int) outcome {
+// measureOutcome sends traffic for so many minutes after a warm-up of five.
+func measureOutcome(w *simulation, t *traffic, minutes int) outcome {
 	w.step = time.Second
 	for range 5 * 60 {
-		t.second(w)
-		w.tick()
+		t.sendSecond(w)
+		w.planOnce()
 	}
 	var o outcome
 	begin := w.moves
 	for range minutes {
 		before := w.moves
 		for range 60 {
-			planned, hashed, least := t.second(w)
-			w.tick()
+			planned, hashed, least := t.sendSecond(w)
+			w.planOnce()
 			o.planned += planned
 			o.hashed += hashed
 			o.least += least
@@ -60,13 +60,13 @@
 // each hot key and moves many.
 func TestMovingHotKey(t *testing.T) {
 	for _, s := range settings {
-		w := newWorld(10, 4, 9, 64, s.weights)
-		o := drive(w, newTraffic(2000, 1), 10)
+		w := newSimulation(10, 4, 9, 64, s.weights)
+		o := measureOutcome(w, newTraffic(2000, 1), 10)
 		policy := PolicyOf(s.weights)
 		t.Logf("%-12s imbalance %.2f (hashing %.2f, least possible %.2f), moves %d in 10 min, at most %d a minute",
 			s.name, o.planned, o.hashed, o.least, o.moves, o.worstMinute)
 		perMinute := policy.Churn * 64
-		require.LessOrEqual(t, float64(o.worstMinute), perMinute*(1+burstPart)+1, s.name)
+		require.LessOrEqual(t, float64(o.worstMinute), perMinute*(1+burstShare)+1, s.name)
 		if policy.Churn >= baseChurn {
 			require.LessOrEqual(t, o.planned, o.least*1.25+policy.Band, s.name)
 			require.Less(t, o.planned, o.hashed, s.name)
@@ -75,7 +75,9 @@
 }
 
 func TestWeightsTradeImbalanceForChurn(t *testing.T) {
-	run := func(w model.Weights) outcome { return drive(newWorld(10, 4, 9, 64, w), newTraffic(2000, 2), 5) }
+	run := func(w model.Weights) outcome {
+		return measureOutcome(newSimulation(10, 4, 9, 64, w), newTraffic(2000, 2), 5)
+	}
 	even := run(model.Weights{Imbalance: 4, Churn: 1, Unavailable: 1})
 	calm := run(model.Weights{Imbalance: 1, Churn: 4, Unavailable: 1})
 	require.Less(t, even.planned, calm.planned)
--- a/internal/decide/placement/move.go
+++ b/internal/decide/placement/move.go
@@ -40,7 +40,7 @@
 	r.moves[g.ID] = m
 	r.decide(Move, g, "%s moves from %s to %s: %s", groupName(r.in.Service, g), g.Owner.Name, to, why)
 	if g.Standby.Name == to {
-		r.order(g, m)
+		r.writeIntent(g, m)
 		return
 	}
 	if g.Witness.Name == to {
@@ -49,21 +49,21 @@
 	g.Standby = r.ref(to)
 }
 
-// order writes the durable intent.
-func (r *round) order(g *model.Group, m *move) {
+// writeIntent writes the durable intent.
+func (r *round) writeIntent(g *model.Group, m *move) {
 	if m.machine.Fire(eventGranted) == nil {
 		g.MoveTo = m.to
 	}
 }
 
-// followGrants brings moves and the record up to what the grants show.
-func (r *round) followGrants() {
+// reconcileMoves brings moves and the record up to what the grants show.
+func (r *round) reconcileMoves() {
 	known := make(map[uint64]bool, len(r.next.Groups))
 	for i := range r.next.Groups {
 		g := &r.next.Groups[i]
 		known[g.ID] = true
 		r.adopt(g)
-		r.follow(g)
+		r.reconcileMove(g)
 	}
 	for id := range r.moves {
 		if !known[id] {
@@ -83,9 +83,9 @@
 	}
 }
 
-// follow brings one move on. Its end is in the record: the grantor that has
+// reconcileMove brings one move on. Its end is in the record: the grantor that has
 // granted the new owner swaps owner and standby there.
-func (r *round) follow(g *model.Group) {
+func (r *round) reconcileMove(g *model.Group) {
 	m := r.moves[g.ID]
 	if m == nil {
 		return
@@ -99,7 +99,7 @@
 		r.withdraw(g, m)
 	case granted && served.Epoch >= m.epoch && m.machine.State() == movePreparing:
 		r.decide(Move, g, "%s: the grantor took up %s as standby, the move is ordered", groupName(r.in.Service, g), m.to)
-		r.order(g, m)
+		r.writeIntent(g, m)
 	}
 }
 
@@ -107,5 +107,5 @@
 	_ = m.machine.Fire(eventWithdraw)
 	delete(r.moves, g.ID)
 	g.MoveTo = ""
-	r.decide(Abandon, g, "%s stays at %s: the move to %s did not end in time, or its target went away", groupName(r.in.Service, g), g.Owner.Name, m.to)
+	r.decide(Withdraw, g, "%s stays at %s: the move to %s did not end in time, or its target went away", groupName(r.in.Service, g), g.Owner.Name, m.to)
 }
--- a/internal/decide/placement/faults_play_test.go
+++ b/internal/decide/placement/move_simulation_test.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	planBeat = 500 * time.Millisecond
-	// takeUp is how long the grantors take to win a new epoch here, carryOut how
+	planInterval = 500 * time.Millisecond
+	// adoptionDelay is how long the grantors take to win a new epoch here, carryOut how
 	// long a release takes: longer than in life, so that faults come in between.
-	takeUp    = 2 * time.Second
-	carryOut  = 1500 * time.Millisecond
-	moveWatch = 60 * time.Second
+	adoptionDelay      = 2 * time.Second
+	releaseDelay       = 1500 * time.Millisecond
+	moveSimulationTime = 60 * time.Second
 )
 
-// movePlay is a planner, its record in the store, and grantors that obey the
+// moveSimulation is a planner, its record in the store, and grantors that obey the
 // record late. The group with the id 1 moves.
-type movePlay struct {
-	*world
-	t       *testing.T
-	step    statechart.Transition
-	inject  func(*movePlay)
-	lead    func(*movePlay)
-	from    string
-	to      string
-	last    *move
-	state   statechart.State
-	taken   bool
-	stored  model.Assignment
-	version int
+type moveSimulation struct {
+	*simulation
+	t         *testing.T
+	step      statechart.Transition
+	inject    func(*moveSimulation)
+	onOrdered func(*moveSimulation)
+	from      string
+	to        string
+	last      *move
+	state     statechart.State
+	stepTaken bool
+	stored    model.Assignment
+	version   int
 	// read is the version that the planner sees.
 	read int
 	// adopted are the records by which the grantors act.
@@ -44,15 +44,15 @@
 	// The faults' ends, in the time of the play.
 	cutTo, downTo, pausedTo, slowTo time.Duration
 	loseAnswers                     int
-	alarms                          map[time.Duration][]func(*movePlay)
+	scheduled                       map[time.Duration][]func(*moveSimulation)
 }
 
-func newMovePlay(t *testing.T, step statechart.Transition, lead, inject func(*movePlay)) *movePlay {
-	w := newWorld(5, 5, 4, 5, model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1})
-	p := &movePlay{
-		world: w, t: t, step: step, inject: inject, lead: lead, stored: *w.in.Assignment,
+func newMoveSimulation(t *testing.T, step statechart.Transition, lead, inject func(*moveSimulation)) *moveSimulation {
+	w := newSimulation(5, 5, 4, 5, model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1})
+	p := &moveSimulation{
+		simulation: w, t: t, step: step, inject: inject, onOrdered: lead, stored: *w.in.Assignment,
 		adopted: make(map[uint64]model.Group), seenAt: make(map[uint64]time.Duration),
-		moveAt: make(map[uint64]time.Duration), alarms: make(map[time.Duration][]func(*movePlay)),
+		moveAt: make(map[uint64]time.Duration), scheduled: make(map[time.Duration][]func(*moveSimulation)),
 	}
 	for _, g := range p.stored.Groups {
 		p.adopted[g.ID] = g
@@ -60,20 +60,20 @@
 	return p
 }
 
-func (p *movePlay) group() *model.Group {
+func (p *moveSimulation) group() *model.Group {
 	i := slices.IndexFunc(p.stored.Groups, func(g model.Group) bool { return g.ID == 1 })
 	return &p.stored.Groups[i]
 }
 
 // begin plans the move to a target that does not stand by yet.
-func (p *movePlay) begin() {
+func (p *moveSimulation) begin() {
 	r := newRound(p.planner, &p.in)
 	r.next = p.stored
 	r.next.Groups = slices.Clone(p.stored.Groups)
 	i := slices.IndexFunc(r.next.Groups, func(g model.Group) bool { return g.ID == 1 })
 	g := &r.next.Groups[i]
 	p.from = g.Owner.Name
-	for _, name := range r.fit {
+	for _, name := range r.eligible {
 		if name != g.Owner.Name && name != g.Standby.Name && name != g.Witness.Name {
 			p.to = name
 		}
@@ -84,28 +84,28 @@
 	p.last, p.state = p.planner.moves[1], movePreparing
 }
 
-// play runs the cell and returns where the group ended.
-func (p *movePlay) play() string {
+// run runs the cell and returns where the group ended.
+func (p *moveSimulation) run() string {
 	p.begin()
 	if p.step.Event == "" {
-		p.taken = true
+		p.stepTaken = true
 		p.inject(p)
 	}
-	for end := p.in.Now + moveWatch; p.in.Now < end; {
-		p.in.Now += planBeat
-		for _, do := range p.alarms[p.in.Now] {
+	for end := p.in.Now + moveSimulationTime; p.in.Now < end; {
+		p.in.Now += planInterval
+		for _, do := range p.scheduled[p.in.Now] {
 			do(p)
 		}
 		p.plan()
-		p.notice()
+		p.observeStep()
 		p.grantors()
 		p.checkRecord()
 	}
-	require.True(p.t, p.taken, "nothing led to the step")
+	require.True(p.t, p.stepTaken, "nothing led to the step")
 	return p.outcome()
 }
 
-func (p *movePlay) outcome() string {
+func (p *moveSimulation) outcome() string {
 	g := p.group()
 	require.Empty(p.t, g.MoveTo, "a move was left undone")
 	require.Empty(p.t, p.planner.moves, "a move was left undone")
@@ -122,7 +122,7 @@
 
 // plan is one look of the assigner: it plans on the record that it sees, and the
 // store takes it if that is still the record.
-func (p *movePlay) plan() {
+func (p *moveSimulation) plan() {
 	now := p.in.Now
 	if now < p.pausedTo || now < p.slowTo && now%(2*time.Second) != 0 {
 		return
@@ -149,7 +149,7 @@
 }
 
 // checkIntent: a move is ordered only to a half of the pair.
-func (p *movePlay) checkIntent(next *model.Assignment) {
+func (p *moveSimulation) checkIntent(next *model.Assignment) {
 	for _, g := range next.Groups {
 		if g.MoveTo != "" {
 			require.Equal(p.t, g.Standby.Name, g.MoveTo, "an intent names the standby")
@@ -157,32 +157,32 @@
 	}
 }
 
-// notice compares the move's state with the one before; a step of the chart is
+// observeStep compares the move's state with the one before; a step of the chart is
 // known by its two states.
-func (p *movePlay) notice() {
+func (p *moveSimulation) observeStep() {
 	if p.last == nil || p.last.machine.State() == p.state {
 		return
 	}
 	from := p.state
 	p.state = p.last.machine.State()
-	if from == p.step.From && p.state == p.step.To && !p.taken {
-		p.taken = true
+	if from == p.step.From && p.state == p.step.To && !p.stepTaken {
+		p.stepTaken = true
 		p.inject(p)
 	}
-	if p.state == moveOrdered && p.lead != nil {
-		p.lead(p)
+	if p.state == moveOrdered && p.onOrdered != nil {
+		p.onOrdered(p)
 	}
 }
 
 const moveOrdered = statechart.State("ordered")
 
 // grantors serve by the records that they took up, and write who serves.
-func (p *movePlay) grantors() {
+func (p *moveSimulation) grantors() {
 	down := p.in.Now < p.downTo
 	for i := range p.stored.Groups {
 		g := &p.stored.Groups[i]
 		if !down {
-			p.takeUp(g)
+			p.adoptRecord(g)
 		}
 		pair := p.adopted[g.ID]
 		serving := p.serve(&pair)
@@ -203,8 +203,8 @@
 	}
 }
 
-// takeUp adopts an intent at once and a new epoch after a while.
-func (p *movePlay) takeUp(g *model.Group) {
+// adoptRecord adopts an intent at once and a new epoch after a while.
+func (p *moveSimulation) adoptRecord(g *model.Group) {
 	held := p.adopted[g.ID]
 	if held.Epoch == g.Epoch {
 		p.adopted[g.ID] = *g
@@ -216,14 +216,14 @@
 		p.seenAt[g.ID] = p.in.Now
 		return
 	}
-	if p.in.Now-at >= takeUp {
+	if p.in.Now-at >= adoptionDelay {
 		p.adopted[g.ID] = *g
 		delete(p.seenAt, g.ID)
 	}
 }
 
 // serve returns who serves the pair: the same as before, but for losses and moves.
-func (p *movePlay) serve(pair *model.Group) string {
+func (p *moveSimulation) serve(pair *model.Group) string {
 	serving := p.in.Serving[pair.ID].Target.Name
 	other := pair.Owner.Name
 	if serving == other {
@@ -239,7 +239,7 @@
 		return serving
 	case p.moveAt[pair.ID] == 0:
 		p.moveAt[pair.ID] = p.in.Now
-	case p.in.Now-p.moveAt[pair.ID] >= carryOut:
+	case p.in.Now-p.moveAt[pair.ID] >= releaseDelay:
 		return pair.MoveTo
 	}
 	return serving
@@ -247,7 +247,7 @@
 
 // checkRecord: three targets in three roles, and no epoch that the grantors have
 // passed.
-func (p *movePlay) checkRecord() {
+func (p *moveSimulation) checkRecord() {
 	for _, g := range p.stored.Groups {
 		require.NotEqual(p.t, g.Owner.Name, g.Standby.Name)
 		require.NotEqual(p.t, g.Owner.Name, g.Witness.Name)
@@ -255,28 +255,28 @@
 	}
 }
 
-func (p *movePlay) after(d time.Duration, do func(*movePlay)) {
-	p.alarms[p.in.Now+d] = append(p.alarms[p.in.Now+d], do)
+func (p *moveSimulation) after(d time.Duration, do func(*moveSimulation)) {
+	p.scheduled[p.in.Now+d] = append(p.scheduled[p.in.Now+d], do)
 }
 
-func (p *movePlay) loseTarget(name string, d time.Duration) {
+func (p *moveSimulation) loseTarget(name string, d time.Duration) {
 	p.in.Lost[name] = true
-	p.after(d, func(p *movePlay) { delete(p.in.Lost, name) })
+	p.after(d, func(p *moveSimulation) { delete(p.in.Lost, name) })
 }
 
 // restart replaces the assigner by one without memory.
-func (p *movePlay) restart(d time.Duration) {
+func (p *moveSimulation) restart(d time.Duration) {
 	p.pausedTo = p.in.Now + d
-	p.after(d, func(p *movePlay) { p.planner, p.last = New(), nil })
+	p.after(d, func(p *moveSimulation) { p.planner, p.last = New(), nil })
 }
 
-// lapse: another assigner plans for the paused one, which then writes what it
+// lapseLease: another assigner plans for the paused one, which then writes what it
 // planned before its pause.
-func (p *movePlay) lapse() {
+func (p *moveSimulation) lapseLease() {
 	held, read, old := p.stored, p.version, p.planner
 	p.planner, p.last = New(), nil
 	p.pausedTo = p.in.Now + 6*time.Second
-	p.after(10*time.Second, func(p *movePlay) {
+	p.after(10*time.Second, func(p *moveSimulation) {
 		in := p.in
 		in.Assignment = &held
 		if r := old.Plan(&in); len(r.Decisions) > 0 && read == p.version {
@@ -285,29 +285,31 @@
 	})
 }
 
-func (p *movePlay) cut(d time.Duration) { p.cutTo = p.in.Now + d }
+func (p *moveSimulation) partition(d time.Duration) { p.cutTo = p.in.Now + d }
 
-func (p *movePlay) storeDown(d time.Duration) { p.downTo = p.in.Now + d }
+func (p *moveSimulation) storeDown(d time.Duration) { p.downTo = p.in.Now + d }
 
-// race: one operator removes the new target from the service, another brings it
+// raceOperators: one operator removes the new target from the service, another brings it
 // back a second later.
-func (p *movePlay) race() {
+func (p *moveSimulation) raceOperators() {
 	before, without := p.in.Service, *p.in.Service
 	without.Targets = slices.DeleteFunc(slices.Clone(before.Targets), func(t model.Target) bool { return t.Name == p.to })
 	p.in.Service = &without
-	p.after(time.Second, func(p *movePlay) { p.in.Service = before })
+	p.after(time.Second, func(p *moveSimulation) { p.in.Service = before })
 }
 
-// moveLeads has an entry for each step of charts/move.jsonc: what happens at the
+// stepPreludes has an entry for each step of charts/move.jsonc: what happens at the
 // beginning, and when the move is ordered.
-var moveLeads = map[statechart.Transition]struct{ begin, ordered func(*movePlay) }{
+var stepPreludes = map[statechart.Transition]struct{ begin, ordered func(*moveSimulation) }{
 	{To: "preparing"}: {},
 	{From: "preparing", Event: "granted", To: "ordered"}: {},
-	{From: "preparing", Event: "served", To: "recorded"}: {begin: func(p *movePlay) {
-		p.after(takeUp+planBeat, func(p *movePlay) { p.loseTarget(p.from, 20*time.Second) })
+	{From: "preparing", Event: "served", To: "recorded"}: {begin: func(p *moveSimulation) {
+		p.after(adoptionDelay+planInterval, func(p *moveSimulation) { p.loseTarget(p.from, 20*time.Second) })
 		p.pausedTo = p.in.Now + 5*time.Second
 	}},
-	{From: "preparing", Event: "withdraw", To: "withdrawn"}: {begin: func(p *movePlay) { p.after(planBeat, func(p *movePlay) { p.loseTarget(p.to, 20*time.Second) }) }},
-	{From: "ordered", Event: "served", To: "recorded"}:      {},
-	{From: "ordered", Event: "withdraw", To: "withdrawn"}:   {ordered: func(p *movePlay) { p.loseTarget(p.to, 20*time.Second) }},
+	{From: "preparing", Event: "withdraw", To: "withdrawn"}: {begin: func(p *moveSimulation) {
+		p.after(planInterval, func(p *moveSimulation) { p.loseTarget(p.to, 20*time.Second) })
+	}},
+	{From: "ordered", Event: "served", To: "recorded"}:    {},
+	{From: "ordered", Event: "withdraw", To: "withdrawn"}: {ordered: func(p *moveSimulation) { p.loseTarget(p.to, 20*time.Second) }},
 }
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -70,13 +70,13 @@
 
 // The kinds of decisions. Only Move takes keys from one target to another.
 const (
-	Move    Kind = "move"
-	Abandon Kind = "abandon"
-	Standby Kind = "standby"
-	Witness Kind = "witness"
-	Line    Kind = "grantors"
-	Divide  Kind = "split"
-	First   Kind = "initial"
+	Move       Kind = "move"
+	Withdraw   Kind = "abandon"
+	Standby    Kind = "standby"
+	Witness    Kind = "witness"
+	Succession Kind = "grantors"
+	Split      Kind = "split"
+	Initialise Kind = "initial"
 )
 
 // Decision is one change of a group, with its cause.
@@ -106,16 +106,16 @@
 	// loadSince is when this planner first had load figures.
 	loadSince time.Duration
 	loadKnown bool
-	// wanted is since when a first plan is due; asked reports whether one is.
-	wanted time.Duration
-	asked  bool
-	// missing is since when a VM (by "vm/NAME") or target is gone.
-	missing map[string]time.Duration
+	// firstPlanSince is since when a first plan is due; asked reports whether one is.
+	firstPlanSince time.Duration
+	firstPlanDue   bool
+	// missingSince is since when a VM (by "vm/NAME") or target is gone.
+	missingSince map[string]time.Duration
 }
 
 // New returns a planner without memory.
 func New() *Planner {
-	return &Planner{moves: make(map[uint64]*move), missing: make(map[string]time.Duration)}
+	return &Planner{moves: make(map[uint64]*move), missingSince: make(map[string]time.Duration)}
 }
 
 // round is one run of Plan.
@@ -126,14 +126,14 @@
 	next   model.Assignment
 	// targets are the service's, by name; fit are the names, sorted, of those
 	// that may be given new roles.
-	targets map[string]model.Target
-	fit     []string
+	targets  map[string]model.Target
+	eligible []string
 	// vmDC is the data centres of the live VMs.
 	vmDC map[string]string
-	// planned is the load of targets at the beginning of the round.
-	planned loads
-	// touched are groups changed in this round; each change is one new epoch.
-	touched   map[uint64]bool
+	// initialLoads is the load of targets at the beginning of the round.
+	initialLoads loads
+	// changed are groups changed in this round; each change is one new epoch.
+	changed   map[uint64]bool
 	decisions []Decision
 }
 
@@ -142,9 +142,9 @@
 	r := newRound(p, in)
 	r.next = *in.Assignment
 	r.next.Groups = slices.Clone(in.Assignment.Groups)
-	r.noteMissing()
-	r.followGrants()
-	r.planned = r.measure()
+	r.recordMissing()
+	r.reconcileMoves()
+	r.initialLoads = r.measureLoads()
 	r.repair()
 	r.splitHot()
 	r.balance()
@@ -166,7 +166,7 @@
 	}
 	for i := range r.next.Groups {
 		g := &r.next.Groups[i]
-		if !r.touched[g.ID] {
+		if !r.changed[g.ID] {
 			continue
 		}
 		g.Author = r.in.Author
@@ -189,15 +189,15 @@
 }
 
 func newRound(p *Planner, in *Input) *round {
-	r := &round{Planner: p, in: in, policy: PolicyOf(in.Service.Weights), touched: make(map[uint64]bool)}
+	r := &round{Planner: p, in: in, policy: PolicyOf(in.Service.Weights), changed: make(map[uint64]bool)}
 	r.targets = make(map[string]model.Target, len(in.Service.Targets))
 	for _, t := range in.Service.Targets {
 		r.targets[t.Name] = t
 		if !in.Leaving[t.Name] && !in.Lost[t.Name] {
-			r.fit = append(r.fit, t.Name)
+			r.eligible = append(r.eligible, t.Name)
 		}
 	}
-	slices.Sort(r.fit)
+	slices.Sort(r.eligible)
 	r.vmDC = make(map[string]string, len(in.VMs))
 	for _, vm := range in.VMs {
 		r.vmDC[vm.Name] = vm.DataCentre
@@ -206,7 +206,7 @@
 }
 
 func (r *round) decide(k Kind, g *model.Group, format string, args ...any) {
-	r.touched[g.ID] = true
+	r.changed[g.ID] = true
 	r.decisions = append(r.decisions, Decision{Kind: k, Group: g.ID, Text: fmt.Sprintf(format, args...)})
 }
 
@@ -224,8 +224,8 @@
 	return r.targets[target].DataCentre
 }
 
-// noteMissing dates the absence of VMs and targets that the record names.
-func (r *round) noteMissing() {
+// recordMissing dates the absence of VMs and targets that the record names.
+func (r *round) recordMissing() {
 	gone := make(map[string]bool)
 	for _, g := range r.next.Groups {
 		for _, vm := range g.Grantors {
@@ -237,14 +237,14 @@
 			gone[g.Owner.Name] = true
 		}
 	}
-	for name := range r.missing {
+	for name := range r.missingSince {
 		if !gone[name] {
-			delete(r.missing, name)
+			delete(r.missingSince, name)
 		}
 	}
 	for name := range gone {
-		if _, known := r.missing[name]; !known {
-			r.missing[name] = r.in.Now
+		if _, known := r.missingSince[name]; !known {
+			r.missingSince[name] = r.in.Now
 		}
 	}
 }
@@ -253,7 +253,7 @@
 
 // missingFor returns how long the VM or target has been gone.
 func (r *round) missingFor(name string) time.Duration {
-	since, gone := r.missing[name]
+	since, gone := r.missingSince[name]
 	if !gone {
 		return 0
 	}
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -13,18 +13,18 @@
 
 var equal = model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1}
 
-// drawWorld is a service of the sizes that users run.
-func drawWorld(t *rapid.T) *world {
+// drawSimulation is a service of the sizes that users run.
+func drawSimulation(t *rapid.T) *simulation {
 	targets := rapid.IntRange(4, 16).Draw(t, "targets")
 	dcs := rapid.IntRange(3, 4).Draw(t, "data centres")
 	vms := rapid.IntRange(4, 9).Draw(t, "VMs")
 	slices := rapid.SampledFrom([]int{64, 128, 256}).Draw(t, "slices")
-	return newWorld(targets, dcs, vms, slices, equal)
+	return newSimulation(targets, dcs, vms, slices, equal)
 }
 
 func TestInitialSpreadsRoles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		w := drawSimulation(t)
 		dc := func(n string) string { s, _ := w.in.Service.Target(n); return s.DataCentre }
 		vm := make(map[string]string)
 		for _, v := range w.in.VMs {
@@ -47,20 +47,20 @@
 // Cause: keys follow the list of VMs.
 func TestReplacedVMMovesNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		w := drawSimulation(t)
 		before := maps.Clone(w.owned())
 		w.step = time.Second
 		for range rapid.IntRange(1, 3).Draw(t, "replacements") {
 			i := rapid.IntRange(0, len(w.in.VMs)-1).Draw(t, "VM")
 			w.in.VMs[i].Name += "x"
-			w.run(grantorPatience / 5)
+			w.run(grantorAbsenceLimit / 5)
 		}
-		require.Zero(t, w.kinds[Line], "lines changed before a restart could be over")
+		require.Zero(t, w.kinds[Succession], "lines changed before a restart could be over")
 		w.run(time.Minute)
 		require.Zero(t, w.moves)
 		require.Equal(t, before, w.owned())
 		for kind := range w.kinds {
-			require.Equal(t, Line, kind)
+			require.Equal(t, Succession, kind)
 		}
 		for _, g := range w.in.Assignment.Groups {
 			for _, vm := range g.Grantors {
@@ -70,7 +70,7 @@
 	})
 }
 
-func (w *world) vmDC(name string) string {
+func (w *simulation) vmDC(name string) string {
 	for _, v := range w.in.VMs {
 		if v.Name == name {
 			return v.DataCentre
@@ -79,9 +79,9 @@
 	return ""
 }
 
-// within asserts moves against the least possible; one move of slack stands for
+// requireNearLeast asserts moves against the least possible; one move of slack stands for
 // groups that cannot be divided.
-func within(t require.TestingT, moves, least int) {
+func requireNearLeast(t require.TestingT, moves, least int) {
 	require.LessOrEqual(t, float64(moves), 1.2*float64(least)+1, "least possible %d", least)
 	require.Positive(t, moves)
 }
@@ -89,16 +89,16 @@
 // targetEvents happen to one target; least is how many groups must move for it.
 var targetEvents = []struct {
 	name string
-	do   func(w *world) (least int)
+	do   func(w *simulation) (least int)
 }{
-	{"lost", func(w *world) int { w.in.Lost["t01"] = true; return w.owned()["t01"] }},
-	{"leaving", func(w *world) int { w.in.Leaving["t01"] = true; return w.owned()["t01"] }},
-	{"left", func(w *world) int {
+	{"lost", func(w *simulation) int { w.in.Lost["t01"] = true; return w.owned()["t01"] }},
+	{"leaving", func(w *simulation) int { w.in.Leaving["t01"] = true; return w.owned()["t01"] }},
+	{"left", func(w *simulation) int {
 		n := w.owned()["t01"]
 		w.in.Service.Targets = append(w.in.Service.Targets[:1:1], w.in.Service.Targets[2:]...)
 		return n
 	}},
-	{"joined", func(w *world) int {
+	{"joined", func(w *simulation) int {
 		w.in.Service.Targets = append(w.in.Service.Targets, testTarget(len(w.in.Service.Targets), 3))
 		return len(w.in.Assignment.Groups) / len(w.in.Service.Targets)
 	}},
@@ -108,7 +108,7 @@
 func TestMovesAtUsersSizes(t *testing.T) {
 	for _, targets := range []int{10, 12} {
 		for _, e := range targetEvents {
-			w := newWorld(targets, 3, 9, 64, equal)
+			w := newSimulation(targets, 3, 9, 64, equal)
 			least := e.do(w)
 			w.run(10 * time.Minute)
 			t.Logf("%d targets, one %s: %d moves, least possible %d", targets, e.name, w.moves, least)
@@ -122,10 +122,10 @@
 	for _, e := range targetEvents {
 		t.Run(e.name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				w := drawWorld(t)
+				w := drawSimulation(t)
 				least := e.do(w)
 				w.run(10 * time.Minute)
-				within(t, w.moves, least)
+				requireNearLeast(t, w.moves, least)
 				n := w.owned()
 				if e.name == "joined" {
 					require.GreaterOrEqual(t, float64(n[testTarget(len(w.in.Service.Targets)-1, 3).Name]), 0.5*float64(least))
@@ -144,7 +144,7 @@
 // A target seems lost and goes on serving; its keys are given to another, and a
 // pull request is opened twice. Cause: the target does not check who may serve.
 func TestUncheckedTargetKeepsItsKeys(t *testing.T) {
-	w := newWorld(6, 3, 6, 64, equal)
+	w := newSimulation(6, 3, 6, 64, equal)
 	w.in.Service.ChecksFences = false
 	owned := w.owned()["t01"]
 	w.in.Leaving["t01"] = true
@@ -161,7 +161,7 @@
 // A move's target dies as the move begins. The group's callers wait for a target
 // that never comes. Cause: the intent outlives what it was for.
 func TestMoveToLostTargetIsWithdrawn(t *testing.T) {
-	w := newWorld(6, 3, 6, 64, equal)
+	w := newSimulation(6, 3, 6, 64, equal)
 	for i := range 12 {
 		w.in.Load[uint64(i*6)] = 100
 	}
@@ -174,8 +174,8 @@
 	for _, m := range w.planner.moves {
 		w.in.Lost[m.to] = true
 	}
-	w.tick()
-	require.Positive(t, w.kinds[Abandon])
+	w.planOnce()
+	require.Positive(t, w.kinds[Withdraw])
 	for _, g := range w.in.Assignment.Groups {
 		require.False(t, w.in.Lost[g.MoveTo])
 	}
@@ -185,7 +185,7 @@
 // before anything is known; callers of moved keys wait for nothing. Seen in the
 // first run with real processes, with "load 9.18 of the mean".
 func TestFirstRequestsMoveNothing(t *testing.T) {
-	w := newWorld(10, 4, 9, 64, equal)
+	w := newSimulation(10, 4, 9, 64, equal)
 	w.step = 500 * time.Millisecond
 	w.in.Load[6], w.in.Load[33] = 0.3, 0.2
 	w.run(warmUp - w.step)
@@ -198,13 +198,13 @@
 }
 
 func TestSplitNeedsReleasedGrant(t *testing.T) {
-	w := newWorld(4, 3, 4, 16, equal)
+	w := newSimulation(4, 3, 4, 16, equal)
 	w.in.Load[3] = 1000
 	w.planner.Splits = true
 	w.in.Serving = map[uint64]Serving{}
 	r := w.planner.Plan(&w.in)
 	require.Len(t, r.Assignment.Groups, 16, "split while a grant may be in force")
-	w = newWorld(4, 3, 4, 16, equal)
+	w = newSimulation(4, 3, 4, 16, equal)
 	w.in.Load[3] = 1000
 	w.planner.Splits = true
 	w.in.Released = map[uint64]bool{3: true}
@@ -221,17 +221,17 @@
 // them. Cause: what it knew was in its memory alone.
 func TestNextAssignerEndsMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := drawWorld(t)
+		w := drawSimulation(t)
 		w.in.Leaving["t01"] = true
 		least := w.owned()["t01"]
 		for range 60 {
 			if rapid.IntRange(0, 9).Draw(t, "assigner lost") == 0 {
 				w.planner = New()
 			}
-			w.tick()
+			w.planOnce()
 		}
 		w.run(time.Minute)
 		require.Zero(t, w.owned()["t01"])
-		within(t, w.moves, least)
+		requireNearLeast(t, w.moves, least)
 	})
 }
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -66,18 +66,18 @@
 // budget is a token bucket of moves. It holds at most a quarter of a minute's
 // moves, so that quiet hours do not add up to a storm.
 type budget struct {
-	tokens float64
-	last   time.Duration
-	begun  bool
+	tokens  float64
+	last    time.Duration
+	started bool
 }
 
-// burstPart is the part of a minute's budget that may be spent at once.
-const burstPart = 0.25
+// burstShare is the part of a minute's budget that may be spent at once.
+const burstShare = 0.25
 
 func (b *budget) refill(now time.Duration, perMinute float64) {
-	most := max(1, perMinute*burstPart)
-	if !b.begun {
-		b.begun, b.tokens, b.last = true, most, now
+	most := max(1, perMinute*burstShare)
+	if !b.started {
+		b.started, b.tokens, b.last = true, most, now
 		return
 	}
 	b.tokens = min(most, b.tokens+perMinute*(now-b.last).Minutes())
--- a/internal/decide/placement/repair.go
+++ b/internal/decide/placement/repair.go
@@ -8,10 +8,10 @@
 	"hemlockquay/internal/model"
 )
 
-// grantorPatience is how long a VM may be missing before lines of succession
+// grantorAbsenceLimit is how long a VM may be missing before lines of succession
 // leave it out. A restart takes a few seconds and the next in line has long
 // taken over; a write for all groups at each restart would be for nothing.
-const grantorPatience = 10 * time.Second
+const grantorAbsenceLimit = 10 * time.Second
 
 // releaseMargin is added to the longest deadline when a target that does not
 // check fences is waited out: a grant's life and its drift, generously.
@@ -23,7 +23,7 @@
 	for i := range r.next.Groups {
 		g := &r.next.Groups[i]
 		r.evacuate(g)
-		r.repairCompanions(g)
+		r.repairStandbyAndWitness(g)
 		r.repairSuccession(g)
 	}
 }
@@ -38,10 +38,10 @@
 		return
 	}
 	if !r.in.Service.ChecksFences {
-		r.inherit(g, listed)
+		r.reassignUnfenced(g, listed)
 		return
 	}
-	to := r.heir(g)
+	to := r.evacuationTarget(g)
 	if to == "" {
 		return
 	}
@@ -52,15 +52,15 @@
 	r.startMove(g, to, why)
 }
 
-// heir returns the target that takes the group of a leaving owner, "" for none:
+// evacuationTarget returns the target that takes the group of a leaving owner, "" for none:
 // the standby, or the coldest where moving the group on from the standby would
 // gain anything.
-func (r *round) heir(g *model.Group) string {
-	if len(r.fit) == 0 {
+func (r *round) evacuationTarget(g *model.Group) string {
+	if len(r.eligible) == 0 {
 		return ""
 	}
-	l := r.measure()
-	coldest := slices.MinFunc(r.fit, func(a, b string) int {
+	l := r.measureLoads()
+	coldest := slices.MinFunc(r.eligible, func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.target[a], l.target[b]), cmp.Compare(a, b))
 	})
 	standby := g.Standby.Name
@@ -70,13 +70,13 @@
 	return coldest
 }
 
-// inherit gives a group to its standby where targets do not check fences.
+// reassignUnfenced gives a group to its standby where targets do not check fences.
 //
 // Failure: such a target serves whatever reaches it. Taking its keys away while
 // it only seems lost gives two owners, unseen by either. So the keys stay until
 // operators or the platform list the target as gone, and then for as long as a
 // request or order sent before may run: the longest deadline and a margin.
-func (r *round) inherit(g *model.Group, listed bool) {
+func (r *round) reassignUnfenced(g *model.Group, listed bool) {
 	wait := r.in.Service.MaxDeadline.D() + releaseMargin
 	if listed || r.missingFor(g.Owner.Name) < wait || !r.usable(g.Standby.Name) {
 		return
@@ -88,9 +88,9 @@
 		groupName(r.in.Service, g), before, g.Owner.Name, wait)
 }
 
-// repairCompanions replaces a standby or witness that went away, or that shares
+// repairStandbyAndWitness replaces a standby or witness that went away, or that shares
 // a data centre with the others while another would not.
-func (r *round) repairCompanions(g *model.Group) {
+func (r *round) repairStandbyAndWitness(g *model.Group) {
 	if r.moves[g.ID] != nil || g.MoveTo != "" {
 		return
 	}
@@ -156,7 +156,7 @@
 
 func (r *round) pick(taken, avoid []string, duties map[string]int) string {
 	var names []string
-	for _, n := range r.fit {
+	for _, n := range r.eligible {
 		if !slices.Contains(taken, n) {
 			names = append(names, n)
 		}
@@ -165,13 +165,13 @@
 		return ""
 	}
 	return slices.MinFunc(names, func(a, b string) int {
-		near := func(n string) int { return btoi(slices.Contains(avoid, r.dataCentre(n))) }
+		near := func(n string) int { return boolToInt(slices.Contains(avoid, r.dataCentre(n))) }
 		return cmp.Or(cmp.Compare(near(a), near(b)), cmp.Compare(duties[a], duties[b]),
-			cmp.Compare(r.planned.target[a], r.planned.target[b]), cmp.Compare(a, b))
+			cmp.Compare(r.initialLoads.target[a], r.initialLoads.target[b]), cmp.Compare(a, b))
 	})
 }
 
-func btoi(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/decide/placement/world_test.go
+++ b/internal/decide/placement/simulation_test.go
@@ -12,11 +12,11 @@
 	"hemlockquay/internal/model"
 )
 
-// world drives a planner in virtual time: what it writes is in the record at
+// simulation drives a planner in virtual time: what it writes is in the record at
 // once, and a grantor that obeys it, and swaps owner and standby in the record
 // after a takeover or move, is played by grant. It counts the keys'
 // moves as callers see them: changes of the serving target.
-type world struct {
+type simulation struct {
 	in      Input
 	planner *Planner
 	step    time.Duration
@@ -24,7 +24,7 @@
 	kinds   map[Kind]int
 }
 
-func newWorld(targets, dcs, vms, slices int, w model.Weights) *world {
+func newSimulation(targets, dcs, vms, slices int, w model.Weights) *simulation {
 	s := &model.Service{Name: "s", Keyed: true, Slots: 3, Connections: 110, ChecksFences: true, Slices: slices, Weights: w}
 	for i := range targets {
 		s.Targets = append(s.Targets, testTarget(i, dcs))
@@ -32,7 +32,7 @@
 	if err := s.Check(); err != nil {
 		panic(err)
 	}
-	wd := &world{planner: New(), step: 5 * time.Second, kinds: make(map[Kind]int)}
+	wd := &simulation{planner: New(), step: 5 * time.Second, kinds: make(map[Kind]int)}
 	wd.in = Input{Service: s, Serving: make(map[uint64]Serving), Load: make(map[uint64]float64),
 		Leaving: make(map[string]bool), Lost: make(map[string]bool), Author: "test"}
 	for i := range vms {
@@ -40,7 +40,7 @@
 	}
 	a := Initial(&wd.in)
 	wd.in.Assignment = &a
-	wd.grant()
+	wd.applyGrants()
 	wd.moves = 0
 	return wd
 }
@@ -49,7 +49,7 @@
 	return model.Target{Name: fmt.Sprintf("t%02d", i), Addr: fmt.Sprintf("10.0.0.%d:1", i+1), DataCentre: fmt.Sprintf("dc%d", i%dcs)}
 }
 
-func (w *world) grant() {
+func (w *simulation) applyGrants() {
 	for i := range w.in.Assignment.Groups {
 		g := &w.in.Assignment.Groups[i]
 		to := g.Owner.Name
@@ -72,25 +72,25 @@
 	}
 }
 
-// tick is one run of the assigner.
-func (w *world) tick() {
+// planOnce is one run of the assigner.
+func (w *simulation) planOnce() {
 	w.in.Now += w.step
 	r := w.planner.Plan(&w.in)
 	for _, d := range r.Decisions {
 		w.kinds[d.Kind]++
 	}
 	w.in.Assignment = &r.Assignment
-	w.grant()
+	w.applyGrants()
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	for end := w.in.Now + d; w.in.Now < end; {
-		w.tick()
+		w.planOnce()
 	}
 }
 
 // owned counts the groups that each target serves.
-func (w *world) owned() map[string]int {
+func (w *simulation) owned() map[string]int {
 	n := make(map[string]int)
 	for _, s := range w.in.Serving {
 		n[s.Target.Name]++
@@ -132,15 +132,15 @@
 	return t
 }
 
-// second sends a second's requests and returns the imbalance over targets: with
+// sendSecond sends a sendSecond's requests and returns the imbalance over targets: with
 // the planner's owners, with rendezvous hashing of keys, and the least that any
 // placement of whole groups could have.
-func (t *traffic) second(w *world) (planned, hashed, least float64) {
+func (t *traffic) sendSecond(w *simulation) (planned, hashed, least float64) {
 	if w.in.Now%time.Minute == 0 {
 		t.hot = t.rand.IntN(len(t.points))
 	}
 	if t.group == nil {
-		t.place(w)
+		t.assignKeys(w)
 	}
 	byTarget, byHash, byGroup := map[string]float64{}, map[string]float64{}, map[uint64]float64{}
 	for i := range t.points {
@@ -164,7 +164,7 @@
 	return highest(byTarget) * n, highest(byHash) * n, max(1, highest(byGroup)*n)
 }
 
-func (t *traffic) place(w *world) {
+func (t *traffic) assignKeys(w *simulation) {
 	var candidates []rendezvous.Candidate
 	for _, s := range w.in.Service.Targets {
 		candidates = append(candidates, rendezvous.Candidate{VM: s.Name})
--- a/internal/decide/placement/slope_test.go
+++ b/internal/decide/placement/slope_test.go
@@ -9,7 +9,7 @@
 )
 
 func benchmarkPlan(b *testing.B, targets, groups int) {
-	w := newWorld(targets, 3, 9, groups, model.Weights{})
+	w := newSimulation(targets, 3, 9, groups, model.Weights{})
 	for i := range groups {
 		w.in.Load[uint64(i)] = float64(i % 7)
 	}
--- a/internal/decide/placement/split.go
+++ b/internal/decide/placement/split.go
@@ -7,10 +7,10 @@
 	"hemlockquay/internal/model"
 )
 
-// splitAbove is the load of one group, in means of a target, from which it is
+// splitThreshold is the load of one group, in means of a target, from which it is
 // split before it is moved: a group of half a target's load leaves the greedy
 // placement at up to half a mean of imbalance.
-const splitAbove = 0.5
+const splitThreshold = 0.5
 
 // splitHot divides hot groups of one slice into two with new IDs.
 //
@@ -25,10 +25,10 @@
 	if !r.Splits {
 		return
 	}
-	l := r.measure()
+	l := r.measureLoads()
 	for i := 0; i < len(r.next.Groups); i++ {
 		g := r.next.Groups[i]
-		if r.in.Released[g.ID] && r.movable(&g) && l.group[g.ID] > splitAbove*l.mean {
+		if r.in.Released[g.ID] && r.movable(&g) && l.group[g.ID] > splitThreshold*l.mean {
 			r.split(i, g)
 			i++
 		}
@@ -49,7 +49,7 @@
 		halves[i].Slices = []keyspace.Slice{s}
 		halves[i].Epoch = 0
 		r.next.NextGroup++
-		r.decide(Divide, &halves[i], "%s takes one half of the hot group %d", groupName(r.in.Service, &halves[i]), g.ID)
+		r.decide(Split, &halves[i], "%s takes one half of the hot group %d", groupName(r.in.Service, &halves[i]), g.ID)
 	}
 	r.next.Groups = slices.Replace(r.next.Groups, at, at+1, halves...)
 }
