--- a/internal/decide/placement/balance.go
+++ b/internal/decide/placement/balance.go
@@ -9,22 +9,24 @@
 	"hemlockquay/internal/model"
 )
 
-// Bounds on moves under way. A target that gets a group serves its keys from cold
-// caches; two at a time are at most a third of a usual target's six groups.
+// Bounds on moves in progress, towards one target and in total. A target that gets a
+// group has cold caches for its keys; two groups at a time are at most a third of the
+// usual six groups of a target.
 const (
 	maxMovesPerTarget  = 2
 	maxConcurrentMoves = 6
 )
 
-// evenShare is the part of the load that is taken as spread evenly over the
-// groups: it keeps a silent service, or one without figures, spread by number.
+// evenShare is the extra load that every group is assumed to have, as a share of the
+// mean load of a group. It spreads groups without load by number.
 const evenShare = 0.1
 
-// standbyGainRatio is the part of the best gain at which the standby is taken in its
-// place: it needs no new pair, one epoch less.
+// standbyGainRatio is the share of the least loaded target's gain from which the
+// standby is preferred to it: a move to the standby needs no new pair and thus one
+// epoch less.
 const standbyGainRatio = 0.7
 
-// loads is the load of each usable target as it will be after the moves under way.
+// loads is the load of each group, and of each usable target after the moves in progress.
 type loads struct {
 	group  map[uint64]float64
 	target map[string]float64
@@ -57,13 +59,13 @@
 	return l
 }
 
-// warmUp is how long figures are gathered before a move is made for them: the
-// time constant of the meters.
-// The first dozen requests may look like one target with nine times the mean.
+// warmUp is how long load figures are collected before they may cause a move: the
+// time constant of the meters. With the first dozen requests alone, one target may
+// appear to have nine times the mean load.
 const warmUp = loadmeter.Constant
 
-// warmedUp reports whether the figures may move anything. Without any load, groups are
-// spread by number at once.
+// warmedUp reports whether the load figures may cause moves. Without any load, groups
+// are spread by number, which needs no warm-up.
 func (r *round) warmedUp() bool {
 	if !r.loadKnown && len(r.in.Load) > 0 {
 		r.loadKnown, r.loadSince = true, r.in.Now
@@ -71,7 +73,7 @@
 	return !r.loadKnown || r.in.Now-r.loadSince >= warmUp
 }
 
-// balance starts moves while one is worth its cost and the budget allows it.
+// balance starts moves as long as one is worth its cost and the budget allows it.
 func (r *round) balance() {
 	r.budget.refill(r.in.Now, r.policy.Churn*float64(len(r.next.Groups)))
 	if !r.warmedUp() || !r.in.Service.ChecksFences || len(r.next.Groups) == 0 {
@@ -83,20 +85,21 @@
 		if best == nil || !r.budget.take() {
 			return
 		}
-		r.startMove(best.group, best.to, fmt.Sprintf("load %.2f of the mean against %.2f, gain %.3f",
+		r.startMove(best.group, best.to, fmt.Sprintf("load of %.2f times the mean against %.2f times, gain %.3f",
 			l.target[best.group.Owner.Name]/l.mean, l.target[best.to]/l.mean, best.gain))
 	}
 }
 
-// candidateMove is one move that could be made.
+// candidateMove is a possible move with its gain.
 type candidateMove struct {
 	group *model.Group
 	to    string
 	gain  float64
 }
 
-// bestMove returns the move of the highest gain from a target above the band, or
-// towards one as far below it, or nil where none is worth its cost.
+// bestMove returns the move of highest gain away from a target above the band, or to a
+// target below the band from one above the mean. It returns nil if no move is worth its
+// cost.
 func (r *round) bestMove(l *loads) *candidateMove {
 	to := r.leastLoaded(l)
 	if to == "" || l.mean == 0 {
@@ -123,7 +126,8 @@
 	return cmp.Or(cmp.Compare(a.gain, b.gain), cmp.Compare(b.group.ID, a.group.ID)) > 0
 }
 
-// chooseTarget weighs the coldest target against the group's standby.
+// chooseTarget returns the move of the group to the least loaded target or to its
+// standby; see standbyGainRatio.
 func (r *round) chooseTarget(l *loads, g *model.Group, coldest string) candidateMove {
 	o := candidateMove{group: g, to: coldest, gain: l.gain(g, coldest)}
 	standby := g.Standby.Name
@@ -136,8 +140,8 @@
 	return o
 }
 
-// gain is by how much the sum of squared loads falls, over the squared mean. It
-// is negative where the move would only turn the imbalance round.
+// gain returns the decrease of the sum of squared loads, divided by the squared mean.
+// It is negative if the move would only reverse the imbalance.
 func (l *loads) gain(g *model.Group, to string) float64 {
 	load := l.group[g.ID]
 	return 2 * load * (l.target[g.Owner.Name] - l.target[to] - load) / (l.mean * l.mean)
@@ -147,7 +151,8 @@
 	return r.moves[g.ID] == nil && g.MoveTo == "" && !r.changed[g.ID] && r.usable(g.Owner.Name)
 }
 
-// leastLoaded returns the usable target of the lowest load that may take more.
+// leastLoaded returns the eligible target of the lowest load that has fewer than
+// maxMovesPerTarget incoming moves, "" for none.
 func (r *round) leastLoaded(l *loads) string {
 	names := slices.DeleteFunc(slices.Clone(r.eligible), func(n string) bool { return r.incomingMoves(n) >= maxMovesPerTarget })
 	if len(names) == 0 {
--- a/internal/decide/placement/faults_test.go
+++ b/internal/decide/placement/faults_test.go
@@ -11,7 +11,7 @@
 
 const noRequests = "no request, entry or dispatcher takes part in the planning of a move; what requests see of it stands in grant and request"
 
-// moveFaults has an entry for each fault: why it cannot be, or what it does.
+// moveFaults has an entry for each fault: why it cannot occur, or how to inject it.
 var moveFaults = map[faults.Fault]struct {
 	impossible string
 	inject     func(*moveSimulation)
@@ -59,17 +59,17 @@
 Checked every 500 ms: owner and standby, owner and witness differ; an intent names the standby; no epoch falls. At the end: no move is left undone, in
 the record or in the planner; the record's owner serves and is not lost.`
 
-// A group is left between two targets, or an intent stands for ever: a fault came
-// in between planning, taking up, ordering and recording a move.
-// docs/faults/move.md shows each fault at each step.
+// Guards against a group that is left between two targets, or an intent that is never
+// removed, after a fault between planning, adopting, ordering and recording a move.
+// docs/faults/move.md shows the outcome of each fault at each step.
 func TestFaultsAtStepsOfMove(t *testing.T) {
 	m := faults.New(moveChart, moveAbout)
 	for _, step := range faults.Steps(moveChart) {
 		l, ok := stepPreludes[step]
-		require.True(t, ok, "nothing leads to %s", faults.Name(step))
+		require.True(t, ok, "no prelude for step %s", faults.Name(step))
 		for _, f := range faults.All() {
 			b, ok := moveFaults[f]
-			require.True(t, ok, "no entry for %s", f)
+			require.True(t, ok, "no fault injection for %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
 				continue
--- a/internal/decide/placement/initial.go
+++ b/internal/decide/placement/initial.go
@@ -8,21 +8,21 @@
 	"hemlockquay/internal/model"
 )
 
-// successionLength is how many grantors stand in a group's line: the loss of two VMs
-// within grantorPatience leaves one.
+// successionLength is the number of grantors in a group's line of succession: if two
+// VMs are lost within grantorAbsenceLimit, one grantor is left.
 const successionLength = 3
 
-// firstPlanTimeout bounds how long a first plan waits for VMs that the platform
-// lists and nobody heard: heartbeats start within a second of an agent, and a
-// service without a plan refuses all its callers.
+// firstPlanTimeout bounds how long the first plan waits for heartbeats of VMs that the
+// platform lists. An agent sends heartbeats within a second of its start, and a
+// service without a plan refuses all requests.
 const firstPlanTimeout = 2 * time.Second
 
-// First plans a service that has no assignment, once every listed VM is heard or
-// firstPatience passed.
+// First plans a service that has no assignment, once heartbeats of every listed VM
+// have arrived or firstPlanTimeout has passed.
 //
-// Failure: the whole system starts at once, and the first assigner knows no peer
-// yet. Lines of one or two grantors are written, and a VM lost before they are
-// filled up leaves groups that nobody takes over.
+// Without this wait, when the whole system starts at once, the first assigner knows
+// no peers yet and writes lines of one or two grantors. If a VM is lost before these
+// are filled up, nobody takes over its groups.
 func (p *Planner) First(in *Input) Result {
 	if !p.firstPlanDue {
 		p.firstPlanDue, p.firstPlanSince = true, in.Now
@@ -33,9 +33,9 @@
 	return Result{Assignment: Initial(in), Decisions: []Decision{{Kind: Initialise, Text: "first assignment of " + in.Service.Name}}}
 }
 
-// Initial plans a service that has no assignment: slices spread evenly, one group
-// for each, so that a move moves one slice. Orders to a target are batched over
-// its groups, so many small groups cost no more messages.
+// Initial plans a service that has no assignment. It spreads the slices evenly and
+// makes each one a group, so that a move affects one slice. Orders to a target are
+// batched over its groups, so many small groups need no more messages.
 func Initial(in *Input) model.Assignment {
 	r := newRound(New(), in)
 	s := in.Service
--- a/internal/decide/placement/load_test.go
+++ b/internal/decide/placement/load_test.go
@@ -9,14 +9,14 @@
 	"hemlockquay/internal/model"
 )
 
-// outcome is what callers of a service see of its placement over a run.
+// outcome is the imbalance and the number of moves of a run.
 type outcome struct {
-	planned, hashed, least float64 // mean of highest over mean, each second
+	planned, hashed, least float64 // highest over mean load in each second, averaged over the run
 	moves                  int
 	worstMinute            int
 }
 
-// measureOutcome sends traffic for so many minutes after a warm-up of five.
+// measureOutcome sends traffic for the given minutes after a warm-up of five minutes.
 func measureOutcome(w *simulation, t *traffic, minutes int) outcome {
 	w.step = time.Second
 	for range 5 * 60 {
@@ -42,7 +42,7 @@
 	return o
 }
 
-// settings are the weights that are measured; see docs/MEASUREMENTS.md.
+// settings are the measured weights; see docs/MEASUREMENTS.md.
 var settings = []struct {
 	name    string
 	weights model.Weights
@@ -55,9 +55,9 @@
 	{"no moves", model.Weights{Churn: 1}},
 }
 
-// A package turns hot for a minute and its versiond server is overloaded; then
-// another one does. Cause: ownership by hashing alone, or a planner that chases
-// each hot key and moves many.
+// Guards against targets overloaded by a key that is hot for a minute, which happens if
+// ownership follows from hashing alone, and against a planner that follows each hot key
+// with many moves.
 func TestMovingHotKey(t *testing.T) {
 	for _, s := range settings {
 		w := newSimulation(10, 4, 9, 64, s.weights)
--- a/internal/decide/placement/move.go
+++ b/internal/decide/placement/move.go
@@ -8,10 +8,10 @@
 	"hemlockquay/internal/statechart"
 )
 
-// moveChart is the life of a planned move.
+// moveChart is the state chart of a planned move.
 var moveChart = charts.MustLoad("move")
 
-// Names in charts/move.jsonc.
+// States and events of charts/move.jsonc.
 const (
 	movePreparing = statechart.State("preparing")
 	eventGranted  = statechart.Event("granted")
@@ -19,26 +19,26 @@
 	eventWithdraw = statechart.Event("withdraw")
 )
 
-// moveTimeout is how long a move may take before it is withdrawn. A release
-// waits for requests in flight, at most the service's longest deadline, which is
-// added; the rest takes a few renewals.
+// moveTimeout is the time after which an unfinished move is withdrawn, in addition
+// to the service's longest deadline, because a release waits for requests in flight.
+// The other steps take a few renewals.
 const moveTimeout = 10 * time.Second
 
-// move is one planned move under way.
+// move is one planned move in progress.
 type move struct {
 	to    string
 	since time.Duration
-	// epoch is the record that a grant must have seen before MoveTo is written.
+	// epoch is the least epoch of a grant after which MoveTo may be written.
 	epoch   uint64
 	machine *statechart.Machine
 }
 
-// startMove begins to move a group. A target that is not the standby becomes it
-// first; its move is ordered when the grantor has taken up the new pair.
-func (r *round) startMove(g *model.Group, to, why string) {
+// startMove starts the move of a group. A target that is not yet the standby becomes
+// the standby first; the move is ordered once the grantor has adopted the new pair.
+func (r *round) startMove(g *model.Group, to, reason string) {
 	m := &move{to: to, since: r.in.Now, epoch: g.Epoch + 1, machine: moveChart.Start()}
 	r.moves[g.ID] = m
-	r.decide(Move, g, "%s moves from %s to %s: %s", groupName(r.in.Service, g), g.Owner.Name, to, why)
+	r.decide(Move, g, "%s moves from %s to %s: %s", groupName(r.in.Service, g), g.Owner.Name, to, reason)
 	if g.Standby.Name == to {
 		r.writeIntent(g, m)
 		return
@@ -49,14 +49,14 @@
 	g.Standby = r.ref(to)
 }
 
-// writeIntent writes the durable intent.
+// writeIntent sets MoveTo, the durable intent that the grantor carries out.
 func (r *round) writeIntent(g *model.Group, m *move) {
 	if m.machine.Fire(eventGranted) == nil {
 		g.MoveTo = m.to
 	}
 }
 
-// reconcileMoves brings moves and the record up to what the grants show.
+// reconcileMoves updates the moves in progress, and the record, from the grant table.
 func (r *round) reconcileMoves() {
 	known := make(map[uint64]bool, len(r.next.Groups))
 	for i := range r.next.Groups {
@@ -72,7 +72,7 @@
 	}
 }
 
-// adopt takes over a move that an earlier assigner ordered.
+// adopt takes over a move that a previous assigner ordered.
 func (r *round) adopt(g *model.Group) {
 	if g.MoveTo == "" || r.moves[g.ID] != nil {
 		return
@@ -83,8 +83,8 @@
 	}
 }
 
-// reconcileMove brings one move on. Its end is in the record: the grantor that has
-// granted the new owner swaps owner and standby there.
+// reconcileMove advances the move of one group. A move has ended when the record
+// says so: the grantor swaps owner and standby there after it granted the new owner.
 func (r *round) reconcileMove(g *model.Group) {
 	m := r.moves[g.ID]
 	if m == nil {
@@ -98,7 +98,7 @@
 	case r.in.Now-m.since > moveTimeout+r.in.Service.MaxDeadline.D() || !r.usable(m.to):
 		r.withdraw(g, m)
 	case granted && served.Epoch >= m.epoch && m.machine.State() == movePreparing:
-		r.decide(Move, g, "%s: the grantor took up %s as standby, the move is ordered", groupName(r.in.Service, g), m.to)
+		r.decide(Move, g, "%s: the grantor adopted %s as standby, the move is ordered", groupName(r.in.Service, g), m.to)
 		r.writeIntent(g, m)
 	}
 }
@@ -107,5 +107,6 @@
 	_ = m.machine.Fire(eventWithdraw)
 	delete(r.moves, g.ID)
 	g.MoveTo = ""
-	r.decide(Withdraw, g, "%s stays at %s: the move to %s did not end in time, or its target went away", groupName(r.in.Service, g), g.Owner.Name, m.to)
+	r.decide(Withdraw, g, "%s stays at %s: the move to %s timed out or its target became unavailable",
+		groupName(r.in.Service, g), g.Owner.Name, m.to)
 }
--- a/internal/decide/placement/move_simulation_test.go
+++ b/internal/decide/placement/move_simulation_test.go
@@ -13,15 +13,16 @@
 
 const (
 	planInterval = 500 * time.Millisecond
-	// adoptionDelay is how long the grantors take to win a new epoch here, carryOut how
-	// long a release takes: longer than in life, so that faults come in between.
+	// adoptionDelay is how long simulated grantors take to win a new epoch,
+	// releaseDelay how long a release takes. Both are longer than in production, so
+	// that faults can occur in between.
 	adoptionDelay      = 2 * time.Second
 	releaseDelay       = 1500 * time.Millisecond
 	moveSimulationTime = 60 * time.Second
 )
 
-// moveSimulation is a planner, its record in the store, and grantors that obey the
-// record late. The group with the id 1 moves.
+// moveSimulation is a planner, its record in the store, and grantors that carry out
+// the record with a delay. The group with ID 1 moves.
 type moveSimulation struct {
 	*simulation
 	t         *testing.T
@@ -35,22 +36,22 @@
 	stepTaken bool
 	stored    model.Assignment
 	version   int
-	// read is the version that the planner sees.
+	// read is the version of the record that the planner last read.
 	read int
-	// adopted are the records by which the grantors act.
+	// adopted are the groups as last adopted by the grantors.
 	adopted map[uint64]model.Group
 	seenAt  map[uint64]time.Duration
 	moveAt  map[uint64]time.Duration
-	// The faults' ends, in the time of the play.
+	// The end times of faults, in simulated time.
 	cutTo, downTo, pausedTo, slowTo time.Duration
 	loseAnswers                     int
 	scheduled                       map[time.Duration][]func(*moveSimulation)
 }
 
-func newMoveSimulation(t *testing.T, step statechart.Transition, lead, inject func(*moveSimulation)) *moveSimulation {
+func newMoveSimulation(t *testing.T, step statechart.Transition, onOrdered, inject func(*moveSimulation)) *moveSimulation {
 	w := newSimulation(5, 5, 4, 5, model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1})
 	p := &moveSimulation{
-		simulation: w, t: t, step: step, inject: inject, onOrdered: lead, stored: *w.in.Assignment,
+		simulation: w, t: t, step: step, inject: inject, onOrdered: onOrdered, stored: *w.in.Assignment,
 		adopted: make(map[uint64]model.Group), seenAt: make(map[uint64]time.Duration),
 		moveAt: make(map[uint64]time.Duration), scheduled: make(map[time.Duration][]func(*moveSimulation)),
 	}
@@ -65,7 +66,7 @@
 	return &p.stored.Groups[i]
 }
 
-// begin plans the move to a target that does not stand by yet.
+// begin plans the move to a target that is not the standby yet.
 func (p *moveSimulation) begin() {
 	r := newRound(p.planner, &p.in)
 	r.next = p.stored
@@ -84,7 +85,7 @@
 	p.last, p.state = p.planner.moves[1], movePreparing
 }
 
-// run runs the cell and returns where the group ended.
+// run simulates one fault at one step and returns where the group ended.
 func (p *moveSimulation) run() string {
 	p.begin()
 	if p.step.Event == "" {
@@ -101,7 +102,7 @@
 		p.grantors()
 		p.checkRecord()
 	}
-	require.True(p.t, p.stepTaken, "nothing led to the step")
+	require.True(p.t, p.stepTaken, "the step did not occur")
 	return p.outcome()
 }
 
@@ -109,7 +110,7 @@
 	g := p.group()
 	require.Empty(p.t, g.MoveTo, "a move was left undone")
 	require.Empty(p.t, p.planner.moves, "a move was left undone")
-	require.Equal(p.t, g.Owner.Name, p.in.Serving[1].Target.Name, "the record shows who serves")
+	require.Equal(p.t, g.Owner.Name, p.in.Serving[1].Target.Name, "the recorded owner does not serve")
 	require.False(p.t, p.in.Lost[g.Owner.Name], "a lost target owns")
 	switch g.Owner.Name {
 	case p.to:
@@ -120,8 +121,8 @@
 	return "elsewhere"
 }
 
-// plan is one look of the assigner: it plans on the record that it sees, and the
-// store takes it if that is still the record.
+// plan is one run of the assigner. It plans from the record that it last read, and the
+// store accepts the plan if that record is still current.
 func (p *moveSimulation) plan() {
 	now := p.in.Now
 	if now < p.pausedTo || now < p.slowTo && now%(2*time.Second) != 0 {
@@ -148,17 +149,17 @@
 	}
 }
 
-// checkIntent: a move is ordered only to a half of the pair.
+// checkIntent requires that moves are ordered to the standby only.
 func (p *moveSimulation) checkIntent(next *model.Assignment) {
 	for _, g := range next.Groups {
 		if g.MoveTo != "" {
-			require.Equal(p.t, g.Standby.Name, g.MoveTo, "an intent names the standby")
+			require.Equal(p.t, g.Standby.Name, g.MoveTo, "an intent names a target that is not the standby")
 		}
 	}
 }
 
-// observeStep compares the move's state with the one before; a step of the chart is
-// known by its two states.
+// observeStep compares the state of the move with the previous one, and injects the
+// fault after the step in question. The two states identify a step of the chart.
 func (p *moveSimulation) observeStep() {
 	if p.last == nil || p.last.machine.State() == p.state {
 		return
@@ -176,7 +177,7 @@
 
 const moveOrdered = statechart.State("ordered")
 
-// grantors serve by the records that they took up, and write who serves.
+// grantors lets the grantors adopt records, serve by them, and record who serves.
 func (p *moveSimulation) grantors() {
 	down := p.in.Now < p.downTo
 	for i := range p.stored.Groups {
@@ -203,7 +204,7 @@
 	}
 }
 
-// adoptRecord adopts an intent at once and a new epoch after a while.
+// adoptRecord adopts a changed intent at once, and a new epoch after adoptionDelay.
 func (p *moveSimulation) adoptRecord(g *model.Group) {
 	held := p.adopted[g.ID]
 	if held.Epoch == g.Epoch {
@@ -222,7 +223,7 @@
 	}
 }
 
-// serve returns who serves the pair: the same as before, but for losses and moves.
+// serve returns the target that serves the pair. It changes only through losses and moves.
 func (p *moveSimulation) serve(pair *model.Group) string {
 	serving := p.in.Serving[pair.ID].Target.Name
 	other := pair.Owner.Name
@@ -245,13 +246,13 @@
 	return serving
 }
 
-// checkRecord: three targets in three roles, and no epoch that the grantors have
-// passed.
+// checkRecord requires that the owner is neither standby nor witness, and that the
+// record's epoch is not below the one that the grantors adopted.
 func (p *moveSimulation) checkRecord() {
 	for _, g := range p.stored.Groups {
 		require.NotEqual(p.t, g.Owner.Name, g.Standby.Name)
 		require.NotEqual(p.t, g.Owner.Name, g.Witness.Name)
-		require.GreaterOrEqual(p.t, g.Epoch, p.adopted[g.ID].Epoch, "an epoch fell")
+		require.GreaterOrEqual(p.t, g.Epoch, p.adopted[g.ID].Epoch, "an epoch decreased")
 	}
 }
 
@@ -264,14 +265,14 @@
 	p.after(d, func(p *moveSimulation) { delete(p.in.Lost, name) })
 }
 
-// restart replaces the assigner by one without memory.
+// restart replaces the assigner by one without state.
 func (p *moveSimulation) restart(d time.Duration) {
 	p.pausedTo = p.in.Now + d
 	p.after(d, func(p *moveSimulation) { p.planner, p.last = New(), nil })
 }
 
-// lapseLease: another assigner plans for the paused one, which then writes what it
-// planned before its pause.
+// lapseLease lets another assigner plan during the pause of the first, which then
+// tries to write a plan made from the record that it read before.
 func (p *moveSimulation) lapseLease() {
 	held, read, old := p.stored, p.version, p.planner
 	p.planner, p.last = New(), nil
@@ -289,8 +290,8 @@
 
 func (p *moveSimulation) storeDown(d time.Duration) { p.downTo = p.in.Now + d }
 
-// raceOperators: one operator removes the new target from the service, another brings it
-// back a second later.
+// raceOperators removes the new target from the service, and adds it again a second
+// later, like two operators with different intentions.
 func (p *moveSimulation) raceOperators() {
 	before, without := p.in.Service, *p.in.Service
 	without.Targets = slices.DeleteFunc(slices.Clone(before.Targets), func(t model.Target) bool { return t.Name == p.to })
@@ -298,8 +299,8 @@
 	p.after(time.Second, func(p *moveSimulation) { p.in.Service = before })
 }
 
-// stepPreludes has an entry for each step of charts/move.jsonc: what happens at the
-// beginning, and when the move is ordered.
+// stepPreludes has an entry for each step of charts/move.jsonc: the events, at the
+// beginning and when the move is ordered, that lead to the step.
 var stepPreludes = map[statechart.Transition]struct{ begin, ordered func(*moveSimulation) }{
 	{To: "preparing"}: {},
 	{From: "preparing", Event: "granted", To: "ordered"}: {},
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -2,19 +2,19 @@
 // plan of a service, the repair of a plan when targets or VMs come and go, and
 // the moves that even out load.
 //
-// Load pattern: hot keys that change within minutes, and targets that join,
-// leave and are lost every day. Without it, either a hot key overloads its
-// target for as long as it is hot, or (with plain consistent hashing) ownership
-// follows the list of servers and nothing else: hot targets stay hot. A planner
-// without a price for moves would chase each hot key, and every move makes
-// callers wait.
+// The expected load has hot keys that change within minutes, and targets that
+// join, leave and are lost every day. Without load-based placement a hot key
+// overloads its target for as long as it is hot; with plain consistent hashing
+// ownership depends on the list of servers only, so hot targets stay hot. A
+// planner that ignored the cost of moves would follow each hot key, and every
+// move makes callers wait.
 //
-// So each move must be worth its cost, by the weights of the service; there is
-// a band in which imbalance is left alone, a budget of moves a minute, and a
-// bound on moves towards one target at a time, whose caches are cold. What has
-// to move (its owner leaves) moves outside the budget.
+// A move must therefore gain more than it costs, according to the weights of the
+// service. Imbalance within a band is tolerated, the number of moves per minute is
+// limited by a budget, and only a few groups move to one target at a time, because
+// its caches are cold for them. Groups whose owner leaves move outside the budget.
 //
-// Grounds of the figures: see each constant; docs/DESIGN.md section 6 holds the
+// Each constant states the reason for its value; docs/DESIGN.md section 6 has the
 // measured outcomes for both users' weights.
 package placement
 
@@ -27,39 +27,39 @@
 	"hemlockquay/internal/ownership/grants"
 )
 
-// VM is a VM that may hold a grantor.
+// VM is a VM that may run a grantor.
 type VM struct {
 	Name       string
 	DataCentre string
 }
 
-// Serving says which target a group's grantor has in force, and at which epoch.
+// Serving is the target that holds the grant of a group, and the epoch of the grant.
 type Serving struct {
 	Target model.TargetRef
 	Epoch  uint64
 }
 
-// Input is what the assigner knows at one moment. It is not changed.
+// Input is the assigner's view at one moment. The planner does not modify it.
 type Input struct {
-	// Now is a reading of a clock that never goes back.
+	// Now is a reading of a monotonic clock.
 	Now     time.Duration
 	Service *model.Service
-	// VMs are the live ones that are not leaving.
+	// VMs are the live VMs that are not leaving.
 	VMs []VM
-	// Listed is how many VMs the platform lists as live, 0 if not known.
+	// Listed is the number of VMs that the platform lists as live, 0 if unknown.
 	Listed     int
 	Assignment *model.Assignment
 	// Serving is the grant table, by group.
 	Serving map[uint64]Serving
-	// Load is requests per second by group; groups without an entry had none.
+	// Load is requests per second by group; groups without an entry had no requests.
 	Load map[uint64]float64
-	// Leaving and Lost are names of targets. Both lag and may mislead: they
-	// decide who stands by, never who may serve.
+	// Leaving and Lost are names of targets. Both lag behind and may be wrong, so
+	// they only influence which targets get new roles, never which may serve.
 	Leaving, Lost map[string]bool
-	// Incarnations are what targets last reported of themselves, by name.
+	// Incarnations are the incarnations that targets last reported, by target name.
 	Incarnations map[string]string
-	// Released reports which groups' grants are known to have expired: released by the
-	// owner or waited out. Only those may be split.
+	// Released are the groups whose grants are known to have ended, because the owner
+	// released them or they expired. Only these groups may be split.
 	Released map[uint64]bool
 	// Author is the incarnation of the planning agent.
 	Author string
@@ -68,7 +68,7 @@
 // Kind is what a decision changes.
 type Kind string
 
-// The kinds of decisions. Only Move takes keys from one target to another.
+// The kinds of decisions. Only Move transfers keys from one target to another.
 const (
 	Move       Kind = "move"
 	Withdraw   Kind = "abandon"
@@ -79,41 +79,41 @@
 	Initialise Kind = "initial"
 )
 
-// Decision is one change of a group, with its cause.
+// Decision is one change of a group. Text describes it and its cause for the log.
 type Decision struct {
 	Kind  Kind
 	Group uint64
 	Text  string
 }
 
-// Result is the assignment to write. Nothing is to be written where there are no
-// decisions.
+// Result is the assignment to write. Without decisions there is nothing to write.
 type Result struct {
 	Assignment model.Assignment
 	Decisions  []Decision
 }
 
-// Planner plans one service. It keeps what the record does not say: moves under
-// way, the budget, since when a VM or target is missing. All of it may be lost
-// with the assigner: the next one sees the record and plans anew. It is not safe
-// for concurrent use.
+// Planner plans one service. It keeps the state that the record does not contain:
+// moves in progress, the move budget, and since when a VM or target has been
+// missing. This state may be lost with the assigner; its successor plans from the
+// record alone. A Planner is not safe for concurrent use.
 type Planner struct {
-	// Splits lets the planner split hot groups; see splitHot.
+	// Splits enables the splitting of hot groups; see splitHot.
 	Splits bool
 
 	moves  map[uint64]*move
 	budget budget
-	// loadSince is when this planner first had load figures.
+	// loadSince is when this planner first received load figures.
 	loadSince time.Duration
 	loadKnown bool
-	// firstPlanSince is since when a first plan is due; asked reports whether one is.
+	// firstPlanSince is when First was first called; firstPlanDue reports whether
+	// it has been.
 	firstPlanSince time.Duration
 	firstPlanDue   bool
-	// missingSince is since when a VM (by "vm/NAME") or target is gone.
+	// missingSince is when a VM (under the key "vm/NAME") or target disappeared.
 	missingSince map[string]time.Duration
 }
 
-// New returns a planner without memory.
+// New returns a planner without any state.
 func New() *Planner {
 	return &Planner{moves: make(map[uint64]*move), missingSince: make(map[string]time.Duration)}
 }
@@ -124,15 +124,16 @@
 	in     *Input
 	policy Policy
 	next   model.Assignment
-	// targets are the service's, by name; fit are the names, sorted, of those
-	// that may be given new roles.
+	// targets are the service's targets by name; eligible are the sorted names of
+	// those that may get new roles.
 	targets  map[string]model.Target
 	eligible []string
-	// vmDC is the data centres of the live VMs.
+	// vmDC is the data centre of each live VM, by VM name.
 	vmDC map[string]string
 	// initialLoads is the load of targets at the beginning of the round.
 	initialLoads loads
-	// changed are groups changed in this round; each change is one new epoch.
+	// changed are the groups changed in this round; raiseEpochs gives each at most
+	// one new epoch.
 	changed   map[uint64]bool
 	decisions []Decision
 }
@@ -152,13 +153,13 @@
 	return Result{Assignment: r.next, Decisions: r.decisions}
 }
 
-// Forget drops the moves whose record was not written; those in the record are
-// adopted from it.
+// Forget drops all moves in progress after a record could not be written. Moves
+// that the record contains are adopted from it in the next round.
 func (p *Planner) Forget() { clear(p.moves) }
 
-// raiseEpochs gives a new epoch to each group with other targets or grantors,
-// and lists the targets that leave it. An intent alone keeps the epoch, so that
-// no rank changes for it.
+// raiseEpochs gives a new epoch to each group whose targets or grantors changed,
+// and lists the targets that lost a role as previous. A change of the intent alone
+// keeps the epoch, so that no rank changes because of it.
 func (r *round) raiseEpochs() {
 	before := make(map[uint64]*model.Group, len(r.in.Assignment.Groups))
 	for i := range r.in.Assignment.Groups {
@@ -210,7 +211,7 @@
 	r.decisions = append(r.decisions, Decision{Kind: k, Group: g.ID, Text: fmt.Sprintf(format, args...)})
 }
 
-// usable reports whether new roles may be given to the target.
+// usable reports whether the target may get new roles.
 func (r *round) usable(name string) bool {
 	_, listed := r.targets[name]
 	return listed && !r.in.Leaving[name] && !r.in.Lost[name]
@@ -224,7 +225,7 @@
 	return r.targets[target].DataCentre
 }
 
-// recordMissing dates the absence of VMs and targets that the record names.
+// recordMissing records since when VMs and targets named in the record are missing.
 func (r *round) recordMissing() {
 	gone := make(map[string]bool)
 	for _, g := range r.next.Groups {
@@ -251,7 +252,7 @@
 
 func vmKey(vm string) string { return "vm/" + vm }
 
-// missingFor returns how long the VM or target has been gone.
+// missingFor returns how long the VM or target has been missing, 0 if it is not.
 func (r *round) missingFor(name string) time.Duration {
 	since, gone := r.missingSince[name]
 	if !gone {
@@ -260,7 +261,7 @@
 	return r.in.Now - since
 }
 
-// destination is the target that serves the group once its move is done.
+// destination returns the target that will own the group once its move, if any, is done.
 func (r *round) destination(g *model.Group) string {
 	if m := r.moves[g.ID]; m != nil {
 		return m.to
--- a/internal/decide/placement/placement_test.go
+++ b/internal/decide/placement/placement_test.go
@@ -13,7 +13,7 @@
 
 var equal = model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1}
 
-// drawSimulation is a service of the sizes that users run.
+// drawSimulation returns the simulation of a service of a size that users run.
 func drawSimulation(t *rapid.T) *simulation {
 	targets := rapid.IntRange(4, 16).Draw(t, "targets")
 	dcs := rapid.IntRange(3, 4).Draw(t, "data centres")
@@ -39,12 +39,13 @@
 		}
 		require.NoError(t, w.in.Assignment.Check())
 		w.run(2 * time.Minute)
-		require.Empty(t, w.kinds, "a plan that is sound is left alone")
+		require.Empty(t, w.kinds, "a plan that satisfies all rules stays unchanged")
 	})
 }
 
-// VMs are replaced all day. A status check hangs for a second at each of them.
-// Cause: keys follow the list of VMs.
+// Guards against keys that move when a VM is replaced, which happens throughout the day.
+// If key placement followed the list of VMs, a status check would hang for a second at
+// each replacement.
 func TestReplacedVMMovesNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawSimulation(t)
@@ -55,7 +56,7 @@
 			w.in.VMs[i].Name += "x"
 			w.run(grantorAbsenceLimit / 5)
 		}
-		require.Zero(t, w.kinds[Succession], "lines changed before a restart could be over")
+		require.Zero(t, w.kinds[Succession], "lines changed before a restart could have ended")
 		w.run(time.Minute)
 		require.Zero(t, w.moves)
 		require.Equal(t, before, w.owned())
@@ -79,14 +80,14 @@
 	return ""
 }
 
-// requireNearLeast asserts moves against the least possible; one move of slack stands for
-// groups that cannot be divided.
+// requireNearLeast requires at least one move and at most a fifth more than the least
+// possible. One more move is allowed because groups cannot be divided.
 func requireNearLeast(t require.TestingT, moves, least int) {
 	require.LessOrEqual(t, float64(moves), 1.2*float64(least)+1, "least possible %d", least)
 	require.Positive(t, moves)
 }
 
-// targetEvents happen to one target; least is how many groups must move for it.
+// targetEvents are events of one target; least is the number of groups that must move.
 var targetEvents = []struct {
 	name string
 	do   func(w *simulation) (least int)
@@ -104,7 +105,7 @@
 	}},
 }
 
-// The sizes of both users; the figures stand in docs/MEASUREMENTS.md.
+// Measures moves at both users' sizes; docs/MEASUREMENTS.md has the figures.
 func TestMovesAtUsersSizes(t *testing.T) {
 	for _, targets := range []int{10, 12} {
 		for _, e := range targetEvents {
@@ -141,8 +142,9 @@
 	}
 }
 
-// A target seems lost and goes on serving; its keys are given to another, and a
-// pull request is opened twice. Cause: the target does not check who may serve.
+// Guards against two owners of a key. A target that does not check fences continues to
+// serve when it only appears lost; if its keys were given to another target, one
+// operation, such as opening a pull request, would run twice.
 func TestUncheckedTargetKeepsItsKeys(t *testing.T) {
 	w := newSimulation(6, 3, 6, 64, equal)
 	w.in.Service.ChecksFences = false
@@ -153,13 +155,13 @@
 	require.Zero(t, w.moves)
 	w.in.Service.Targets = append(w.in.Service.Targets[:1:1], w.in.Service.Targets[2:]...)
 	w.run(w.in.Service.MaxDeadline.D())
-	require.Zero(t, w.moves, "moved before the longest deadline was over")
+	require.Zero(t, w.moves, "moved before the longest deadline had passed")
 	w.run(releaseMargin + 2*w.step)
 	require.Equal(t, owned, w.moves)
 }
 
-// A move's target dies as the move begins. The group's callers wait for a target
-// that never comes. Cause: the intent outlives what it was for.
+// Guards against an intent that remains after its target is lost at the start of a
+// move: callers of the group would wait for a target that never serves it.
 func TestMoveToLostTargetIsWithdrawn(t *testing.T) {
 	w := newSimulation(6, 3, 6, 64, equal)
 	for i := range 12 {
@@ -181,9 +183,9 @@
 	}
 }
 
-// A service starts. Its first dozen requests hit two targets, and groups move
-// before anything is known; callers of moved keys wait for nothing. Seen in the
-// first run with real processes, with "load 9.18 of the mean".
+// Guards against moves caused by the first dozen requests of a service. If these hit
+// two targets, one of them appears to have many times the mean load (9.18 times in a
+// run with real processes), and callers of moved keys wait without need.
 func TestFirstRequestsMoveNothing(t *testing.T) {
 	w := newSimulation(10, 4, 9, 64, equal)
 	w.step = 500 * time.Millisecond
@@ -194,7 +196,7 @@
 		w.in.Load[g] = 10
 	}
 	w.run(5 * time.Minute)
-	require.Empty(t, w.kinds, "the load proved even")
+	require.Empty(t, w.kinds, "the load is even")
 }
 
 func TestSplitNeedsReleasedGrant(t *testing.T) {
@@ -217,8 +219,8 @@
 	}
 }
 
-// An assigner dies in the middle of moves. Its successor repeats or forgets
-// them. Cause: what it knew was in its memory alone.
+// Guards against moves that are lost or repeated when the assigner is replaced during
+// them, because their state is in its memory only.
 func TestNextAssignerEndsMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawSimulation(t)
--- a/internal/decide/placement/policy.go
+++ b/internal/decide/placement/policy.go
@@ -7,47 +7,48 @@
 	"hemlockquay/internal/model"
 )
 
-// Figures of the policy for equal weights.
+// Policy values for equal weights.
 const (
-	// baseBand is how far above the mean the hottest target may be. With two or
-	// three slots a target queues noticeably from about 1.2 times the mean on
-	// at 70% use; 0.15 leaves no room for that and is above the noise of
-	// Poisson arrivals at a few hundred requests a second and target.
+	// baseBand is how far the load of the most loaded target may exceed the mean.
+	// At 70% utilisation a target with two or three slots queues noticeably from
+	// about 1.2 times the mean on. A band of 0.15 stays below that and above the
+	// noise of Poisson arrivals at a few hundred requests per second and target.
 	baseBand = 0.15
-	// baseGain is the least worth of a move: the fall of the sum of squared
-	// loads over the squared mean, in units of a mean group's part of a mean
-	// target, because the price of a move is the keys that it moves. A group of
-	// mean load then moves where it leaves a difference of at least the band
-	// behind: 2 x 0.15. At 0.25 the loss of one target of ten cost 9 moves, not 7.
+	// baseGain is the least gain for which a group moves: the decrease of the sum of
+	// squared loads, divided by the squared mean load. Its unit is the share of a mean
+	// group in the load of a mean target, because the cost of a move grows with the
+	// keys that it moves. With 0.3, a group of mean load moves if the two targets
+	// still differ by at least the band afterwards (2 x 0.15). With 0.25 the loss of
+	// one target of ten caused 9 moves instead of 7.
 	baseGain = 0.3
-	// baseChurn is the part of the groups that balancing may move in a minute.
+	// baseChurn is the share of the groups that balancing may move per minute.
 	baseChurn = 0.1
 )
 
-// Bounds of the policy, whatever the weights.
+// Bounds of the policy for any weights.
 const (
 	minBand, maxBand   = 0.05, 1.0
 	minGain, maxGain   = 0.05, 4.0
 	minChurn, maxChurn = 0.01, 0.5
-	// unavailableShare is how much the weight of unavailable time adds to the
-	// price of a move, against that of churn: a planned move refuses nothing,
-	// it only makes the group's callers wait for some tens of milliseconds.
+	// unavailableShare is the factor for the weight of unavailable time in the cost
+	// of a move; that of churn has factor 1. It is lower because a planned move
+	// refuses no request: callers of the group wait for some tens of milliseconds.
 	unavailableShare = 0.5
 )
 
-// Policy is what a service's weights make of the figures.
+// Policy is the balancing policy that follows from the weights of a service.
 type Policy struct {
-	// Band is the imbalance that is left alone: highest over mean, less 1.
+	// Band is the tolerated imbalance: highest load over mean load, minus 1.
 	Band float64
-	// Gain is the least worth of a move; see baseGain for its unit.
+	// Gain is the least gain for which a group moves; see baseGain for its unit.
 	Gain float64
-	// Churn is the part of the groups that balancing may move in a minute.
+	// Churn is the share of the groups that balancing may move per minute.
 	Churn float64
 }
 
-// PolicyOf returns the policy of the weights. The price of a move against its
-// worth is (churn + unavailable/2) / imbalance, and 1 for equal weights: a
-// doubled price doubles the band and the least gain, and halves the budget.
+// PolicyOf returns the policy for the weights. The cost of a move relative to its
+// gain is (churn + unavailable/2) / imbalance, scaled to 1 for equal weights.
+// Twice the relative cost doubles the band and the least gain and halves the budget.
 func PolicyOf(w model.Weights) Policy {
 	price := (w.Churn + unavailableShare*w.Unavailable) / (1 + unavailableShare)
 	ratio := price / w.Imbalance
@@ -63,15 +64,15 @@
 
 func clamp(v, low, high float64) float64 { return min(max(v, low), high) }
 
-// budget is a token bucket of moves. It holds at most a quarter of a minute's
-// moves, so that quiet hours do not add up to a storm.
+// budget is a token bucket of moves. Its capacity is burstShare of the moves of one
+// minute, so that a long idle period does not allow a burst of moves.
 type budget struct {
 	tokens  float64
 	last    time.Duration
 	started bool
 }
 
-// burstShare is the part of a minute's budget that may be spent at once.
+// burstShare is the share of a minute's budget that may be spent at once.
 const burstShare = 0.25
 
 func (b *budget) refill(now time.Duration, perMinute float64) {
--- a/internal/decide/placement/repair.go
+++ b/internal/decide/placement/repair.go
@@ -8,17 +8,18 @@
 	"hemlockquay/internal/model"
 )
 
-// grantorAbsenceLimit is how long a VM may be missing before lines of succession
-// leave it out. A restart takes a few seconds and the next in line has long
-// taken over; a write for all groups at each restart would be for nothing.
+// grantorAbsenceLimit is how long a VM may be missing before it is removed from lines
+// of succession. A restart takes a few seconds, during which the next grantor in line
+// takes over anyway, so rewriting all groups at each restart would gain nothing.
 const grantorAbsenceLimit = 10 * time.Second
 
-// releaseMargin is added to the longest deadline when a target that does not
-// check fences is waited out: a grant's life and its drift, generously.
+// releaseMargin is added to the longest deadline in the wait before the groups of a
+// target that does not check fences get a new owner. It amply covers a grant's lifetime
+// and clock drift.
 const releaseMargin = 2 * time.Second
 
-// repair fills the roles whose holders went away. It takes keys only from
-// owners that leave.
+// repair reassigns the roles of VMs and targets that are gone. It takes keys only
+// from owners that are leaving or no longer listed.
 func (r *round) repair() {
 	for i := range r.next.Groups {
 		g := &r.next.Groups[i]
@@ -28,10 +29,10 @@
 	}
 }
 
-// evacuate moves a group away from an owner that leaves or left. The standby
-// takes it, which is one write and no new pair, unless another target would be
-// left far colder; a loss is not planned here, the grantor takes over by itself
-// and followGrants records it.
+// evacuate moves a group away from an owner that is leaving or no longer listed. The
+// group goes to its standby, which takes one write and no new pair, unless another
+// target has far less load. The loss of an owner is not handled here: the grantor
+// fails over by itself and records it, and reconcileMoves sees the new owner.
 func (r *round) evacuate(g *model.Group) {
 	_, listed := r.targets[g.Owner.Name]
 	if listed && !r.in.Leaving[g.Owner.Name] || r.moves[g.ID] != nil {
@@ -45,16 +46,16 @@
 	if to == "" {
 		return
 	}
-	why := "its owner leaves"
+	reason := "its owner is leaving"
 	if !listed {
-		why = "its owner was removed from the service"
+		reason = "its owner was removed from the service"
 	}
-	r.startMove(g, to, why)
+	r.startMove(g, to, reason)
 }
 
-// evacuationTarget returns the target that takes the group of a leaving owner, "" for none:
-// the standby, or the coldest where moving the group on from the standby would
-// gain anything.
+// evacuationTarget returns the target that gets the group of a leaving owner, "" for
+// none: the standby, or the least loaded target if moving the group from the standby
+// to it later would be a gain.
 func (r *round) evacuationTarget(g *model.Group) string {
 	if len(r.eligible) == 0 {
 		return ""
@@ -72,10 +73,11 @@
 
 // reassignUnfenced gives a group to its standby where targets do not check fences.
 //
-// Failure: such a target serves whatever reaches it. Taking its keys away while
-// it only seems lost gives two owners, unseen by either. So the keys stay until
-// operators or the platform list the target as gone, and then for as long as a
-// request or order sent before may run: the longest deadline and a margin.
+// Such a target serves every request that reaches it. If its keys were reassigned
+// while it only appears lost, there would be two owners, neither of which notices.
+// The group therefore stays until the operators or the platform no longer list the
+// target, and then for as long as an earlier request or order may still run: the
+// longest deadline plus releaseMargin.
 func (r *round) reassignUnfenced(g *model.Group, listed bool) {
 	wait := r.in.Service.MaxDeadline.D() + releaseMargin
 	if listed || r.missingFor(g.Owner.Name) < wait || !r.usable(g.Standby.Name) {
@@ -84,12 +86,12 @@
 	before := g.Owner.Name
 	g.Owner, g.Standby = g.Standby, model.TargetRef{}
 	g.Standby = r.ref(r.pickStandby(g))
-	r.decide(Move, g, "%s moves from %s to %s: the platform no longer lists its owner, which does not check fences and was waited out for %v",
+	r.decide(Move, g, "%s moves from %s to %s: its owner does not check fences and has been unlisted for at least %v",
 		groupName(r.in.Service, g), before, g.Owner.Name, wait)
 }
 
-// repairStandbyAndWitness replaces a standby or witness that went away, or that shares
-// a data centre with the others while another would not.
+// repairStandbyAndWitness replaces a standby or witness that is unusable, and a
+// standby in the owner's data centre if a target elsewhere is available.
 func (r *round) repairStandbyAndWitness(g *model.Group) {
 	if r.moves[g.ID] != nil || g.MoveTo != "" {
 		return
@@ -114,7 +116,8 @@
 	if g.Witness.Name == to {
 		g.Witness = model.TargetRef{}
 	}
-	r.decide(Standby, g, "%s: %q stands by in place of %q, which went away or shared the owner's data centre", groupName(r.in.Service, g), to, before)
+	r.decide(Standby, g, "%s: standby %q replaces %q, which is unavailable or in the owner's data centre",
+		groupName(r.in.Service, g), to, before)
 }
 
 func (r *round) repairWitness(g *model.Group) {
@@ -127,12 +130,13 @@
 	}
 	before := g.Witness.Name
 	g.Witness = r.ref(to)
-	r.decide(Witness, g, "%s: %q is witness in place of %q", groupName(r.in.Service, g), to, before)
+	r.decide(Witness, g, "%s: witness %q replaces %q", groupName(r.in.Service, g), to, before)
 }
 
-// pickStandby returns the target that should stand by, "" for none: in another
-// data centre than the owner, then the one that would inherit least from this
-// owner, so that the loss of one target spreads over many, then the coldest.
+// pickStandby returns the target that should be the standby, "" for none. It prefers
+// targets outside the owner's data centre, then those that are standby for the fewest
+// groups of this owner, so that the loss of one target spreads over many, then the
+// least loaded.
 func (r *round) pickStandby(g *model.Group) string {
 	taken := []string{g.Owner.Name}
 	inherits := make(map[string]int)
@@ -144,7 +148,8 @@
 	return r.pick(taken, []string{r.dataCentre(g.Owner.Name)}, inherits)
 }
 
-// pickWitness prefers a third data centre, then the target that is witness least.
+// pickWitness returns the target that should be the witness, "" for none. It prefers a
+// third data centre, then the target that is witness of the fewest groups.
 func (r *round) pickWitness(g *model.Group) string {
 	taken := []string{g.Owner.Name, g.Standby.Name}
 	duties := make(map[string]int)
--- a/internal/decide/placement/simulation_test.go
+++ b/internal/decide/placement/simulation_test.go
@@ -12,10 +12,9 @@
 	"hemlockquay/internal/model"
 )
 
-// simulation drives a planner in virtual time: what it writes is in the record at
-// once, and a grantor that obeys it, and swaps owner and standby in the record
-// after a takeover or move, is played by grant. It counts the keys'
-// moves as callers see them: changes of the serving target.
+// simulation runs a planner in virtual time. Plans are in the record at once;
+// applyGrants simulates grantors that carry out the record, and swap owner and standby
+// in it after a takeover or move. moves counts changes of a group's serving target.
 type simulation struct {
 	in      Input
 	planner *Planner
@@ -72,7 +71,7 @@
 	}
 }
 
-// planOnce is one run of the assigner.
+// planOnce advances the time by one step, runs the planner and applies its plan.
 func (w *simulation) planOnce() {
 	w.in.Now += w.step
 	r := w.planner.Plan(&w.in)
@@ -89,7 +88,7 @@
 	}
 }
 
-// owned counts the groups that each target serves.
+// owned returns how many groups each target serves.
 func (w *simulation) owned() map[string]int {
 	n := make(map[string]int)
 	for _, s := range w.in.Serving {
@@ -98,16 +97,16 @@
 	return n
 }
 
-// traffic is Zipf's law over keys, and one key in twenty requests that is
-// another key each minute.
+// traffic is load with a Zipf distribution over keys, plus one hot key with one
+// request in twenty (hotShare), which changes each minute.
 type traffic struct {
 	points []keyspace.Point
 	share  []float64
 	rand   *rand.Rand
 	hot    int
 	meter  *loadmeter.Meter
-	// group and hashed are each key's group and its target by hashing; neither
-	// changes while targets stay.
+	// group and hashed are each key's group, and its target by rendezvous hashing;
+	// neither changes as long as the list of targets stays the same.
 	group  []uint64
 	hashed []string
 }
@@ -132,9 +131,9 @@
 	return t
 }
 
-// sendSecond sends a sendSecond's requests and returns the imbalance over targets: with
-// the planner's owners, with rendezvous hashing of keys, and the least that any
-// placement of whole groups could have.
+// sendSecond sends the requests of one second and returns the highest load over the
+// mean load of targets: with the planner's owners, with rendezvous hashing of keys, and
+// a lower bound for any placement of whole groups.
 func (t *traffic) sendSecond(w *simulation) (planned, hashed, least float64) {
 	if w.in.Now%time.Minute == 0 {
 		t.hot = t.rand.IntN(len(t.points))
@@ -193,6 +192,6 @@
 				}
 			}
 		}
-		panic("a point without a group")
+		panic("no group contains the point")
 	}
 }
--- a/internal/decide/placement/split.go
+++ b/internal/decide/placement/split.go
@@ -7,20 +7,20 @@
 	"hemlockquay/internal/model"
 )
 
-// splitThreshold is the load of one group, in means of a target, from which it is
-// split before it is moved: a group of half a target's load leaves the greedy
-// placement at up to half a mean of imbalance.
+// splitThreshold is the load of a group, as a multiple of the mean load of a target,
+// above which it is split before it is moved. With a group of half the mean load,
+// greedy placement can end with an imbalance of up to half the mean.
 const splitThreshold = 0.5
 
-// splitHot divides hot groups of one slice into two with new IDs.
+// splitHot splits hot groups of one slice into two groups with new IDs.
 //
-// Failure: fences are kept by group ID. A target that still holds a grant of the
-// old group does not see orders of the new ones as its rivals, so two targets
-// could serve the same keys. The old group's grant must therefore be out, known
-// by the owner's release or by waiting it out, and its record gone, before a new
-// one is granted: in.Released says so, and the grantor must grant nothing more
-// to a group that it reported as released until the record changes. Until a
-// grantor reports releases, Splits stays off.
+// Targets keep fences by group ID. A target that still holds a grant of the old group
+// does not recognise orders for the new groups as conflicting, so two targets could
+// serve the same keys. Before a new group is granted, the old group's grant must
+// therefore have ended, by the owner's release or by expiry, and its record must be
+// gone. in.Released reports such groups; the grantor must not grant a group that it
+// reported as released until the record changes. Splits stays off until grantors
+// report releases.
 func (r *round) splitHot() {
 	if !r.Splits {
 		return
--- a/internal/decide/placement/succession.go
+++ b/internal/decide/placement/succession.go
@@ -8,21 +8,22 @@
 	"hemlockquay/internal/model"
 )
 
-// successionPlanner makes a group's line of succession. The rules, in this order:
+// successionPlanner plans the line of succession of a group: the VMs that may become
+// its grantor, in order. The rules, by priority:
 //
-//   - Its head is outside the data centres of owner and standby, where there is a
-//     VM: the loss of one data centre takes at most one of the three.
-//   - It reaches over as many data centres as it has places. Failure: with three
-//     data centres all VMs outside those of the pair are in the third. A line of
-//     them is lost with it as a whole, and nobody takes over until the assigner
-//     names others, grantorPatience later.
-//   - Those after the head are outside the pair's data centres too, if they can be.
+//   - The first VM is outside the data centres of owner and standby, if there is such
+//     a VM: the loss of one data centre then affects at most one of the three.
+//   - The line spans as many data centres as it has places. With three data centres,
+//     all VMs outside those of the pair are in the third. If the line had only these,
+//     it would be lost with that data centre, and nobody would take over until the
+//     assigner names other grantors, grantorAbsenceLimit later.
+//   - The other VMs are outside the pair's data centres, too, if possible.
 type successionPlanner struct {
-	// ranked are the live VMs, by rendezvous for the group.
+	// ranked are the live VMs, in rendezvous order for the group.
 	ranked []VM
 	// pairDCs are the data centres of owner and standby.
 	pairDCs []string
-	// vmDC is where the live VMs are, by name.
+	// vmDC is the data centre of each live VM, by VM name.
 	vmDC map[string]string
 }
 
@@ -39,14 +40,14 @@
 	return l
 }
 
-// inPairDC reports whether the VM is in a data centre of the pair. One that is not
-// live is not: it may be back in a moment.
+// inPairDC reports whether the VM is in a data centre of the pair. It is false for a VM
+// that is not live, which may be back soon.
 func (l *successionPlanner) inPairDC(vm string) bool {
 	dc, live := l.vmDC[vm]
 	return live && slices.Contains(l.pairDCs, dc)
 }
 
-// countInDC counts the line's VMs in the data centre.
+// countInDC returns how many VMs of the line are in the data centre.
 func (l *successionPlanner) countInDC(line []string, dc string) int {
 	n := 0
 	for _, vm := range line {
@@ -55,7 +56,7 @@
 	return n
 }
 
-// nextVM returns the VM that should follow in the line, "" for none.
+// nextVM returns the VM to append to the line, "" for none.
 func (l *successionPlanner) nextVM(line []string) string {
 	var left []VM
 	for _, vm := range l.ranked {
@@ -75,7 +76,7 @@
 	}).Name
 }
 
-// fill adds VMs until the line is whole.
+// fill appends VMs until the line has successionLength or no VM is left.
 func (l *successionPlanner) fill(line []string) []string {
 	for len(line) < successionLength {
 		vm := l.nextVM(line)
@@ -102,7 +103,8 @@
 	return line
 }
 
-// dropLastIfOneDC makes room at the end of a line that is in one data centre only.
+// dropLastIfOneDC drops the last VM of a full line that is in one data centre only, so
+// that fill can append one of another data centre.
 func (l *successionPlanner) dropLastIfOneDC(line []string) []string {
 	if len(line) < successionLength || l.countInDC(line, l.vmDC[line[0]]) < len(line) {
 		return line
@@ -114,8 +116,9 @@
 	return line[:successionLength-1]
 }
 
-// repairSuccession brings the line of succession to its rules. Those who live keep their
-// order otherwise: the first of them grants already, and each change is a new epoch.
+// repairSuccession changes the line of succession where it breaks the rules of
+// successionPlanner. Otherwise live VMs keep their order: the first of them already
+// grants, and each change needs a new epoch.
 func (r *round) repairSuccession(g *model.Group) {
 	var kept []string
 	for _, vm := range g.Grantors {
@@ -123,8 +126,8 @@
 			kept = append(kept, vm)
 		}
 	}
-	whole := len(kept) == len(g.Grantors) && len(kept) >= min(successionLength, len(r.in.VMs))
-	if whole && r.satisfiesRules(g, kept) {
+	complete := len(kept) == len(g.Grantors) && len(kept) >= min(successionLength, len(r.in.VMs))
+	if complete && r.satisfiesRules(g, kept) {
 		return
 	}
 	l := r.successionOf(g)
@@ -136,12 +139,12 @@
 	if slices.Equal(line, g.Grantors) {
 		return
 	}
-	r.decide(Succession, g, "%s: grantors are %v, before %v", groupName(r.in.Service, g), line, g.Grantors)
+	r.decide(Succession, g, "%s: grantors changed to %v, previously %v", groupName(r.in.Service, g), line, g.Grantors)
 	g.Grantors = line
 }
 
-// satisfiesRules reports whether a whole line needs no change. One with a VM that is silent
-// for the moment is left alone: a restart takes seconds.
+// satisfiesRules reports whether a complete line needs no change. A line with a VM
+// that is missing for the moment is left unchanged: a restart takes seconds.
 func (r *round) satisfiesRules(g *model.Group, line []string) bool {
 	if !r.allLive(line) {
 		return true
--- a/internal/decide/placement/succession_test.go
+++ b/internal/decide/placement/succession_test.go
@@ -10,9 +10,9 @@
 	"hemlockquay/internal/model"
 )
 
-// Nine VMs start at once; the first assigner knows only itself. It plans lines of
-// one grantor. That VM is lost a second later, and its keys have no owner until
-// an operator helps. Cause: the first plan did not wait for VMs already listed.
+// Guards against lines of one grantor. When nine VMs start at once and the first plan
+// does not wait for the listed VMs, the first assigner plans with itself alone. If that
+// VM is lost a second later, its keys have no owner until an operator intervenes.
 func TestFirstPlanWaitsForListedVMs(t *testing.T) {
 	w := newSimulation(10, 3, 9, 64, model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1})
 	all := w.in.VMs
@@ -30,14 +30,14 @@
 	p, w.in.VMs = New(), all[:2]
 	require.Empty(t, p.First(&w.in).Decisions)
 	w.in.Now += firstPlanTimeout
-	require.Len(t, p.First(&w.in).Decisions, 1, "a listed VM that is lost must not keep the service out")
+	require.Len(t, p.First(&w.in).Decisions, 1, "a listed VM that is lost must not block the first plan")
 }
 
-// Lines were planned while one VM was up. The others come one by one, and then
-// the first is gone for good. Its groups must have been given more grantors by
-// then, and three again after it. No key may move for it, and the lines may change a
-// few times at most, or the store pays for a fleet that starts.
-func TestShortLinesAreFilled(t *testing.T) {
+// Lines of succession that were planned with one VM are filled up as other VMs join,
+// and again after the first VM is lost for good. No key may move because of it, and each
+// line may change only a few times, so that the start of a fleet does not load the store
+// with writes.
+func TestShortSuccessionIsFilled(t *testing.T) {
 	w := newSimulation(10, 3, 9, 64, model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1})
 	all := w.in.VMs
 	w.in.VMs = all[:1]
@@ -52,7 +52,7 @@
 	}
 	for _, g := range w.in.Assignment.Groups {
 		require.Len(t, g.Grantors, successionLength)
-		// Each VM that comes makes the lines longer, or better by one rule.
+		// Each VM that joins makes a line longer, or fulfils one more rule.
 		require.LessOrEqual(t, g.Epoch, epoch+successionLength+1)
 	}
 
@@ -66,11 +66,11 @@
 	require.Equal(t, before, w.owned())
 }
 
-// Three data centres, as in Khomas. The one that holds a group's grantor is lost
-// while the store is down. Callers waited until the outage was over: all three in
-// the line were there, or the grantor was with the standby. Cause: lines were not
-// spread, and did not follow the pair.
-func TestLossOfDataCentreLeavesLine(t *testing.T) {
+// Guards against a group without a grantor after the loss of one of three data centres
+// during a store outage. Callers wait until the outage ends if the whole line of
+// succession is in the lost data centre, or if the grantor is there together with the
+// standby. The line must span data centres and follow changes of the pair.
+func TestDataCentreLossLeavesGrantor(t *testing.T) {
 	w := newSimulation(12, 3, 9, 64, model.Weights{Imbalance: 1, Churn: 1, Unavailable: 1})
 	dc := func(target string) string {
 		i := slices.IndexFunc(w.in.Service.Targets, func(t model.Target) bool { return t.Name == target })
@@ -90,5 +90,5 @@
 	check()
 	before := w.kinds[Succession]
 	w.run(time.Minute)
-	require.Equal(t, before, w.kinds[Succession], "and stays as it is")
+	require.Equal(t, before, w.kinds[Succession], "a line that satisfies the rules stays unchanged")
 }
