--- a/internal/agent/assigner.go
+++ b/internal/agent/assigner.go
@@ -187,7 +187,7 @@
 	}
 	written, err := a.write(ctx, a.plans, model.KindAssignment, s.Name, version, &result.Assignment)
 	if err != nil {
-		p.planner.Forget()
+		p.planner.DropMoves()
 		a.log.Debug().Err(err).Str("step", "plan").Str("peer", "store").Str("service", s.Name).Msg("assignment not written")
 		return
 	}
--- a/internal/decide/placement/move_simulation_test.go
+++ b/internal/decide/placement/move_simulation_test.go
@@ -138,14 +138,14 @@
 		return
 	}
 	if !reaches || p.read != p.version {
-		p.planner.Forget()
+		p.planner.DropMoves()
 		return
 	}
 	p.checkIntent(&r.Assignment)
 	p.stored, p.version = r.Assignment, p.version+1
 	if p.loseAnswers > 0 {
 		p.loseAnswers--
-		p.planner.Forget()
+		p.planner.DropMoves()
 	}
 }
 
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -153,9 +153,9 @@
 	return Result{Assignment: r.next, Decisions: r.decisions}
 }
 
-// Forget drops all moves in progress after a record could not be written. Moves
+// DropMoves drops all moves in progress after a record could not be written. Moves
 // that the record contains are adopted from it in the next round.
-func (p *Planner) Forget() { clear(p.moves) }
+func (p *Planner) DropMoves() { clear(p.moves) }
 
 // raiseEpochs gives a new epoch to each group whose targets or grantors changed,
 // and lists the targets that lost a role as previous. A change of the intent alone
