--- a/internal/agent/assigner.go
+++ b/internal/agent/assigner.go
@@ -178,7 +178,7 @@
 	in := a.input(s, held)
 	var result placement.Result
 	if held == nil {
-		result = p.planner.First(&in)
+		result = p.planner.PlanFirst(&in)
 	} else {
 		result = p.planner.Plan(&in)
 	}
--- a/internal/decide/placement/initial.go
+++ b/internal/decide/placement/initial.go
@@ -17,13 +17,13 @@
 // service without a plan refuses all requests.
 const firstPlanTimeout = 2 * time.Second
 
-// First plans a service that has no assignment, once heartbeats of every listed VM
+// PlanFirst plans a service that has no assignment, once heartbeats of every listed VM
 // have arrived or firstPlanTimeout has passed.
 //
 // Without this wait, when the whole system starts at once, the first assigner knows
 // no peers yet and writes lines of one or two grantors. If a VM is lost before these
 // are filled up, nobody takes over its groups.
-func (p *Planner) First(in *Input) Result {
+func (p *Planner) PlanFirst(in *Input) Result {
 	if !p.firstPlanDue {
 		p.firstPlanDue, p.firstPlanSince = true, in.Now
 	}
--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -105,7 +105,7 @@
 	// loadSince is when this planner first received load figures.
 	loadSince time.Duration
 	loadKnown bool
-	// firstPlanSince is when First was first called; firstPlanDue reports whether
+	// firstPlanSince is when PlanFirst was first called; firstPlanDue reports whether
 	// it has been.
 	firstPlanSince time.Duration
 	firstPlanDue   bool
--- a/internal/decide/placement/succession_test.go
+++ b/internal/decide/placement/succession_test.go
@@ -19,18 +19,18 @@
 	w.in.Assignment, w.in.Listed = nil, len(all)
 	p := New()
 	w.in.Now, w.in.VMs = time.Hour, all[:1]
-	require.Empty(t, p.First(&w.in).Decisions)
+	require.Empty(t, p.PlanFirst(&w.in).Decisions)
 	w.in.Now, w.in.VMs = time.Hour+time.Second, all
-	r := p.First(&w.in)
+	r := p.PlanFirst(&w.in)
 	require.Len(t, r.Decisions, 1)
 	for _, g := range r.Assignment.Groups {
 		require.Len(t, g.Grantors, successionLength)
 	}
 
 	p, w.in.VMs = New(), all[:2]
-	require.Empty(t, p.First(&w.in).Decisions)
+	require.Empty(t, p.PlanFirst(&w.in).Decisions)
 	w.in.Now += firstPlanTimeout
-	require.Len(t, p.First(&w.in).Decisions, 1, "a listed VM that is lost must not block the first plan")
+	require.Len(t, p.PlanFirst(&w.in).Decisions, 1, "a listed VM that is lost must not block the first plan")
 }
 
 // Lines of succession that were planned with one VM are filled up as other VMs join,
