--- a/internal/decide/keyspread/keyspread.go
+++ b/internal/decide/keyspread/keyspread.go
@@ -1,20 +1,20 @@
-// Package keyspread decides which ranges of keys should have another owner, and
-// which should be divided, from the measured load of each.
+// Package keyspread decides which ranges of keys should move to another owner, and
+// which should be divided, from the measured load of each range.
 //
-// Busy keys are neighbours and change within seconds: one owner gets several times what it can do while
-// others are idle.
+// Busy keys are often adjacent and change within seconds, so that one owner gets
+// several times its capacity while others are idle.
 //
-// An owner's load is the time that the requests for its keys take at its speed,
-// over all its slots. The most loaded owner gives up ranges, to where they leave
-// the least load, while that helps. A range that is too hot for any is divided at
-// the key that halves its load. A single key cannot be divided: all others leave
-// its owner.
+// The load of an owner is the request rate for its keys divided by its capacity. As
+// long as that is a gain, the most loaded owner gives up ranges, each to the owner
+// that will have the least load with it. A range that is too hot for any owner is
+// divided at the key that halves its load. A single key cannot be divided; instead all
+// other ranges move away from its owner.
 //
-// A key that is too hot for any owner stays where it is, unless another is faster by
-// more than measurements err: an overloaded owner measures slow.
+// A key that is too hot for any owner stays where it is, unless another owner is faster
+// by more than the measurement error, because an overloaded owner is measured as slow.
 //
-// A move costs the requests for its range a wait, so nothing moves below busyLeast, nor for less than
-// gainLeast of the capacity of the owner.
+// Requests for a range wait while it moves, so nothing moves from an owner whose load is
+// below busyLoad, nor for a gain below minGain.
 package keyspread
 
 import (
@@ -23,48 +23,50 @@
 )
 
 const (
-	// busyLeast is the load from which an owner gives up ranges: below it
-	// requests seldom wait for each other.
-	busyLeast = 0.55
-	// fillMost is the load up to which an owner may get ranges only to even out
-	// their number: well below busyLeast, so that it need not give them up again.
-	fillMost = 0.3
-	// gainLeast is by how much the higher load of the two owners must fall. Where the
-	// range overloads its new owner, too, it is gainShare of the load: a target that
-	// is full is slower by a fifth, and loads are measured to about a tenth.
-	gainLeast = 0.08
-	gainShare = 0.3
-	// divideLeast is the share of an owner's capacity above which a range is
-	// divided rather than moved whole.
-	divideLeast = 0.25
-	// movesMost bounds the moves of one decision, dividesMost the divisions.
-	movesMost   = 12
-	dividesMost = 12
+	// busyLoad is the load from which an owner gives up ranges; below it, requests
+	// seldom wait for each other.
+	busyLoad = 0.55
+	// maxFillLoad is the load up to which an owner may get ranges only to even out
+	// their number. It is well below busyLoad, so that the owner need not give them up
+	// again.
+	maxFillLoad = 0.3
+	// minGain is by how much a move must reduce the higher load of the two owners. If
+	// the range would overload its new owner, too, the least gain is overloadGainShare
+	// of the old owner's load: a full target is slower by a fifth, and loads are
+	// measured to about a tenth.
+	minGain           = 0.08
+	overloadGainShare = 0.3
+	// minDivideShare is the share of an owner's capacity above which a range is
+	// divided rather than moved as a whole.
+	minDivideShare = 0.25
+	// maxMoves bounds the moves of one decision, maxDivides the divisions.
+	maxMoves   = 12
+	maxDivides = 12
 )
 
 // Range is a range of keys with its owner and load.
 type Range struct {
 	// Owner is the index of the owner.
 	Owner int
-	// Rate is the requests per second for its keys.
+	// Rate is the requests per second for the keys of the range.
 	Rate float64
-	// Fixed ranges are on the move, or cannot be moved now.
+	// Fixed reports whether the range is being moved, or cannot be moved now.
 	Fixed bool
-	// Divisible reports whether the load has more than one key.
+	// Divisible reports whether more than one key of the range has load.
 	Divisible bool
 }
 
-// Move gives a range another owner.
+// Move assigns a range, by index, to another owner.
 type Move struct{ Range, To int }
 
-// Decision is what should change.
+// Decision is a set of changes to make.
 type Decision struct {
 	Moves []Move
-	// Divide are ranges that should be divided before more is decided.
+	// Divide are the indices of ranges to divide before the next decision.
 	Divide []int
 }
 
-// Loads returns the load of each owner.
+// Loads returns the load of each owner, as a multiple of its capacity.
 func Loads(ranges []Range, capacity []float64) []float64 {
 	load := make([]float64, len(capacity))
 	for _, r := range ranges {
@@ -75,73 +77,75 @@
 	return load
 }
 
-// Busy reports whether an owner with this load must not get ranges only to even out
-// their number.
-func Busy(load float64) bool { return load > fillMost }
+// Busy reports whether the load of an owner is too high for it to get ranges only to even
+// out their number.
+func Busy(load float64) bool { return load > maxFillLoad }
 
-// Decide returns the changes. capacity is how many requests a second each owner
-// can do.
+// Decide returns the changes to make. capacity is the requests per second that each
+// owner can serve.
 func Decide(ranges []Range, capacity []float64) Decision {
 	p := plan{ranges: slices.Clone(ranges), capacity: capacity, load: Loads(ranges, capacity)}
-	for len(p.out.Moves) < movesMost && len(p.out.Divide) < dividesMost && p.step() {
+	for len(p.decision.Moves) < maxMoves && len(p.decision.Divide) < maxDivides && p.step() {
 	}
-	return p.out
+	return p.decision
 }
 
 type plan struct {
-	ranges   []Range
-	capacity []float64
-	load     []float64
-	spent    []int
-	out      Decision
+	ranges    []Range
+	capacity  []float64
+	load      []float64
+	exhausted []int
+	decision  Decision
 }
 
-// step makes one change. It returns false when there is none to make.
+// step adds one change to the decision, or excludes an owner that can give up nothing.
+// It returns false if no owner is left.
 func (p *plan) step() bool {
-	from := p.hottest()
+	from := p.mostLoaded()
 	if from < 0 {
 		return false
 	}
-	best, to, gain := -1, -1, gainLeast
+	best, to, gain := -1, -1, minGain
 	for i, r := range p.ranges {
 		if r.Owner != from || r.Fixed || r.Rate == 0 {
 			continue
 		}
-		target := p.coolestFor(r.Rate, from)
+		target := p.leastLoadedWith(r.Rate, from)
 		if target < 0 {
 			continue
 		}
-		if g := p.gain(r.Rate, from, target); g > max(gain, p.least(r.Rate, from, target)) {
+		if g := p.gain(r.Rate, from, target); g > max(gain, p.minGainFor(r.Rate, from, target)) {
 			best, to, gain = i, target, g
 		}
 	}
 	hot := p.hottestRange(from)
-	if hot >= 0 && p.ranges[hot].Rate/p.capacity[from] > divideLeast && (best < 0 || best == hot) && p.halfHelps(hot) {
+	if hot >= 0 && p.ranges[hot].Rate/p.capacity[from] > minDivideShare && (best < 0 || best == hot) && p.divisionHelps(hot) {
 		p.ranges[hot].Fixed = true
-		p.out.Divide = append(p.out.Divide, hot)
+		p.decision.Divide = append(p.decision.Divide, hot)
 		return true
 	}
 	if best < 0 {
-		p.spent = append(p.spent, from)
+		p.exhausted = append(p.exhausted, from)
 		return true
 	}
 	p.move(best, to)
 	return true
 }
 
-// halfHelps reports whether half of a range would be better at another owner.
-// Where all owners are overloaded no move helps, and dividing ranges only costs renewals.
-func (p *plan) halfHelps(i int) bool {
+// divisionHelps reports whether it would be a gain to move half of the range to another
+// owner. If all owners are overloaded, no move helps, and the divided ranges only need
+// more renewals.
+func (p *plan) divisionHelps(i int) bool {
 	r := p.ranges[i]
-	to := p.coolestFor(r.Rate/2, r.Owner)
-	return to >= 0 && p.gain(r.Rate/2, r.Owner, to) > gainLeast
+	to := p.leastLoadedWith(r.Rate/2, r.Owner)
+	return to >= 0 && p.gain(r.Rate/2, r.Owner, to) > minGain
 }
 
-// hottest returns the most loaded owner that may still give up something.
-func (p *plan) hottest() int {
+// mostLoaded returns the most loaded busy owner that may still give up ranges, -1 for none.
+func (p *plan) mostLoaded() int {
 	best := -1
 	for i, l := range p.load {
-		if l < busyLeast || slices.Contains(p.spent, i) {
+		if l < busyLoad || slices.Contains(p.exhausted, i) {
 			continue
 		}
 		if best < 0 || l > p.load[best] {
@@ -151,8 +155,7 @@
 	return best
 }
 
-// hottestRange returns the range of an owner with the most load that can be
-// divided.
+// hottestRange returns the divisible range of the owner with the most load, -1 for none.
 func (p *plan) hottestRange(owner int) int {
 	best := -1
 	for i, r := range p.ranges {
@@ -163,8 +166,9 @@
 	return best
 }
 
-// coolestFor returns the owner that would have the least load with the range.
-func (p *plan) coolestFor(rate float64, from int) int {
+// leastLoadedWith returns the owner other than from that would have the least load after
+// it got this rate, -1 for none.
+func (p *plan) leastLoadedWith(rate float64, from int) int {
 	best, least := -1, math.Inf(1)
 	for i := range p.load {
 		if i == from {
@@ -177,15 +181,15 @@
 	return best
 }
 
-// least is the gain below which the range stays.
-func (p *plan) least(rate float64, from, to int) float64 {
+// minGainFor returns the least gain for which a range of this rate moves.
+func (p *plan) minGainFor(rate float64, from, to int) float64 {
 	if p.load[to]+rate/p.capacity[to] < 1 {
-		return gainLeast
+		return minGain
 	}
-	return max(gainLeast, gainShare*p.load[from])
+	return max(minGain, overloadGainShare*p.load[from])
 }
 
-// gain is by how much the higher of the two loads falls.
+// gain returns by how much the move reduces the higher load of the two owners.
 func (p *plan) gain(rate float64, from, to int) float64 {
 	before := max(p.load[from], p.load[to])
 	after := max(p.load[from]-rate/p.capacity[from], p.load[to]+rate/p.capacity[to])
@@ -197,5 +201,5 @@
 	p.load[r.Owner] -= r.Rate / p.capacity[r.Owner]
 	p.load[to] += r.Rate / p.capacity[to]
 	r.Owner, r.Fixed = to, true
-	p.out.Moves = append(p.out.Moves, Move{Range: i, To: to})
+	p.decision.Moves = append(p.decision.Moves, Move{Range: i, To: to})
 }
--- a/internal/decide/keyspread/keyspread_test.go
+++ b/internal/decide/keyspread/keyspread_test.go
@@ -11,9 +11,9 @@
 	_ "hemlockquay/internal/fixedseed"
 )
 
-// loads returns each owner's load after all decisions, divisions included, have
-// been carried out. halve divides a range in two equal halves.
-func settle(ranges []Range, capacity []float64, rounds int) (loads []float64, moved int) {
+// applyDecisions carries out the decisions of several rounds and returns each owner's load
+// afterwards, and the number of moves. A division makes two ranges of half the rate.
+func applyDecisions(ranges []Range, capacity []float64, rounds int) (loads []float64, moved int) {
 	for range rounds {
 		d := Decide(ranges, capacity)
 		for _, m := range d.Moves {
@@ -35,10 +35,10 @@
 	return loads, moved
 }
 
-// Two fifths of all requests are suddenly about two ranges of one owner, three
-// times what it can do. Within four decisions every owner must be below its
-// capacity.
-func TestHotNeighbourhoodIsSpread(t *testing.T) {
+// Guards against an owner that stays overloaded when two of its ranges suddenly get two
+// fifths of all requests, three times its capacity. After six decisions every owner
+// must be below its capacity.
+func TestAdjacentHotRangesAreSpread(t *testing.T) {
 	const owners = 10
 	capacity := make([]float64, owners)
 	var ranges []Range
@@ -49,16 +49,16 @@
 		}
 	}
 	ranges[0].Rate, ranges[1].Rate = 45, 45
-	loads, moved := settle(ranges, capacity, 6)
+	loads, moved := applyDecisions(ranges, capacity, 6)
 	for i, l := range loads {
 		require.Less(t, l, 0.85, "owner %d", i)
 	}
 	require.Less(t, moved, 30)
 }
 
-// One key gets more than any owner can do. It cannot be divided; everything else
-// must leave the one that has it.
-func TestKeyHotterThanItsOwnerGetsItAlone(t *testing.T) {
+// One key gets more requests than any owner can serve. It cannot be divided, so all other
+// ranges must move away from its owner.
+func TestKeyHotterThanItsOwnerIsAloneThere(t *testing.T) {
 	capacity := []float64{30, 30, 30, 30}
 	ranges := []Range{{Owner: 0, Rate: 40}}
 	for range 8 {
@@ -67,7 +67,7 @@
 	for i := range 8 {
 		ranges = append(ranges, Range{Owner: 1 + i%3, Rate: 2, Divisible: true})
 	}
-	loads, _ := settle(ranges, capacity, 6)
+	loads, _ := applyDecisions(ranges, capacity, 6)
 	for i, l := range loads {
 		if i == ranges[0].Owner {
 			require.InDelta(t, 40.0/30, l, 0.25)
@@ -77,10 +77,10 @@
 	}
 }
 
-// One key gets twice what the fastest owner can do. A target that is full is slower by
-// a fifth than an idle one, so its owner always came out slower than the others, and the
-// key moved every 0.6 s for as long as it was hot, without service during each move. It
-// goes to a fast one and stays.
+// Guards against a key that moves every 0.6 s while it is hot, and is not served during
+// each move. With twice the requests that the fastest owner can serve, its owner is full
+// and measured as a fifth slower than an idle target. The key must move to a fast owner
+// and stay there.
 func TestKeyHotterThanAnyOwnerStays(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 1))
 	ranges := []Range{{Owner: 0, Rate: 230}, {Owner: 1, Rate: 20}, {Owner: 2, Rate: 25}, {Owner: 3, Rate: 15}}
@@ -98,12 +98,12 @@
 			ranges[m.Range].Owner = m.To
 		}
 	}
-	require.NotZero(t, ranges[0].Owner, "not at the slow one")
+	require.NotZero(t, ranges[0].Owner, "the key is still at the slow owner")
 	require.LessOrEqual(t, moves, 2)
 }
 
-// Half of the targets are lost, and all that are left have more than they can do. To divide
-// their ranges helps nobody, and each must be renewed by a call of its own.
+// Guards against useless divisions after the loss of half of the targets, when all others are
+// overloaded: no owner can take a half, and each range is renewed by a call of its own.
 func TestNothingIsDividedWhereAllAreOverloaded(t *testing.T) {
 	capacity := []float64{30, 30, 30, 30}
 	var ranges []Range
@@ -113,18 +113,18 @@
 	require.Equal(t, Decision{}, Decide(ranges, capacity))
 }
 
-// Owners are of unequal speed: the slow one must get less.
+// Owners differ in speed; the slow one must get less load.
 func TestSlowOwnerGetsLess(t *testing.T) {
 	capacity := []float64{10, 40, 40}
 	var ranges []Range
 	for i := range 30 {
 		ranges = append(ranges, Range{Owner: i % 3, Rate: 2, Divisible: true})
 	}
-	loads, _ := settle(ranges, capacity, 8)
+	loads, _ := applyDecisions(ranges, capacity, 8)
 	require.Less(t, loads[0], 0.85)
 }
 
-// A moderate load must not move keys about: each move costs its callers a wait.
+// Under moderate load no key may move, because callers wait during each move.
 func TestNothingMovesWithoutNeed(t *testing.T) {
 	capacity := []float64{30, 30, 30}
 	ranges := []Range{{Owner: 0, Rate: 15, Divisible: true}, {Owner: 1, Rate: 3, Divisible: true}, {Owner: 2, Rate: 9, Divisible: true}}
@@ -158,11 +158,11 @@
 				ranges = append(ranges, half)
 			}
 		}
-		require.Fail(t, "keys move without end")
+		require.Fail(t, "decisions do not settle within 60 rounds")
 	})
 }
 
-func TestRatesFadeAndHalve(t *testing.T) {
+func TestRatesDecayAndSplit(t *testing.T) {
 	r := NewRates()
 	r.Advance(time.Second)
 	for key := uint16(100); key < 110; key++ {
@@ -175,15 +175,14 @@
 	require.InDelta(t, 100, sums[1].Rate, 1)
 	require.Equal(t, uint16(104), sums[1].Half)
 	require.Zero(t, sums[2].Keys)
-	r.Advance(time.Second + memory)
+	r.Advance(time.Second + decayTime)
 	require.InDelta(t, 100/2.718, r.Sums([]uint16{0})[0].Rate, 1)
 	r.Advance(time.Minute)
 	require.Zero(t, r.Sums([]uint16{0})[0].Keys)
 }
 
-// One key of many has most of the load: the division must leave something on
-// both sides.
-func TestHalfNeverTakesAll(t *testing.T) {
+// A division must leave keys on both sides, also if one key has most of the load.
+func TestHalfNeverContainsAllKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRates()
 		n := rapid.IntRange(2, 20).Draw(t, "keys")
--- a/internal/decide/keyspread/limit_test.go
+++ b/internal/decide/keyspread/limit_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a key that is hotter than its owner and takes the owner's other keys with it.
-func TestHotKeyIsCutAndTheOtherKeysOfItsOwnerAreNot(t *testing.T) {
+// Guards against a key that is too hot for its owner and takes capacity from the owner's other keys.
+func TestOnlyHotKeyOfOverloadedOwnerIsLimited(t *testing.T) {
 	for _, vms := range []float64{10, 100, 300} {
 		hot := 2 * vms
 		ranges := []Range{{Owner: 0, Rate: hot}, {Owner: 0, Rate: 2}, {Owner: 0, Rate: 1}, {Owner: 1, Rate: 5}}
 		admitted := Admitted(ranges, []float64{7, 7})
-		require.InDelta(t, (7*excessLoad-3)/hot, admitted[0], 1e-9, "what the others leave")
+		require.InDelta(t, (7*overloadLimit-3)/hot, admitted[0], 1e-9, "the hot key gets what the others leave")
 		require.Equal(t, []float64{1, 1, 1}, admitted[1:])
 	}
 }
@@ -34,7 +34,7 @@
 			}
 		}
 		for owner, load := range before {
-			require.InDelta(t, min(load, excessLoad), after[owner], 1e-6, "no slot is left idle, and none has too much")
+			require.InDelta(t, min(load, overloadLimit), after[owner], 1e-6, "an owner's admitted load is neither above the limit nor needlessly below it")
 		}
 	})
 }
--- a/internal/decide/keyspread/rates.go
+++ b/internal/decide/keyspread/rates.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// Rates are the requests per second for each key, as a moving mean. It belongs to
-// one goroutine.
+// Rates are the requests per second for each key, as exponentially decaying averages.
+// They are not safe for concurrent use.
 type Rates struct {
-	keys map[uint16]float64
-	at   time.Duration
+	keys      map[uint16]float64
+	updatedAt time.Duration
 }
 
 const (
-	// memory is the time over which a rate is forgotten to 1/e. A change shows
-	// within a second; at a hundred requests a second to a hot neighbourhood the
-	// rate is known to about a tenth.
-	memory = 1200 * time.Millisecond
-	// least is the rate below which a key is forgotten.
-	least = 0.02
+	// decayTime is the time in which a rate decays to 1/e. A change shows within a
+	// second, and at a hundred requests per second for a group of hot keys the rate is
+	// accurate to about a tenth.
+	decayTime = 1200 * time.Millisecond
+	// minRate is the rate below which a key is removed.
+	minRate = 0.02
 )
 
-// NewRates returns rates of nothing.
+// NewRates returns rates without any keys.
 func NewRates() *Rates { return &Rates{keys: make(map[uint16]float64)} }
 
 // Add records requests for a key.
 func (r *Rates) Add(key uint16, requests int) {
-	r.keys[key] += float64(requests) / memory.Seconds()
+	r.keys[key] += float64(requests) / decayTime.Seconds()
 }
 
-// Advance lets the rates fade until now.
+// Advance decays the rates for the time since the last call.
 func (r *Rates) Advance(now time.Duration) {
-	if r.at == 0 {
-		r.at = now
+	if r.updatedAt == 0 {
+		r.updatedAt = now
 	}
-	fade := math.Exp(-float64(now-r.at) / float64(memory))
-	r.at = now
+	decay := math.Exp(-float64(now-r.updatedAt) / float64(decayTime))
+	r.updatedAt = now
 	for key, rate := range r.keys {
-		if rate*fade < least {
+		if rate*decay < minRate {
 			delete(r.keys, key)
 			continue
 		}
-		r.keys[key] = rate * fade
+		r.keys[key] = rate * decay
 	}
 }
 
@@ -51,12 +51,12 @@
 type Sum struct {
 	Rate float64
 	Keys int
-	// Half is the last key of the first part when the load is halved.
+	// Half is the last key of the first part if the range is divided to halve its load.
 	Half uint16
 }
 
-// Sums returns the load of ranges that begin at these keys and cover the key
-// space.
+// Sums returns the load of consecutive ranges that begin at these sorted keys; the last
+// one extends to the end of the key space.
 func (r *Rates) Sums(from []uint16) []Sum {
 	out := make([]Sum, len(from))
 	if len(from) == 0 {
@@ -65,7 +65,7 @@
 	at := 0
 	var run []uint16
 	flush := func() {
-		out[at].Half = r.half(run, out[at].Rate)
+		out[at].Half = r.splitKey(run, out[at].Rate)
 		run = run[:0]
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.keys)) {
@@ -81,9 +81,9 @@
 	return out
 }
 
-// half returns the key up to which half of the load lies; the last key is never
-// in the first part.
-func (r *Rates) half(keys []uint16, total float64) uint16 {
+// splitKey returns the last key of the first part for a division that halves the load.
+// The first part never contains the last key.
+func (r *Rates) splitKey(keys []uint16, total float64) uint16 {
 	if len(keys) < 2 {
 		return 0
 	}
@@ -91,7 +91,7 @@
 	for i, key := range keys {
 		sum += r.keys[key]
 		if sum >= total/2 || i == len(keys)-2 {
-			// Closer to the half from below, where there is something below.
+				// Without this key the first part may be closer to half of the load.
 			if i > 0 && sum-total/2 > total/2-(sum-r.keys[key]) {
 				return keys[i-1]
 			}
