--- a/internal/decide/subset/play_test.go
+++ b/internal/decide/subset/simulation_test.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	playStep    = 5 * time.Millisecond
-	playLength  = 5 * time.Second
-	playWork    = 270 * time.Millisecond
-	playAim     = 800 * time.Millisecond
-	playSlots   = 3
-	playLoad    = 0.66
-	reportEvery = 250 * time.Millisecond
+	simStep        = 5 * time.Millisecond
+	simDuration    = 5 * time.Second
+	meanWork       = 270 * time.Millisecond
+	objective      = 800 * time.Millisecond
+	slotsPerTarget = 3
+	utilisation    = 0.66
+	reportInterval = 250 * time.Millisecond
 )
 
-// playedTarget works on its requests in their order, as many at a time as it has slots.
-type playedTarget struct {
+// simulation works on its requests in their order, as many at a time as it has slots.
+type simulation struct {
 	speed float64
-	queue []*playedRequest
+	queue []*simRequest
 }
 
-type playedRequest struct {
+type simRequest struct {
 	vm, target int
 	sent       time.Duration
 	work       time.Duration
@@ -37,8 +37,8 @@
 type play struct {
 	vms, targets int
 	sharers      int
-	draw         *rand.Rand
-	pool         []*playedTarget
+	rand         *rand.Rand
+	pool         []*simulation
 	windows      [][]int
 	states       []map[int]*pick.State
 	// reported is what each VM last reported of each target, users the VMs that use it.
@@ -47,18 +47,18 @@
 	// period is the time between two reports of a VM.
 	period time.Duration
 
-	answered, inAim, refused int
+	answered, onTime, refused int
 }
 
-// newPlay returns a pool of which each VM uses its subset, or all of it.
-func newPlay(n int, whole bool) *play {
-	p := &play{vms: n, targets: n, sharers: Sharers(n, n), period: reportEvery, draw: rand.New(rand.NewPCG(7, uint64(n)))}
+// newSimulation returns a pool of which each VM uses its subset, or all of it.
+func newSimulation(n int, whole bool) *play {
+	p := &play{vms: n, targets: n, sharers: Sharers(n, n), period: reportInterval, rand: rand.New(rand.NewPCG(7, uint64(n)))}
 	if whole {
 		p.sharers, p.period = n, time.Duration(n)*12*time.Millisecond
 	}
 	speeds := []float64{0.5, 1, 1, 1.5}
 	for i := range p.targets {
-		p.pool = append(p.pool, &playedTarget{speed: speeds[i%len(speeds)]})
+		p.pool = append(p.pool, &simulation{speed: speeds[i%len(speeds)]})
 	}
 	p.users = make([][]int, p.targets)
 	for vm := range p.vms {
@@ -69,7 +69,7 @@
 		p.windows = append(p.windows, window)
 		states := make(map[int]*pick.State)
 		for _, at := range window {
-			states[at] = &pick.State{Slots: playSlots, Near: true}
+			states[at] = &pick.State{Slots: slotsPerTarget, Near: true}
 			p.users[at] = append(p.users[at], vm)
 		}
 		p.states, p.reported = append(p.states, states), append(p.reported, make(map[int]int))
@@ -78,14 +78,14 @@
 }
 
 func (p *play) run() {
-	perStep := playLoad * playSlots / playWork.Seconds() * playStep.Seconds()
-	for now := time.Duration(0); now < playLength; now += playStep {
+	perStep := utilisation * slotsPerTarget / meanWork.Seconds() * simStep.Seconds()
+	for now := time.Duration(0); now < simDuration; now += simStep {
 		if now%pick.LoadsEvery == 0 {
-			p.exchange(now)
+			p.exchangeReports(now)
 		}
 		for vm := range p.vms {
 			// Some VMs have three times the traffic of others.
-			if p.draw.Float64() < perStep*(0.5+float64(vm%3)*0.5) {
+			if p.rand.Float64() < perStep*(0.5+float64(vm%3)*0.5) {
 				p.send(vm, now)
 			}
 		}
@@ -95,8 +95,8 @@
 	}
 }
 
-// exchange refreshes what each VM knows of the requests of the others.
-func (p *play) exchange(now time.Duration) {
+// exchangeReports refreshes what each VM knows of the requests of the others.
+func (p *play) exchangeReports(now time.Duration) {
 	for vm, states := range p.states {
 		phase := time.Duration(vm) * p.period / time.Duration(p.vms) / pick.LoadsEvery * pick.LoadsEvery
 		if now%(p.period/pick.LoadsEvery*pick.LoadsEvery) != phase {
@@ -123,55 +123,55 @@
 	for i, at := range window {
 		states[i] = p.states[vm][at]
 	}
-	job := pick.Job{Usual: playWork, Objective: playAim, First: p.draw.IntN(len(window))}
+	job := pick.Job{Usual: meanWork, Objective: objective, First: p.rand.IntN(len(window))}
 	i := pick.Choose(states, job, func(int) bool { return false }, now)
 	if i < 0 {
 		p.refused++
 		return
 	}
 	t := p.pool[window[i]]
-	work := time.Duration(p.draw.ExpFloat64() * float64(playWork) / t.speed)
-	r := &playedRequest{vm: vm, target: window[i], sent: now, work: work, rounds: states[i].Rounds()}
+	work := time.Duration(p.rand.ExpFloat64() * float64(meanWork) / t.speed)
+	r := &simRequest{vm: vm, target: window[i], sent: now, work: work, rounds: states[i].Rounds()}
 	states[i].Sent(p.sharers)
 	t.queue = append(t.queue, r)
 }
 
-func (p *play) work(t *playedTarget, now time.Duration) {
+func (p *play) work(t *simulation, now time.Duration) {
 	kept := t.queue[:0]
 	for i, r := range t.queue {
-		if i < playSlots {
-			r.work -= playStep
+		if i < slotsPerTarget {
+			r.work -= simStep
 		}
 		if r.work > 0 {
 			kept = append(kept, r)
 			continue
 		}
 		p.answered++
-		if now-r.sent <= playAim {
-			p.inAim++
+		if now-r.sent <= objective {
+			p.onTime++
 		}
 		s := p.states[r.vm][r.target]
 		s.Gone(p.sharers)
-		s.Answered(now-r.sent, playWork, r.rounds)
+		s.Answered(now-r.sent, meanWork, r.rounds)
 	}
 	t.queue = kept
 }
 
-func (p *play) share() float64 { return float64(p.inAim) / float64(p.answered+p.refused) }
+func (p *play) onTimeShare() float64 { return float64(p.onTime) / float64(p.answered+p.refused) }
 
 // Guards against a pool that serves its callers worse the more VMs use it.
 func TestPoolServesAsWellAtAnySize(t *testing.T) {
 	shares := make(map[int]float64)
 	for _, n := range []int{10, 100, 300} {
-		p := newPlay(n, false)
+		p := newSimulation(n, false)
 		p.run()
-		shares[n] = p.share()
-		t.Logf("%d VMs: in aim %.3f, refused %d of %d", n, p.share(), p.refused, p.answered)
+		shares[n] = p.onTimeShare()
+		t.Logf("%d VMs: in aim %.3f, refused %d of %d", n, p.onTimeShare(), p.refused, p.answered)
 	}
-	whole := newPlay(100, true)
+	whole := newSimulation(100, true)
 	whole.run()
-	t.Logf("100 VMs, each using all targets: in aim %.3f, refused %d of %d", whole.share(), whole.refused, whole.answered)
+	t.Logf("100 VMs, each using all targets: in aim %.3f, refused %d of %d", whole.onTimeShare(), whole.refused, whole.answered)
 	require.Greater(t, shares[100], shares[10]-0.03)
 	require.Greater(t, shares[300], shares[10]-0.03)
-	require.Greater(t, shares[100], whole.share()+0.05)
+	require.Greater(t, shares[100], whole.onTimeShare()+0.05)
 }
