--- a/internal/decide/pick/cold_test.go
+++ b/internal/decide/pick/cold_test.go
@@ -8,40 +8,40 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ownerLoad plays one owner that runs requests in the order of their arrival.
-type ownerLoad struct {
+// simOwner plays one owner that runs requests in the order of their arrival.
+type simOwner struct {
 	state State
-	// running holds when each slot is free.
-	running []time.Duration
-	// leaving holds when the requests at the owner end.
-	leaving []time.Duration
+	// slotFreeAt holds when each slot is free.
+	slotFreeAt []time.Duration
+	// endsAt holds when the requests at the owner end.
+	endsAt []time.Duration
 }
 
 // send has the owner run a request and returns how long it takes there.
-func (l *ownerLoad) send(now, service time.Duration) time.Duration {
+func (l *simOwner) send(now, service time.Duration) time.Duration {
 	first := 0
-	for i, free := range l.running {
-		if free < l.running[first] {
+	for i, free := range l.slotFreeAt {
+		if free < l.slotFreeAt[first] {
 			first = i
 		}
 	}
-	end := max(now, l.running[first]) + service
-	l.running[first] = end
+	end := max(now, l.slotFreeAt[first]) + service
+	l.slotFreeAt[first] = end
 	l.state.Sent(1)
-	l.leaving = append(l.leaving, end)
+	l.endsAt = append(l.endsAt, end)
 	return end - now
 }
 
-func (l *ownerLoad) advance(now time.Duration) {
-	kept := l.leaving[:0]
-	for _, end := range l.leaving {
+func (l *simOwner) advance(now time.Duration) {
+	kept := l.endsAt[:0]
+	for _, end := range l.endsAt {
 		if end > now {
 			kept = append(kept, end)
 			continue
 		}
 		l.state.Gone(1)
 	}
-	l.leaving = kept
+	l.endsAt = kept
 }
 
 // Half of the targets are lost. Each one left has its own keys, and as many that are cold
@@ -59,7 +59,7 @@
 		coldRate  = 34
 	)
 	draw := rand.New(rand.NewPCG(1, 2))
-	l := &ownerLoad{state: State{Slots: slots}, running: make([]time.Duration, slots)}
+	l := &simOwner{state: State{Slots: slots}, slotFreeAt: make([]time.Duration, slots)}
 	warm, warmInTime, cold, coldServed := 0, 0, 0, 0
 	for now := time.Duration(0); now < 20*time.Second; now += time.Millisecond {
 		l.advance(now)
--- a/internal/decide/pick/overload_test.go
+++ b/internal/decide/pick/overload_test.go
@@ -18,7 +18,7 @@
 		rate  = 95 // a second; the owner can do 63
 	)
 	draw := rand.New(rand.NewPCG(3, 4))
-	l := &ownerLoad{state: State{Slots: slots}, running: make([]time.Duration, slots)}
+	l := &simOwner{state: State{Slots: slots}, slotFreeAt: make([]time.Duration, slots)}
 	bookings, booked, searches, found := 0, 0, 0, 0
 	for now := time.Duration(0); now < 30*time.Second; now += time.Millisecond {
 		l.advance(now)
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -16,41 +16,41 @@
 )
 
 const (
-	// samples is how many answers the slowness of a target reaches over. A
+	// slownessSamples is how many answers the slowness of a target reaches over. A
 	// target that turns ten times slower is down to half of its requests after
 	// one answer and to a tenth after about four.
-	samples = 6
+	slownessSamples = 6
 	// failureSamples is how many ends the share of failures reaches over.
 	failureSamples = 8
-	// crossCost is by how much faster a target in another data centre must be.
+	// crossDataCentreFactor is by how much faster a target in another data centre must be.
 	// Bytes between data centres cost about 4% of an answer's value.
-	crossCost = 1.2
-	// goodEnough is the part of its objective within which an answer may take as
+	crossDataCentreFactor = 1.2
+	// objectiveShare is the part of its objective within which an answer may take as
 	// long as it likes: targets that are faster still are not better.
-	goodEnough = 0.4
+	objectiveShare = 0.4
 	// queueFactor bounds what all VMs together have at a target, in units of its
 	// slots: what runs, and a queue of twice as much. Targets queue about
 	// four times their slots; our view of the other VMs is 0.1 s old.
 	queueFactor = 3
-	// urgentFactor is by how much longer the queue may be for the most urgent requests,
+	// reserveFactor is by how much longer the queue may be for the most urgent requests,
 	// in units of slots: targets queue about four times their slots.
-	urgentFactor = 0.75
+	reserveFactor = 0.75
 	// LoadsEvery is the time between two calls of SetOthers. unseenFade lets what was not
 	// seen fade within the period of the VMs' reports. unseenShare is how
 	// much of what this VM sends the others send too: half, since most load is
 	// of its own making.
-	LoadsEvery  = 50 * time.Millisecond
-	unseenFade  = 0.6
-	unseenShare = 0.5
-	// restFirst and restMost bound the rest of a target that cannot be reached,
+	LoadsEvery      = 50 * time.Millisecond
+	unreportedDecay = 0.6
+	unreportedShare = 0.5
+	// minBackoff and restMost bound the rest of a target that cannot be reached,
 	// which doubles with each failure. The probe that ends it is a request.
-	restFirst = 100 * time.Millisecond
-	restMost  = 1600 * time.Millisecond
-	// lostInARow is how many answers in a row must be lost before a target rests that
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 1600 * time.Millisecond
+	// maxLostInARow is how many answers in a row must be lost before a target rests that
 	// takes connections.
-	lostInARow = 3
-	// slowestRatio bounds how far one answer counts, in either direction.
-	slowestRatio = 20.0
+	maxLostInARow = 3
+	// maxRatio bounds how far one answer counts, in either direction.
+	maxRatio = 20.0
 )
 
 // State is what is known of one target. The zero value is a new target.
@@ -66,11 +66,11 @@
 	// reports: as much as this one, for the same reason.
 	Unseen float64
 
-	logSlow   float64
-	failures  float64
-	lost      int
-	rests     int
-	restUntil time.Duration
+	logSlow      float64
+	failures     float64
+	lostInARow   int
+	backoffs     int
+	backoffUntil time.Duration
 }
 
 // Load returns the requests of all VMs at the target.
@@ -80,20 +80,20 @@
 // Otherwise each VM sends the owner of a hot key what fits there by its own count.
 func (s *State) Sent(vms int) {
 	s.Own++
-	s.Unseen += unseenShare * float64(vms-1)
+	s.Unseen += unreportedShare * float64(vms-1)
 }
 
 // Gone notes that a request of this VM ended there: those of the others that were
 // sent with it have ended, too.
 func (s *State) Gone(vms int) {
 	s.Own--
-	s.Unseen = max(0, s.Unseen-unseenShare*float64(vms-1))
+	s.Unseen = max(0, s.Unseen-unreportedShare*float64(vms-1))
 }
 
 // SetOthers sets what the other VMs have there. It is called each LoadsEvery.
 func (s *State) SetOthers(others int) {
 	s.Others = others
-	s.Unseen *= unseenFade
+	s.Unseen *= unreportedDecay
 }
 
 // InUse reports whether requests of this VM are there, or were lately.
@@ -107,7 +107,7 @@
 	if !lastPlaces {
 		return s.Full()
 	}
-	return float64(s.Load()) >= (queueFactor+urgentFactor)*float64(max(s.Slots, 1))
+	return float64(s.Load()) >= (queueFactor+reserveFactor)*float64(max(s.Slots, 1))
 }
 
 // TakesCold reports whether it may get a request for a cold key: only into a free slot.
@@ -115,7 +115,7 @@
 func (s *State) TakesCold() bool { return s.Load() < max(s.Slots, 1) }
 
 // Resting reports whether it could not be reached just now.
-func (s *State) Resting(now time.Duration) bool { return now < s.restUntil }
+func (s *State) Resting(now time.Duration) bool { return now < s.backoffUntil }
 
 // Slowness is the ratio of its measured service times to the usual ones.
 func (s *State) Slowness() float64 { return math.Exp(s.logSlow) }
@@ -146,21 +146,21 @@
 	LastPlaces bool
 }
 
-// enough is the number of service times that are soon enough.
-func (j Job) enough() float64 {
+// enoughServiceTimes is the number of service times that are soon enoughServiceTimes.
+func (j Job) enoughServiceTimes() float64 {
 	if j.Usual <= 0 {
 		return 0
 	}
-	return goodEnough * float64(j.Objective) / float64(j.Usual)
+	return objectiveShare * float64(j.Objective) / float64(j.Usual)
 }
 
 func (s *State) score(j Job) float64 {
 	// Partly filled slots slow down some targets, and spread risk.
 	fill := 1 + 0.1*float64(s.Load())/float64(max(s.Slots, 1))
 	works := max(0.05, 1-s.failures)
-	score := max(s.Slowness()*s.Rounds(), j.enough()) * fill / (works * works)
+	score := max(s.Slowness()*s.Rounds(), j.enoughServiceTimes()) * fill / (works * works)
 	if !s.Near {
-		score *= crossCost
+		score *= crossDataCentreFactor
 	}
 	return score
 }
@@ -168,18 +168,18 @@
 // Answered records an answer that took so long, where such requests usually take
 // usual. rounds is what Rounds was when it was sent.
 func (s *State) Answered(took, usual time.Duration, rounds float64) {
-	s.lost, s.rests, s.restUntil = 0, 0, 0
+	s.lostInARow, s.backoffs, s.backoffUntil = 0, 0, 0
 	s.failures -= s.failures / failureSamples
 	if usual <= 0 || took <= 0 {
 		return
 	}
 	ratio := Bounded(float64(took) / (float64(usual) * rounds))
-	s.logSlow += (math.Log(ratio) - s.logSlow) / samples
+	s.logSlow += (math.Log(ratio) - s.logSlow) / slownessSamples
 }
 
 // Bounded bounds a ratio of measured to expected time, so that one answer does not count
 // for too much.
-func Bounded(ratio float64) float64 { return min(max(ratio, 1/slowestRatio), slowestRatio) }
+func Bounded(ratio float64) float64 { return min(max(ratio, 1/maxRatio), maxRatio) }
 
 // Failed records a request that the target ran or refused without success.
 func (s *State) Failed() { s.failures += (1 - s.failures) / failureSamples }
@@ -187,21 +187,21 @@
 // Unreached records that the target could not be connected to.
 func (s *State) Unreached(now time.Duration) {
 	s.Failed()
-	s.rest(now)
+	s.backOff(now)
 }
 
 // Lost records that an answer of the target did not come.
 // A single lost answer is no reason to refuse all requests for its keys.
 func (s *State) Lost(now time.Duration) {
 	s.Failed()
-	if s.lost++; s.lost >= lostInARow {
-		s.rest(now)
+	if s.lostInARow++; s.lostInARow >= maxLostInARow {
+		s.backOff(now)
 	}
 }
 
-func (s *State) rest(now time.Duration) {
-	s.restUntil = now + min(restFirst<<min(s.rests, 8), restMost)
-	s.rests++
+func (s *State) backOff(now time.Duration) {
+	s.backoffUntil = now + min(minBackoff<<min(s.backoffs, 8), maxBackoff)
+	s.backoffs++
 }
 
 // Choose returns the index of the best target, or -1 where all are full. skip
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-func never(int) bool { return false }
+func skipNone(int) bool { return false }
 
 func TestLeastLoadedIsTaken(t *testing.T) {
 	states := []*State{{Slots: 2, Own: 1, Others: 2, Near: true}, {Slots: 2, Own: 1, Near: true}, {Slots: 2, Others: 2, Near: true}}
-	require.Equal(t, 1, Choose(states, Job{}, never, 0))
+	require.Equal(t, 1, Choose(states, Job{}, skipNone, 0))
 	require.Equal(t, 2, Choose(states, Job{}, func(i int) bool { return i == 1 }, 0))
 }
 
 func TestNearTargetWinsUnlessBusy(t *testing.T) {
 	states := []*State{{Slots: 2}, {Slots: 2, Near: true}}
-	require.Equal(t, 1, Choose(states, Job{}, never, 0))
+	require.Equal(t, 1, Choose(states, Job{}, skipNone, 0))
 	states[1].Others = 2
-	require.Equal(t, 0, Choose(states, Job{}, never, 0))
+	require.Equal(t, 0, Choose(states, Job{}, skipNone, 0))
 }
 
 // Thirty servers joined a pool of more than a hundred, and two thirds of them got no
@@ -35,20 +35,20 @@
 	}
 	got := make(map[int]int)
 	for range 80 {
-		got[Choose(states, job, never, 0)]++
+		got[Choose(states, job, skipNone, 0)]++
 		job.First++
 	}
 	require.Len(t, got, 40)
 	states[7].Own = 1
 	job.First = 7
-	require.Equal(t, 8, Choose(states, job, never, 0), "an idle one is better than one that works")
+	require.Equal(t, 8, Choose(states, job, skipNone, 0), "an idle one is better than one that works")
 }
 
 // A target that gets more than it can queue never answers, and the connection is
 // lost. When all are full the request must be refused, not sent.
 func TestFullTargetsAreNotChosen(t *testing.T) {
 	states := []*State{{Slots: 2, Others: 6}, {Slots: 1, Own: 3}}
-	require.Equal(t, -1, Choose(states, Job{}, never, 0))
+	require.Equal(t, -1, Choose(states, Job{}, skipNone, 0))
 }
 
 // One target of ten turns ten times slower. It must get less than its share at
@@ -69,7 +69,7 @@
 	for range 3 {
 		states[3].Answered(10*usual, usual, 1)
 	}
-	require.NotEqual(t, 3, Choose(states, Job{}, never, 0))
+	require.NotEqual(t, 3, Choose(states, Job{}, skipNone, 0))
 	for range 10 {
 		states[3].Answered(usual, usual, 1)
 	}
@@ -81,8 +81,8 @@
 func TestUnreachableTargetRests(t *testing.T) {
 	states := []*State{{Slots: 2, Near: true}, {Slots: 2, Own: 5}}
 	states[0].Unreached(0)
-	require.Equal(t, 1, Choose(states, Job{}, never, 50*time.Millisecond))
-	require.Equal(t, 0, Choose(states, Job{}, never, restFirst))
+	require.Equal(t, 1, Choose(states, Job{}, skipNone, 50*time.Millisecond))
+	require.Equal(t, 0, Choose(states, Job{}, skipNone, minBackoff))
 	require.Equal(t, 0, Choose(states, Job{}, func(i int) bool { return i == 1 }, 0), "resting is better than nothing")
 }
 
@@ -90,8 +90,8 @@
 // one in another data centre: the bytes between them are paid for.
 func TestNearTargetThatIsSoonEnoughIsTaken(t *testing.T) {
 	states := []*State{{Slots: 2, logSlow: -0.5}, {Slots: 2, Near: true, logSlow: 0.3}}
-	require.Equal(t, 0, Choose(states, Job{Usual: 100 * time.Millisecond, Objective: 200 * time.Millisecond}, never, 0))
-	require.Equal(t, 1, Choose(states, Job{Usual: 100 * time.Millisecond, Objective: 500 * time.Millisecond}, never, 0))
+	require.Equal(t, 0, Choose(states, Job{Usual: 100 * time.Millisecond, Objective: 200 * time.Millisecond}, skipNone, 0))
+	require.Equal(t, 1, Choose(states, Job{Usual: 100 * time.Millisecond, Objective: 500 * time.Millisecond}, skipNone, 0))
 }
 
 // A key turns hot, and eight VMs send its owner what each believes to fit, before
@@ -145,7 +145,7 @@
 		}
 		s.Answered(100*time.Millisecond, 100*time.Millisecond, 1)
 	}
-	for range lostInARow {
+	for range maxLostInARow {
 		s.Lost(time.Second)
 	}
 	require.True(t, s.Resting(time.Second))
