--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -29,22 +29,22 @@
 )
 
 const (
-	// slowSamples is how many answers the slowness reaches over.
-	slowSamples = 4
+	// slownessSamples is how many answers the slowness reaches over.
+	slownessSamples = 4
 	// slowAbove is the slowness from which a target is avoided, slowBelow the
 	// one from which it is no more; the gap keeps chance from flapping.
 	slowAbove = 3.0
 	slowBelow = 1.5
-	// trialEvery is the least time between two trials of a slow target.
-	trialEvery = time.Second
-	// restFirst and restMost bound the rest after failed connections. A target
+	// probeInterval is the least time between two trials of a slow target.
+	probeInterval = time.Second
+	// minBackoff and restMost bound the rest after failed connections. A target
 	// that is back is found within the second that callers may notice, at two
 	// or three trials a second.
-	restFirst = 50 * time.Millisecond
-	restMost  = 400 * time.Millisecond
-	// leavingFor is how long a target that refused as leaving gets nothing,
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+	// leavingTimeout is how long a target that refused as leaving gets nothing,
 	// unless its health endpoint says so again.
-	leavingFor = 5 * time.Second
+	leavingTimeout = 5 * time.Second
 )
 
 // Target is what is known of one target. The zero value is a new target.
@@ -59,12 +59,12 @@
 	HintLeaving bool
 
 	// logRatio is the moving mean of the logarithm of measured to expected.
-	logRatio  float64
-	slow      bool
-	lastTrial time.Time
-	failures  int
-	restUntil time.Time
-	leftUntil time.Time
+	logRatio     float64
+	slow         bool
+	lastProbe    time.Time
+	failures     int
+	backoffUntil time.Time
+	leavingUntil time.Time
 }
 
 // Slowness returns the ratio of measured to expected service times, 1 at first.
@@ -77,14 +77,14 @@
 func (t *Target) Sent(now time.Time) {
 	t.InFlight++
 	if t.slow {
-		t.lastTrial = now
+		t.lastProbe = now
 	}
 }
 
 // Answered notes an answer.
 func (t *Target) Answered(took, expected time.Duration) {
 	t.failures = 0
-	t.restUntil = time.Time{}
+	t.backoffUntil = time.Time{}
 	t.measure(took, expected)
 }
 
@@ -98,7 +98,7 @@
 
 func (t *Target) measure(took, expected time.Duration) {
 	ratio := float64(max(took, time.Microsecond)) / float64(max(expected, time.Microsecond))
-	t.logRatio += (math.Log(ratio) - t.logRatio) / slowSamples
+	t.logRatio += (math.Log(ratio) - t.logRatio) / slownessSamples
 	switch s := t.Slowness(); {
 	case s > slowAbove:
 		t.slow = true
@@ -110,37 +110,37 @@
 // Failed notes a connection that failed or broke. It returns how long the target
 // rests.
 func (t *Target) Failed(now time.Time) time.Duration {
-	rest := min(time.Duration(float64(restFirst)*math.Pow(2, float64(min(t.failures, 16)))), restMost)
+	rest := min(time.Duration(float64(minBackoff)*math.Pow(2, float64(min(t.failures, 16)))), maxBackoff)
 	t.failures++
-	t.restUntil = now.Add(rest)
+	t.backoffUntil = now.Add(rest)
 	return rest
 }
 
 // Left notes that the target refused a request because it leaves.
-func (t *Target) Left(now time.Time) { t.leftUntil = now.Add(leavingFor) }
+func (t *Target) Left(now time.Time) { t.leavingUntil = now.Add(leavingTimeout) }
 
 // Returned notes that a target that had left says that it is back.
-func (t *Target) Returned() { t.leftUntil = time.Time{} }
+func (t *Target) Returned() { t.leavingUntil = time.Time{} }
 
 // Serves reports whether the target takes part now.
 func (t *Target) Serves(now time.Time) bool {
-	return !now.Before(t.restUntil) && !now.Before(t.leftUntil)
+	return !now.Before(t.backoffUntil) && !now.Before(t.leavingUntil)
 }
 
 // ServesFrom returns the end of the target's rest; in the past for one that serves.
 func (t *Target) ServesFrom() time.Time {
-	if t.leftUntil.After(t.restUntil) {
-		return t.leftUntil
+	if t.leavingUntil.After(t.backoffUntil) {
+		return t.leavingUntil
 	}
-	return t.restUntil
+	return t.backoffUntil
 }
 
 // Leaving reports whether the target said that it leaves, by a refusal or a hint.
-func (t *Target) Leaving(now time.Time) bool { return t.HintLeaving || now.Before(t.leftUntil) }
+func (t *Target) Leaving(now time.Time) bool { return t.HintLeaving || now.Before(t.leavingUntil) }
 
-// free reports whether a request can be sent at once.
+// hasFreeSlot reports whether a request can be sent at once.
 // After a failed connection one request tries the target, not a slot's worth each.
-func (t *Target) free(now time.Time) bool {
+func (t *Target) hasFreeSlot(now time.Time) bool {
 	limit := t.Limit
 	if t.failures > 0 {
 		limit = 1
@@ -182,35 +182,35 @@
 		if t.Serves(c.Now) && !t.Slow() {
 			other = true
 		}
-		if !t.free(c.Now) || quick && !c.worth(t) {
+		if !t.hasFreeSlot(c.Now) || quick && !c.worthUsing(t) {
 			continue
 		}
 		if best < 0 || better(t, targets[best], c) {
 			best = i
 		}
 	}
-	if best < 0 && !other && c.Avoid >= 0 && c.Avoid < len(targets) && targets[c.Avoid].free(c.Now) {
+	if best < 0 && !other && c.Avoid >= 0 && c.Avoid < len(targets) && targets[c.Avoid].hasFreeSlot(c.Now) {
 		best = c.Avoid
 	}
 	return best
 }
 
-// worth reports, where a target that is not slow serves, whether a slow target is better than to wait for another.
-func (c Choice) worth(t *Target) bool {
-	if !t.Slow() || c.trial(t) {
+// worthUsing reports, where a target that is not slow serves, whether a slow target is better than to wait for another.
+func (c Choice) worthUsing(t *Target) bool {
+	if !t.Slow() || c.probeDue(t) {
 		return true
 	}
 	slow := time.Duration(float64(c.Service) * t.Slowness())
 	return slow < c.Wait+c.Service
 }
 
-// trial reports whether a slow target is due to be tried.
-func (c Choice) trial(t *Target) bool {
-	return t.InFlight == 0 && c.Now.Sub(t.lastTrial) >= trialEvery
+// probeDue reports whether a slow target is due to be tried.
+func (c Choice) probeDue(t *Target) bool {
+	return t.InFlight == 0 && c.Now.Sub(t.lastProbe) >= probeInterval
 }
 
 func better(a, b *Target, c Choice) bool {
-	if x, y := a.Slow() && c.trial(a), b.Slow() && c.trial(b); x != y {
+	if x, y := a.Slow() && c.probeDue(a), b.Slow() && c.probeDue(b); x != y {
 		return x
 	}
 	x, y := score(a), score(b)
--- a/internal/decide/balance/balance_test.go
+++ b/internal/decide/balance/balance_test.go
@@ -26,14 +26,14 @@
 		got := Choose(targets, Choice{Now: start, Avoid: avoid, Service: time.Millisecond})
 		least := -1
 		for i, x := range targets {
-			if i != avoid && x.free(start) && (least < 0 || x.InFlight < targets[least].InFlight) {
+			if i != avoid && x.hasFreeSlot(start) && (least < 0 || x.InFlight < targets[least].InFlight) {
 				least = i
 			}
 		}
 		if least >= 0 {
 			require.GreaterOrEqual(t, got, 0)
 			require.NotEqual(t, avoid, got)
-			require.True(t, targets[got].free(start))
+			require.True(t, targets[got].hasFreeSlot(start))
 			require.Equal(t, targets[least].InFlight, targets[got].InFlight)
 			return
 		}
@@ -61,9 +61,9 @@
 		require.True(t, x.Serves(now))
 		require.False(t, x.Serves(now.Add(-time.Nanosecond)))
 	}
-	require.Equal(t, restMost, x.Failed(now))
+	require.Equal(t, maxBackoff, x.Failed(now))
 	x.Answered(time.Millisecond, time.Millisecond)
-	require.Equal(t, restFirst, x.Failed(now))
+	require.Equal(t, minBackoff, x.Failed(now))
 }
 
 func TestLeavingTargetGetsNothing(t *testing.T) {
@@ -83,7 +83,7 @@
 // one request a second sent as a trial.
 func TestSlowTargetsServeWhereNoneIsBetter(t *testing.T) {
 	slow := func() *Target {
-		x := &Target{Limit: 2, InFlight: 1, lastTrial: start}
+		x := &Target{Limit: 2, InFlight: 1, lastProbe: start}
 		for range 10 {
 			x.Answered(80*time.Millisecond, 8*time.Millisecond)
 		}
