--- a/internal/decide/fitness/fitness.go
+++ b/internal/decide/fitness/fitness.go
@@ -13,33 +13,33 @@
 import "time"
 
 const (
-	// lagSteps is how many steps the mean reaches over, a third of a second at
+	// meanSteps is how many steps the mean reaches over, a third of a second at
 	// the usual pace.
-	lagSteps = 16
-	// lagMost is the mean delay of a step from which a VM is too slow: renewals
+	meanSteps = 16
+	// maxLag is the mean delay of a step from which a VM is too slow: renewals
 	// of a few hundred ranges then take longer than their period.
-	lagMost = 60 * time.Millisecond
-	// waitMost is the mean wait of grants from which a VM is too slow: two thirds
+	maxLag = 60 * time.Millisecond
+	// maxGrantWait is the mean wait of grants from which a VM is too slow: two thirds
 	// of their period. It is below 30 ms at the usual pace, and 230 ms for the
 	// first round of a new grantor.
-	waitMost = 400 * time.Millisecond
-	// settled is how long a grantor is not judged by its grants' waits.
+	maxGrantWait = 400 * time.Millisecond
+	// gracePeriod is how long a grantor is not judged by its grants' waits.
 	// Where no VM can renew all ranges in time, grantors must not resign in turn.
-	settled = 10 * time.Second
-	// silentLeast is how many owners must be silent before a grantor blames itself: two
+	gracePeriod = 10 * time.Second
+	// minSilentOwners is how many owners must be silent before a grantor blames itself: two
 	// may be gone at once.
-	silentLeast = 3
+	minSilentOwners = 3
 )
 
 // Meter finds out that a grantor's VM is too slow. It belongs to one goroutine.
 type Meter struct {
 	// step is the usual time between two steps.
-	step       time.Duration
-	last, mean time.Duration
-	started    bool
-	// began is when the meter began, waited the mean wait of the grants that were
+	step      time.Duration
+	last, lag time.Duration
+	started   bool
+	// began is when the meter began, grantWait the mean wait of the grants that were
 	// done.
-	began, waited time.Duration
+	began, grantWait time.Duration
 }
 
 // NewMeter returns a meter of a grantor that takes a step each so often.
@@ -53,21 +53,21 @@
 	}
 	late := max(now-m.last-m.step, 0)
 	m.last = now
-	m.mean += (late - m.mean) / lagSteps
-	return m.mean > lagMost || m.waited > waitMost && now-m.began > settled
+	m.lag += (late - m.lag) / meanSteps
+	return m.lag > maxLag || m.grantWait > maxGrantWait && now-m.began > gracePeriod
 }
 
 // Granted records how long a grant waited for its turn. Those that were not done
 // wait for a target that does not answer, which says nothing of this VM.
-func (m *Meter) Granted(waited time.Duration) { m.waited += (waited - m.waited) / lagSteps }
+func (m *Meter) Granted(waited time.Duration) { m.grantWait += (waited - m.grantWait) / meanSteps }
 
 // Lag returns the mean delay of the steps.
-func (m *Meter) Lag() time.Duration { return m.mean }
+func (m *Meter) Lag() time.Duration { return m.lag }
 
 // Waited returns the mean wait of the grants that were done.
-func (m *Meter) Waited() time.Duration { return m.waited }
+func (m *Meter) Waited() time.Duration { return m.grantWait }
 
 // Strayed reports whether so many owners leave orders unanswered that the fault is
 // this VM's: it is cut off, or slow beyond its own timeouts.
 // All orders of a slow grantor may time out at once while every target is well.
-func Strayed(silent, owners int) bool { return silent >= silentLeast && 2*silent >= owners }
+func Strayed(silent, owners int) bool { return silent >= minSilentOwners && 2*silent >= owners }
--- a/internal/decide/fitness/fitness_test.go
+++ b/internal/decide/fitness/fitness_test.go
@@ -50,7 +50,7 @@
 		m.Granted(waited)
 		return m.Note(now)
 	}
-	for i := range int(settled/usualStep) + 200 {
+	for i := range int(gracePeriod/usualStep) + 200 {
 		require.False(t, step(time.Duration(i%16)*3*time.Millisecond), "the last of an owner's grants waits for the others")
 	}
 	unfit := -1
@@ -67,8 +67,8 @@
 // resigned one after the other within forty seconds.
 func TestNewGrantorIsNotJudgedByWaits(t *testing.T) {
 	m := NewMeter(usualStep)
-	for now := time.Hour; now < time.Hour+settled; now += usualStep {
-		m.Granted(2 * waitMost)
+	for now := time.Hour; now < time.Hour+gracePeriod; now += usualStep {
+		m.Granted(2 * maxGrantWait)
 		require.False(t, m.Note(now))
 	}
 }
