--- a/internal/decide/epochlimit/epochlimit.go
+++ b/internal/decide/epochlimit/epochlimit.go
@@ -14,8 +14,8 @@
 const (
 	// burst is how many epochs may follow each other without a pause.
 	burst = 6
-	// every is the time until one more is allowed.
-	every = 2 * time.Second
+	// refillInterval is the time until one more is allowed.
+	refillInterval = 2 * time.Second
 )
 
 // Limiter limits the epochs of one group.
@@ -25,10 +25,10 @@
 }
 
 // New returns the limiter of a group of which no epoch was seen.
-func New() *Limiter { return &Limiter{tokens: rate.NewLimiter(rate.Every(every), burst)} }
+func New() *Limiter { return &Limiter{tokens: rate.NewLimiter(rate.Every(refillInterval), burst)} }
 
-// instant turns a reading of the monotonic clock into the library's time.
-func instant(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
+// toTime turns a reading of the monotonic clock into the library's time.
+func toTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
 // Seen records the epoch in force, whoever wrote it. The first one seen is free.
 func (l *Limiter) Seen(epoch uint64, now time.Duration) {
@@ -36,10 +36,10 @@
 		return
 	}
 	if l.epoch != 0 {
-		l.tokens.AllowN(instant(now), 1)
+		l.tokens.AllowN(toTime(now), 1)
 	}
 	l.epoch = epoch
 }
 
 // Allow reports whether a new epoch may be written now.
-func (l *Limiter) Allow(now time.Duration) bool { return l.tokens.TokensAt(instant(now)) >= 1 }
+func (l *Limiter) Allow(now time.Duration) bool { return l.tokens.TokensAt(toTime(now)) >= 1 }
--- a/internal/decide/epochlimit/epochlimit_test.go
+++ b/internal/decide/epochlimit/epochlimit_test.go
@@ -36,5 +36,5 @@
 	}
 	require.LessOrEqual(t, written, burst+30)
 	require.Greater(t, written, 25, "the group is not given up either")
-	require.True(t, p.Allow(time.Minute+every))
+	require.True(t, p.Allow(time.Minute+refillInterval))
 }
