--- a/internal/decide/leaving/leaving.go
+++ b/internal/decide/leaving/leaving.go
@@ -21,10 +21,10 @@
 import "time"
 
 const (
-	// notice is how long after the VM was asked to stop new connections still come.
-	notice = 2500 * time.Millisecond
-	// nearlyAll times the mean is what nearly all requests take at most.
-	nearlyAll = 3
+	// balancerDelay is how long after the VM was asked to stop new connections still come.
+	balancerDelay = 2500 * time.Millisecond
+	// tailFactor times the mean is what nearly all requests take at most.
+	tailFactor = 3
 	// Answering is the time from a target's answer to its last byte at the caller: a VM
 	// with a part of a core may wait a tenth of a second for its turn.
 	Answering = 100 * time.Millisecond
@@ -47,14 +47,14 @@
 	if r.Most <= left {
 		return true
 	}
-	return since < min(notice, left) && r.Expected <= left/nearlyAll
+	return since < min(balancerDelay, left) && r.Expected <= left/tailFactor
 }
 
 // Repeats reports whether a VM that was asked to stop, and gives up in left what still runs
 // then, sends a request again that may have run. Where nothing is known of such requests,
 // half of the longest that it may take is assumed.
 func Repeats(r Request, left time.Duration) bool {
-	likely := nearlyAll * r.Expected
+	likely := tailFactor * r.Expected
 	if r.Expected == 0 {
 		likely = r.Most / 2
 	}
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -48,7 +48,7 @@
 			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
 		}
 		r := Request{Most: span("most", 0, time.Minute), Expected: span("expected", 0, 10*time.Second)}
-		since, left := span("since", notice, 30*time.Second), span("left", -time.Second, 30*time.Second)
+		since, left := span("since", balancerDelay, 30*time.Second), span("left", -time.Second, 30*time.Second)
 		require.Equal(t, r.Most+Answering <= left, Takes(r, since, left))
 	})
 }
