--- a/internal/decide/keyspread/rates.go
+++ b/internal/decide/keyspread/rates.go
@@ -91,7 +91,7 @@
 	for i, key := range keys {
 		sum += r.keys[key]
 		if sum >= total/2 || i == len(keys)-2 {
-				// Without this key the first part may be closer to half of the load.
+			// Without this key the first part may be closer to half of the load.
 			if i > 0 && sum-total/2 > total/2-(sum-r.keys[key]) {
 				return keys[i-1]
 			}
