--- a/internal/decide/keyspread/keyspread_test.go
+++ b/internal/decide/keyspread/keyspread_test.go
@@ -173,7 +173,7 @@
 	require.Equal(t, 1, sums[0].Keys)
 	require.Equal(t, 10, sums[1].Keys)
 	require.InDelta(t, 100, sums[1].Rate, 1)
-	require.Equal(t, uint16(104), sums[1].Half)
+	require.Equal(t, uint16(104), sums[1].SplitAfter)
 	require.Zero(t, sums[2].Keys)
 	r.Advance(time.Second + decayTime)
 	require.InDelta(t, 100/2.718, r.Sums([]uint16{0})[0].Rate, 1)
@@ -182,14 +182,14 @@
 }
 
 // A division must leave keys on both sides, also if one key has most of the load.
-func TestHalfNeverContainsAllKeys(t *testing.T) {
+func TestSplitLeavesKeysOnBothSides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewRates()
 		n := rapid.IntRange(2, 20).Draw(t, "keys")
 		for key := range n {
 			r.Add(uint16(key), rapid.IntRange(1, 100).Draw(t, "requests"))
 		}
-		half := r.Sums([]uint16{0})[0].Half
+		half := r.Sums([]uint16{0})[0].SplitAfter
 		require.Less(t, int(half), n-1)
 	})
 }
--- a/internal/decide/keyspread/rates.go
+++ b/internal/decide/keyspread/rates.go
@@ -51,8 +51,8 @@
 type Sum struct {
 	Rate float64
 	Keys int
-	// Half is the last key of the first part if the range is divided to halve its load.
-	Half uint16
+	// SplitAfter is the last key of the first part if the range is divided to halve its load.
+	SplitAfter uint16
 }
 
 // Sums returns the load of consecutive ranges that begin at these sorted keys; the last
@@ -65,7 +65,7 @@
 	at := 0
 	var run []uint16
 	flush := func() {
-		out[at].Half = r.splitKey(run, out[at].Rate)
+		out[at].SplitAfter = r.splitKey(run, out[at].Rate)
 		run = run[:0]
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.keys)) {
--- a/internal/gateway/leasing/spread.go
+++ b/internal/gateway/leasing/spread.go
@@ -141,7 +141,7 @@
 	divided := false
 	// The last one first, so that the places of the others stay.
 	for _, i := range slices.Backward(slices.Sorted(slices.Values(which))) {
-		if l.grants.Divide(i, sums[i].Half) {
+		if l.grants.Divide(i, sums[i].SplitAfter) {
 			divided = true
 		}
 	}
