--- a/internal/decide/rendezvous/rendezvous.go
+++ b/internal/decide/rendezvous/rendezvous.go
@@ -1,14 +1,14 @@
-// Package rendezvous chooses the dispatcher of a target or pool.
+// Package rendezvous ranks VMs by rendezvous hashing, for example to choose the
+// dispatcher that holds the queue of a target or pool.
 //
-// Load pattern: every entry sends the requests of one target to one queue, so
-// that its two or three slots are filled by one queue and not by nine guesses.
-// Without it, entries that each pick a target at random collide: some slots hold
-// two requests while others idle.
+// All entries send the requests for one target to the same queue, so that one queue
+// fills its two or three slots. If each of nine entries picked targets by itself, they
+// would collide: some slots would get two requests while others are idle.
 //
-// Grounds: the highest score of hash(VM, queue) is the same at every entry that
-// sees the same members, moves only the queues of a VM that comes or goes, and
-// needs no agreement. Members in the target's own data centre come first, which
-// saves one crossing between data centres of 1 to 1.5 ms each way.
+// All entries that see the same members compute the same highest score of
+// hash(VM, queue), without agreement, and a VM that joins or leaves moves only its own
+// queues. Members in the target's data centre come first, which saves one crossing
+// between data centres of 1 to 1.5 ms each way.
 package rendezvous
 
 import (
@@ -24,8 +24,8 @@
 	DataCentre string
 }
 
-// Rank returns the candidates' indices, best first. Those in the data centre
-// near come before all others; near may be "".
+// Rank returns the indices of the candidates in the order for the queue, best first.
+// Candidates in the data centre near come before all others, unless near is "".
 func Rank(candidates []Candidate, queue, near string) []int {
 	order := make([]int, len(candidates))
 	scores := make([]uint64, len(candidates))
@@ -45,7 +45,7 @@
 	return order
 }
 
-// Before reports whether VM a comes before VM b in the order for a queue.
+// Before reports whether Rank, without regard to data centres, puts VM a before VM b.
 func Before(a, b, queue string) bool {
 	if first, second := score(a, queue), score(b, queue); first != second {
 		return first > second
@@ -60,7 +60,7 @@
 	return 1
 }
 
-// separator keeps ("ab", "c") and ("a", "bc") apart.
+// separator makes the hashes of ("ab", "c") and ("a", "bc") differ.
 const separator = "\x00"
 
 func score(vm, queue string) uint64 {
--- a/internal/decide/rendezvous/rendezvous_test.go
+++ b/internal/decide/rendezvous/rendezvous_test.go
@@ -18,7 +18,7 @@
 }
 
 // When a VM is lost, only the queues that it held move.
-func TestLossMovesOnlyTheLostQueues(t *testing.T) {
+func TestLossMovesOnlyQueuesOfLostVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(2, 12).Draw(t, "vms"))
 		lost := rapid.IntRange(0, len(all)-1).Draw(t, "lost")
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestBeforeIsTheOrderOfRank(t *testing.T) {
+func TestBeforeMatchesRank(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.SliceOfNDistinct(rapid.String(), 2, 20, rapid.ID).Draw(t, "vms")
 		queue := rapid.String().Draw(t, "queue")
