--- a/internal/decide/subset/simulation_test.go
+++ b/internal/decide/subset/simulation_test.go
@@ -20,8 +20,8 @@
 	reportInterval = 250 * time.Millisecond
 )
 
-// simulation works on its requests in their order, as many at a time as it has slots.
-type simulation struct {
+// simTarget runs its requests in the order of their arrival, as many at a time as it has slots.
+type simTarget struct {
 	speed float64
 	queue []*simRequest
 }
@@ -33,32 +33,34 @@
 	rounds     float64
 }
 
-// play is a pool of targets of different speeds under the load of many VMs.
-type play struct {
+// simulation is a pool of targets of different speeds under load from many VMs.
+type simulation struct {
 	vms, targets int
 	sharers      int
 	rand         *rand.Rand
-	pool         []*simulation
+	pool         []*simTarget
 	windows      [][]int
 	states       []map[int]*pick.State
-	// reported is what each VM last reported of each target, users the VMs that use it.
+	// reported is the number of requests that each VM last reported for each target,
+	// users are the VMs that use each target.
 	reported []map[int]int
 	users    [][]int
-	// period is the time between two reports of a VM.
+	// period is the interval between reports of one VM.
 	period time.Duration
 
 	answered, onTime, refused int
 }
 
-// newSimulation returns a pool of which each VM uses its subset, or all of it.
-func newSimulation(n int, whole bool) *play {
-	p := &play{vms: n, targets: n, sharers: Sharers(n, n), period: reportInterval, rand: rand.New(rand.NewPCG(7, uint64(n)))}
+// newSimulation returns a simulation of n VMs and n targets. Each VM uses its subset of
+// the pool, or all of it if whole is set.
+func newSimulation(n int, whole bool) *simulation {
+	p := &simulation{vms: n, targets: n, sharers: Sharers(n, n), period: reportInterval, rand: rand.New(rand.NewPCG(7, uint64(n)))}
 	if whole {
 		p.sharers, p.period = n, time.Duration(n)*12*time.Millisecond
 	}
 	speeds := []float64{0.5, 1, 1, 1.5}
 	for i := range p.targets {
-		p.pool = append(p.pool, &simulation{speed: speeds[i%len(speeds)]})
+		p.pool = append(p.pool, &simTarget{speed: speeds[i%len(speeds)]})
 	}
 	p.users = make([][]int, p.targets)
 	for vm := range p.vms {
@@ -77,14 +79,14 @@
 	return p
 }
 
-func (p *play) run() {
+func (p *simulation) run() {
 	perStep := utilisation * slotsPerTarget / meanWork.Seconds() * simStep.Seconds()
 	for now := time.Duration(0); now < simDuration; now += simStep {
 		if now%pick.LoadsEvery == 0 {
 			p.exchangeReports(now)
 		}
 		for vm := range p.vms {
-			// Some VMs have three times the traffic of others.
+			// Some VMs have three times as much traffic as others.
 			if p.rand.Float64() < perStep*(0.5+float64(vm%3)*0.5) {
 				p.send(vm, now)
 			}
@@ -95,8 +97,8 @@
 	}
 }
 
-// exchangeReports refreshes what each VM knows of the requests of the others.
-func (p *play) exchangeReports(now time.Duration) {
+// exchangeReports updates what each VM knows of the requests of the other VMs.
+func (p *simulation) exchangeReports(now time.Duration) {
 	for vm, states := range p.states {
 		phase := time.Duration(vm) * p.period / time.Duration(p.vms) / pick.LoadsEvery * pick.LoadsEvery
 		if now%(p.period/pick.LoadsEvery*pick.LoadsEvery) != phase {
@@ -117,7 +119,7 @@
 	}
 }
 
-func (p *play) send(vm int, now time.Duration) {
+func (p *simulation) send(vm int, now time.Duration) {
 	window := p.windows[vm]
 	states := make([]*pick.State, len(window))
 	for i, at := range window {
@@ -136,7 +138,7 @@
 	t.queue = append(t.queue, r)
 }
 
-func (p *play) work(t *simulation, now time.Duration) {
+func (p *simulation) work(t *simTarget, now time.Duration) {
 	kept := t.queue[:0]
 	for i, r := range t.queue {
 		if i < slotsPerTarget {
@@ -157,20 +159,20 @@
 	t.queue = kept
 }
 
-func (p *play) onTimeShare() float64 { return float64(p.onTime) / float64(p.answered+p.refused) }
+func (p *simulation) onTimeShare() float64 { return float64(p.onTime) / float64(p.answered+p.refused) }
 
-// Guards against a pool that serves its callers worse the more VMs use it.
-func TestPoolServesAsWellAtAnySize(t *testing.T) {
+// Guards against a share of answers within the objective that falls as the pool grows.
+func TestPoolServesWellAtAnySize(t *testing.T) {
 	shares := make(map[int]float64)
 	for _, n := range []int{10, 100, 300} {
 		p := newSimulation(n, false)
 		p.run()
 		shares[n] = p.onTimeShare()
-		t.Logf("%d VMs: in aim %.3f, refused %d of %d", n, p.onTimeShare(), p.refused, p.answered)
+		t.Logf("%d VMs: %.3f within objective, %d refused, %d answered", n, p.onTimeShare(), p.refused, p.answered)
 	}
 	whole := newSimulation(100, true)
 	whole.run()
-	t.Logf("100 VMs, each using all targets: in aim %.3f, refused %d of %d", whole.onTimeShare(), whole.refused, whole.answered)
+	t.Logf("100 VMs, each using all targets: %.3f within objective, %d refused, %d answered", whole.onTimeShare(), whole.refused, whole.answered)
 	require.Greater(t, shares[100], shares[10]-0.03)
 	require.Greater(t, shares[300], shares[10]-0.03)
 	require.Greater(t, shares[100], whole.onTimeShare()+0.05)
--- a/internal/decide/subset/subset_test.go
+++ b/internal/decide/subset/subset_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestEveryTargetIsUsedByEnoughVMsAndNoneByMany(t *testing.T) {
+func TestTargetsAreUsedEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.IntRange(1, 400).Draw(t, "vms")
 		targets := rapid.IntRange(1, 700).Draw(t, "targets")
@@ -26,23 +26,23 @@
 	})
 }
 
-// Guards against a small deployment in which VMs leave targets unused that all could use.
-func TestSmallPoolIsUsedWhole(t *testing.T) {
+// Guards against VMs that leave targets of a small pool unused.
+func TestSmallPoolIsUsedCompletely(t *testing.T) {
 	for _, vms := range []int{1, 3, 8, 9} {
 		require.Len(t, Place{Index: vms - 1, VMs: vms}.Window(8), 8)
 		require.Len(t, Place{Index: 0, VMs: vms}.Window(3), 3)
 	}
 }
 
-// Guards against a subset that grows with the deployment.
-func TestSubsetIsTheSameAtAnySize(t *testing.T) {
+// Guards against a subset whose size grows with the deployment.
+func TestSubsetSizeIsBounded(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 3000} {
 		require.LessOrEqual(t, Size(n, n), minSharers, "%d VMs", n)
 		require.LessOrEqual(t, Sharers(n, n), minSharers, "%d VMs", n)
 	}
 }
 
-func TestSharesNamesTheVMsThatUseACommonTarget(t *testing.T) {
+func TestSharesReportsVMsWithCommonTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		vms := rapid.IntRange(2, 200).Draw(t, "vms")
 		targets := rapid.IntRange(1, 400).Draw(t, "targets")
@@ -60,8 +60,8 @@
 	})
 }
 
-// Guards against windows that change all at once when one VM comes or goes.
-func TestLossOfAVMKeepsMostOfAWindow(t *testing.T) {
+// Guards against windows that change completely when one VM joins or leaves.
+func TestLossOfVMKeepsMostOfEachWindow(t *testing.T) {
 	const vms, targets = 33, 34
 	for lost := range vms {
 		for i := range vms {
