--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -62,9 +62,9 @@
 	Own, Others int
 	// Near reports whether it is in this VM's data centre.
 	Near bool
-	// Unseen is what the other VMs are likely to have sent there since their last
+	// Unreported is what the other VMs are likely to have sent there since their last
 	// reports: as much as this one, for the same reason.
-	Unseen float64
+	Unreported float64
 
 	logSlow      float64
 	failures     float64
@@ -74,30 +74,30 @@
 }
 
 // Load returns the requests of all VMs at the target.
-func (s *State) Load() int { return s.Own + s.Others + int(s.Unseen) }
+func (s *State) Load() int { return s.Own + s.Others + int(s.Unreported) }
 
 // Sent notes a request that goes there, of one of so many VMs.
 // Otherwise each VM sends the owner of a hot key what fits there by its own count.
 func (s *State) Sent(vms int) {
 	s.Own++
-	s.Unseen += unreportedShare * float64(vms-1)
+	s.Unreported += unreportedShare * float64(vms-1)
 }
 
 // Gone notes that a request of this VM ended there: those of the others that were
 // sent with it have ended, too.
 func (s *State) Gone(vms int) {
 	s.Own--
-	s.Unseen = max(0, s.Unseen-unreportedShare*float64(vms-1))
+	s.Unreported = max(0, s.Unreported-unreportedShare*float64(vms-1))
 }
 
 // SetOthers sets what the other VMs have there. It is called each LoadsEvery.
 func (s *State) SetOthers(others int) {
 	s.Others = others
-	s.Unseen *= unreportedDecay
+	s.Unreported *= unreportedDecay
 }
 
 // InUse reports whether requests of this VM are there, or were lately.
-func (s *State) InUse() bool { return s.Own > 0 || s.Unseen >= 1 }
+func (s *State) InUse() bool { return s.Own > 0 || s.Unreported >= 1 }
 
 // Full reports whether it may queue no more.
 func (s *State) Full() bool { return s.Load() >= queueFactor*max(s.Slots, 1) }
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -38,7 +38,7 @@
 // inputs describes what a refusal was decided on, for the log.
 func (t *targetState) inputs() string {
 	return fmt.Sprintf("%s own %d others %d likely %.1f slots %d slowness %.2f",
-		t.ID, t.pick.Own, t.pick.Others, t.pick.Unseen, t.pick.Slots, t.pick.Slowness())
+		t.ID, t.pick.Own, t.pick.Others, t.pick.Unreported, t.pick.Slots, t.pick.Slowness())
 }
 
 // The refusals of a choice.
