--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -114,8 +114,8 @@
 // Requests for cold keys take several times as long; queued with the others they would hold all slots.
 func (s *State) TakesCold() bool { return s.Load() < max(s.Slots, 1) }
 
-// Resting reports whether it could not be reached just now.
-func (s *State) Resting(now time.Duration) bool { return now < s.backoffUntil }
+// BackingOff reports whether it could not be reached just now.
+func (s *State) BackingOff(now time.Duration) bool { return now < s.backoffUntil }
 
 // Slowness is the ratio of its measured service times to the usual ones.
 func (s *State) Slowness() float64 { return math.Exp(s.logSlow) }
@@ -215,7 +215,7 @@
 			continue
 		}
 		score := s.score(j)
-		if s.Resting(now) {
+		if s.BackingOff(now) {
 			score += 1e6
 		}
 		if score < bestScore {
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -138,7 +138,7 @@
 	var s State
 	for i := range 40 {
 		now := time.Duration(i) * 10 * time.Millisecond
-		require.False(t, s.Resting(now))
+		require.False(t, s.BackingOff(now))
 		if i%4 == 0 {
 			s.Lost(now)
 			continue
@@ -148,5 +148,5 @@
 	for range maxLostInARow {
 		s.Lost(time.Second)
 	}
-	require.True(t, s.Resting(time.Second))
+	require.True(t, s.BackingOff(time.Second))
 }
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -96,8 +96,8 @@
 		return nil, refusedLost, owner + " waits for a target that does not answer"
 	case t == nil:
 		return nil, refusedLost, owner + " is not listed"
-	case t.displaced, t.Draining && now > t.leavesAt, t.pick.Resting(now):
-		return nil, refusedLost, fmt.Sprintf("%s displaced %t leaves %t resting %t", owner, t.displaced, t.Draining, t.pick.Resting(now))
+	case t.displaced, t.Draining && now > t.leavesAt, t.pick.BackingOff(now):
+		return nil, refusedLost, fmt.Sprintf("%s displaced %t leaves %t resting %t", owner, t.displaced, t.Draining, t.pick.BackingOff(now))
 	case !r.After(misdirected.Epoch, misdirected.Seq):
 		return nil, refusedMoving, fmt.Sprintf("%s did not hold the key, epoch %d seq %d", owner, r.Epoch, r.Seq)
 	case t.pick.FullFor(s.urgentLocked(service, rt.Priority)):
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -95,7 +95,7 @@
 	target.Born = 2
 	s.list(2, target)
 	require.NotSame(t, first.pool, s.targets["t"].pool)
-	require.False(t, s.targets["t"].pick.Resting(time.Millisecond))
+	require.False(t, s.targets["t"].pick.BackingOff(time.Millisecond))
 }
 
 // Guards against requests, and repeats, at a target of another service that got the address.
