--- a/internal/decide/pick/cold_test.go
+++ b/internal/decide/pick/cold_test.go
@@ -39,7 +39,7 @@
 			kept = append(kept, end)
 			continue
 		}
-		l.state.Gone(1)
+		l.state.Ended(1)
 	}
 	l.endsAt = kept
 }
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -83,9 +83,9 @@
 	s.Unreported += unreportedShare * float64(vms-1)
 }
 
-// Gone notes that a request of this VM ended there: those of the others that were
+// Ended notes that a request of this VM ended there: those of the others that were
 // sent with it have ended, too.
-func (s *State) Gone(vms int) {
+func (s *State) Ended(vms int) {
 	s.Own--
 	s.Unreported = max(0, s.Unreported-unreportedShare*float64(vms-1))
 }
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -128,7 +128,7 @@
 	for range 1000 {
 		require.False(t, s.Full())
 		s.Sent(8)
-		s.Gone(8)
+		s.Ended(8)
 	}
 }
 
--- a/internal/decide/subset/simulation_test.go
+++ b/internal/decide/subset/simulation_test.go
@@ -153,7 +153,7 @@
 			p.onTime++
 		}
 		s := p.states[r.vm][r.target]
-		s.Gone(p.sharers)
+		s.Ended(p.sharers)
 		s.Answered(now-r.sent, meanWork, r.rounds)
 	}
 	t.queue = kept
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -164,7 +164,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &e.target.pick
-	t.Gone(e.sharers)
+	t.Ended(e.sharers)
 	switch how {
 	case endAnswered:
 		if e.cold {
