--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -184,8 +184,8 @@
 // Failed records a request that the target ran or refused without success.
 func (s *State) Failed() { s.failures += (1 - s.failures) / failureSamples }
 
-// Unreached records that the target could not be connected to.
-func (s *State) Unreached(now time.Duration) {
+// ConnectFailed records that the target could not be connected to.
+func (s *State) ConnectFailed(now time.Duration) {
 	s.Failed()
 	s.backOff(now)
 }
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -80,7 +80,7 @@
 // after a while with one request.
 func TestUnreachableTargetRests(t *testing.T) {
 	states := []*State{{Slots: 2, Near: true}, {Slots: 2, Own: 5}}
-	states[0].Unreached(0)
+	states[0].ConnectFailed(0)
 	require.Equal(t, 1, Choose(states, Job{}, skipNone, 50*time.Millisecond))
 	require.Equal(t, 0, Choose(states, Job{}, skipNone, minBackoff))
 	require.Equal(t, 0, Choose(states, Job{}, func(i int) bool { return i == 1 }, 0), "resting is better than nothing")
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -176,7 +176,7 @@
 	case endFailed:
 		t.Failed()
 	case endUnsent:
-		t.Unreached(s.clock.Now())
+		t.ConnectFailed(s.clock.Now())
 	case endLost:
 		t.Lost(s.clock.Now())
 	case endLeft:
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -91,7 +91,7 @@
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
 	s.list(1, target)
 	first := s.targets["t"]
-	first.pick.Unreached(0)
+	first.pick.ConnectFailed(0)
 	target.Born = 2
 	s.list(2, target)
 	require.NotSame(t, first.pool, s.targets["t"].pool)
