--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -190,9 +190,9 @@
 	s.backOff(now)
 }
 
-// Lost records that an answer of the target did not come.
+// AnswerLost records that an answer of the target did not come.
 // A single lost answer is no reason to refuse all requests for its keys.
-func (s *State) Lost(now time.Duration) {
+func (s *State) AnswerLost(now time.Duration) {
 	s.Failed()
 	if s.lostInARow++; s.lostInARow >= maxLostInARow {
 		s.backOff(now)
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -140,13 +140,13 @@
 		now := time.Duration(i) * 10 * time.Millisecond
 		require.False(t, s.BackingOff(now))
 		if i%4 == 0 {
-			s.Lost(now)
+			s.AnswerLost(now)
 			continue
 		}
 		s.Answered(100*time.Millisecond, 100*time.Millisecond, 1)
 	}
 	for range maxLostInARow {
-		s.Lost(time.Second)
+		s.AnswerLost(time.Second)
 	}
 	require.True(t, s.BackingOff(time.Second))
 }
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -178,7 +178,7 @@
 	case endUnsent:
 		t.ConnectFailed(s.clock.Now())
 	case endLost:
-		t.Lost(s.clock.Now())
+		t.AnswerLost(s.clock.Now())
 	case endLeft:
 		// An answer that did not come in time is a sign, too.
 		if !e.cold && took > 2*e.expected && e.usual > 0 {
