--- a/internal/decide/pick/cold_test.go
+++ b/internal/decide/pick/cold_test.go
@@ -72,7 +72,7 @@
 		}
 		if draw.Float64() < coldRate/1000.0 {
 			cold++
-			if !l.state.Full() && l.state.TakesCold() {
+			if !l.state.Full() && l.state.AcceptsCold() {
 				l.send(now, coldness*service)
 				coldServed++
 			}
--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -110,9 +110,9 @@
 	return float64(s.Load()) >= (queueFactor+reserveFactor)*float64(max(s.Slots, 1))
 }
 
-// TakesCold reports whether it may get a request for a cold key: only into a free slot.
+// AcceptsCold reports whether it may get a request for a cold key: only into a free slot.
 // Requests for cold keys take several times as long; queued with the others they would hold all slots.
-func (s *State) TakesCold() bool { return s.Load() < max(s.Slots, 1) }
+func (s *State) AcceptsCold() bool { return s.Load() < max(s.Slots, 1) }
 
 // BackingOff reports whether it could not be reached just now.
 func (s *State) BackingOff(now time.Duration) bool { return now < s.backoffUntil }
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -106,7 +106,7 @@
 		return nil, refusedHot, fmt.Sprintf("%s part %.3f epoch %d seq %d", owner, r.LimitOf(key).Part(), r.Epoch, r.Seq)
 	}
 	cold := how == lease.Cold
-	if cold && !t.pick.TakesCold() {
+	if cold && !t.pick.AcceptsCold() {
 		return nil, refusedCold, t.inputs()
 	}
 	e, why := s.reserveLocked(t, s.fleet.all.VMs, service, rt.Name, left)
