--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -138,10 +138,10 @@
 	Usual time.Duration
 	// Objective is the time within which the answer has its full value.
 	Objective time.Duration
-	// First is the target that is examined first: of several that are equally good
+	// StartIndex is the target that is examined first: of several that are equally good
 	// the first is taken.
 	// Searched in one order, the first targets of the list would get nearly all requests.
-	First int
+	StartIndex int
 	// LastPlaces reports whether it may have the last places of a full target.
 	LastPlaces bool
 }
@@ -209,7 +209,7 @@
 func Choose(states []*State, j Job, skip func(int) bool, now time.Duration) int {
 	best, bestScore := -1, math.Inf(1)
 	for k := range states {
-		i := (j.First + k) % len(states)
+		i := (j.StartIndex + k) % len(states)
 		s := states[i]
 		if s.FullFor(j.LastPlaces) || skip(i) {
 			continue
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -36,11 +36,11 @@
 	got := make(map[int]int)
 	for range 80 {
 		got[Choose(states, job, skipNone, 0)]++
-		job.First++
+		job.StartIndex++
 	}
 	require.Len(t, got, 40)
 	states[7].Own = 1
-	job.First = 7
+	job.StartIndex = 7
 	require.Equal(t, 8, Choose(states, job, skipNone, 0), "an idle one is better than one that works")
 }
 
--- a/internal/decide/subset/simulation_test.go
+++ b/internal/decide/subset/simulation_test.go
@@ -125,7 +125,7 @@
 	for i, at := range window {
 		states[i] = p.states[vm][at]
 	}
-	job := pick.Job{Usual: meanWork, Objective: objective, First: p.rand.IntN(len(window))}
+	job := pick.Job{Usual: meanWork, Objective: objective, StartIndex: p.rand.IntN(len(window))}
 	i := pick.Choose(states, job, func(int) bool { return false }, now)
 	if i < 0 {
 		p.refused++
