--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -142,8 +142,8 @@
 	// the first is taken.
 	// Searched in one order, the first targets of the list would get nearly all requests.
 	StartIndex int
-	// LastPlaces reports whether it may have the last places of a full target.
-	LastPlaces bool
+	// MayUseReserve reports whether it may have the last places of a full target.
+	MayUseReserve bool
 }
 
 // enoughServiceTimes is the number of service times that are soon enoughServiceTimes.
@@ -211,7 +211,7 @@
 	for k := range states {
 		i := (j.StartIndex + k) % len(states)
 		s := states[i]
-		if s.FullFor(j.LastPlaces) || skip(i) {
+		if s.FullFor(j.MayUseReserve) || skip(i) {
 			continue
 		}
 		score := s.score(j)
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -67,7 +67,7 @@
 		return nil, refusedEmpty
 	}
 	s.turn++
-	job := pick.Job{Usual: s.usualLocked(service, rt.Name), Objective: rt.Objective, StartIndex: s.turn, LastPlaces: s.urgentLocked(service, rt.Priority)}
+	job := pick.Job{Usual: s.usualLocked(service, rt.Name), Objective: rt.Objective, StartIndex: s.turn, MayUseReserve: s.urgentLocked(service, rt.Priority)}
 	for _, c := range []candidates{p.subset, p.all} {
 		i := pick.Choose(c.states, job, func(i int) bool { return tried[c.targets[i].ID] || c.targets[i].displaced }, now)
 		if i >= 0 {
