--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -173,13 +173,13 @@
 	if usual <= 0 || took <= 0 {
 		return
 	}
-	ratio := Bounded(float64(took) / (float64(usual) * rounds))
+	ratio := BoundRatio(float64(took) / (float64(usual) * rounds))
 	s.logSlow += (math.Log(ratio) - s.logSlow) / slownessSamples
 }
 
-// Bounded bounds a ratio of measured to expected time, so that one answer does not count
+// BoundRatio bounds a ratio of measured to expected time, so that one answer does not count
 // for too much.
-func Bounded(ratio float64) float64 { return min(max(ratio, 1/maxRatio), maxRatio) }
+func BoundRatio(ratio float64) float64 { return min(max(ratio, 1/maxRatio), maxRatio) }
 
 // Failed records a request that the target ran or refused without success.
 func (s *State) Failed() { s.failures += (1 - s.failures) / failureSamples }
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -27,7 +27,7 @@
 	if e.usual <= 0 {
 		return
 	}
-	ratio := pick.Bounded(float64(took) / (float64(e.usual) * e.rounds * e.target.pick.Slowness()))
+	ratio := pick.BoundRatio(float64(took) / (float64(e.usual) * e.rounds * e.target.pick.Slowness()))
 	old := s.warmupCostLocked(e.service)
 	s.warmupCost[e.service] = old + (ratio-old)/warmupSamples
 }
