--- a/internal/decide/pick/pick.go
+++ b/internal/decide/pick/pick.go
@@ -35,11 +35,11 @@
 	// reserveFactor is by how much longer the queue may be for the most urgent requests,
 	// in units of slots: targets queue about four times their slots.
 	reserveFactor = 0.75
-	// LoadsEvery is the time between two calls of SetOthers. unseenFade lets what was not
+	// LoadsInterval is the time between two calls of SetOthers. unseenFade lets what was not
 	// seen fade within the period of the VMs' reports. unseenShare is how
 	// much of what this VM sends the others send too: half, since most load is
 	// of its own making.
-	LoadsEvery      = 50 * time.Millisecond
+	LoadsInterval   = 50 * time.Millisecond
 	unreportedDecay = 0.6
 	unreportedShare = 0.5
 	// minBackoff and restMost bound the rest of a target that cannot be reached,
--- a/internal/decide/subset/simulation_test.go
+++ b/internal/decide/subset/simulation_test.go
@@ -82,7 +82,7 @@
 func (p *simulation) run() {
 	perStep := utilisation * slotsPerTarget / meanWork.Seconds() * simStep.Seconds()
 	for now := time.Duration(0); now < simDuration; now += simStep {
-		if now%pick.LoadsEvery == 0 {
+		if now%pick.LoadsInterval == 0 {
 			p.exchangeReports(now)
 		}
 		for vm := range p.vms {
@@ -100,8 +100,8 @@
 // exchangeReports updates what each VM knows of the requests of the other VMs.
 func (p *simulation) exchangeReports(now time.Duration) {
 	for vm, states := range p.states {
-		phase := time.Duration(vm) * p.period / time.Duration(p.vms) / pick.LoadsEvery * pick.LoadsEvery
-		if now%(p.period/pick.LoadsEvery*pick.LoadsEvery) != phase {
+		phase := time.Duration(vm) * p.period / time.Duration(p.vms) / pick.LoadsInterval * pick.LoadsInterval
+		if now%(p.period/pick.LoadsInterval*pick.LoadsInterval) != phase {
 			continue
 		}
 		for at, s := range states {
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -10,7 +10,7 @@
 
 // refreshLoads refreshes what the other VMs have at the targets.
 func (g *Gateway) refreshLoads(ctx context.Context) {
-	for pause.For(ctx, pick.LoadsEvery) {
+	for pause.For(ctx, pick.LoadsInterval) {
 		g.state.setOthers(g.mesh.ChangedLoads())
 	}
 }
