--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -116,8 +116,8 @@
 	return rest
 }
 
-// Left notes that the target refused a request because it leaves.
-func (t *Target) Left(now time.Time) { t.leavingUntil = now.Add(leavingTimeout) }
+// RefusedLeaving notes that the target refused a request because it leaves.
+func (t *Target) RefusedLeaving(now time.Time) { t.leavingUntil = now.Add(leavingTimeout) }
 
 // Returned notes that a target that had left says that it is back.
 func (t *Target) Returned() { t.leavingUntil = time.Time{} }
--- a/internal/decide/balance/balance_test.go
+++ b/internal/decide/balance/balance_test.go
@@ -70,7 +70,7 @@
 	targets := []*Target{{Limit: 2}, {Limit: 2, InFlight: 1}, {Limit: 2, InFlight: 1}}
 	c := Choice{Now: start, Avoid: -1}
 	require.Equal(t, 0, Choose(targets, c))
-	targets[0].Left(start)
+	targets[0].RefusedLeaving(start)
 	require.Equal(t, 1, Choose(targets, c))
 	targets[1].HintLeaving = true
 	require.Equal(t, 2, Choose(targets, c))
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -256,7 +256,7 @@
 			q.deadSince = now
 		}
 	case out == retry.NotServing && !q.pool.service.Keyed:
-		t.measured.Left(now)
+		t.measured.RefusedLeaving(now)
 		q.journal.Add("send", "gets no new work: "+r.err.Error(), q.id.String(), t.Name)
 	case out == retry.Abandoned:
 		q.counts.abandoned.Inc(1)
