--- a/internal/decide/fitness/fitness.go
+++ b/internal/decide/fitness/fitness.go
@@ -67,7 +67,7 @@
 // Waited returns the mean wait of the grants that were done.
 func (m *Meter) Waited() time.Duration { return m.grantWait }
 
-// Strayed reports whether so many owners leave orders unanswered that the fault is
+// Isolated reports whether so many owners leave orders unanswered that the fault is
 // this VM's: it is cut off, or slow beyond its own timeouts.
 // All orders of a slow grantor may time out at once while every target is well.
-func Strayed(silent, owners int) bool { return silent >= minSilentOwners && 2*silent >= owners }
+func Isolated(silent, owners int) bool { return silent >= minSilentOwners && 2*silent >= owners }
--- a/internal/decide/fitness/fitness_test.go
+++ b/internal/decide/fitness/fitness_test.go
@@ -33,10 +33,10 @@
 }
 
 func TestGrantorThatNobodyAnswersBlamesItself(t *testing.T) {
-	require.True(t, Strayed(9, 10))
-	require.True(t, Strayed(5, 10))
-	require.False(t, Strayed(3, 10), "that many targets may be lost")
-	require.False(t, Strayed(2, 2), "with so few, nothing tells")
+	require.True(t, Isolated(9, 10))
+	require.True(t, Isolated(5, 10))
+	require.False(t, Isolated(3, 10), "that many targets may be lost")
+	require.False(t, Isolated(2, 2), "with so few, nothing tells")
 }
 
 // A grantor got a sixth of its processor time for six seconds. Its steps came in
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -178,7 +178,7 @@
 			silent++
 		}
 	}
-	return fitness.Strayed(silent, len(owners))
+	return fitness.Isolated(silent, len(owners))
 }
 
 // tryResign resigns if the store answers. Without it nobody could take over, and all keys would
