--- a/internal/decide/fitness/fitness.go
+++ b/internal/decide/fitness/fitness.go
@@ -45,8 +45,8 @@
 // NewMeter returns a meter of a grantor that takes a step each so often.
 func NewMeter(step time.Duration) *Meter { return &Meter{step: step} }
 
-// Note records a step and reports whether the VM is too slow.
-func (m *Meter) Note(now time.Duration) bool {
+// RecordStep records a step and reports whether the VM is too slow.
+func (m *Meter) RecordStep(now time.Duration) bool {
 	if !m.started {
 		m.started, m.last, m.began = true, now, now
 		return false
--- a/internal/decide/fitness/fitness_test.go
+++ b/internal/decide/fitness/fitness_test.go
@@ -17,7 +17,7 @@
 	now := time.Hour
 	step := func(gap time.Duration) bool {
 		now += gap
-		return m.Note(now)
+		return m.RecordStep(now)
 	}
 	for range 100 {
 		require.False(t, step(usualStep+3*time.Millisecond))
@@ -48,7 +48,7 @@
 	step := func(waited time.Duration) bool {
 		now += usualStep
 		m.Granted(waited)
-		return m.Note(now)
+		return m.RecordStep(now)
 	}
 	for i := range int(gracePeriod/usualStep) + 200 {
 		require.False(t, step(time.Duration(i%16)*3*time.Millisecond), "the last of an owner's grants waits for the others")
@@ -69,6 +69,6 @@
 	m := NewMeter(usualStep)
 	for now := time.Hour; now < time.Hour+gracePeriod; now += usualStep {
 		m.Granted(2 * maxGrantWait)
-		require.False(t, m.Note(now))
+		require.False(t, m.RecordStep(now))
 	}
 }
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -136,7 +136,7 @@
 		l.deposed = true
 		return
 	}
-	slow := l.lag.Note(now)
+	slow := l.lag.RecordStep(now)
 	if slow || l.replaceable() || l.strayed(now) {
 		l.tryResign(ctx, now)
 	}
