--- a/internal/decide/fitness/fitness.go
+++ b/internal/decide/fitness/fitness.go
@@ -57,9 +57,9 @@
 	return m.lag > maxLag || m.grantWait > maxGrantWait && now-m.began > gracePeriod
 }
 
-// Granted records how long a grant waited for its turn. Those that were not done
+// RecordGrant records how long a grant waited for its turn. Those that were not done
 // wait for a target that does not answer, which says nothing of this VM.
-func (m *Meter) Granted(waited time.Duration) { m.grantWait += (waited - m.grantWait) / meanSteps }
+func (m *Meter) RecordGrant(waited time.Duration) { m.grantWait += (waited - m.grantWait) / meanSteps }
 
 // Lag returns the mean delay of the steps.
 func (m *Meter) Lag() time.Duration { return m.lag }
--- a/internal/decide/fitness/fitness_test.go
+++ b/internal/decide/fitness/fitness_test.go
@@ -47,7 +47,7 @@
 	now := time.Hour
 	step := func(waited time.Duration) bool {
 		now += usualStep
-		m.Granted(waited)
+		m.RecordGrant(waited)
 		return m.RecordStep(now)
 	}
 	for i := range int(gracePeriod/usualStep) + 200 {
@@ -68,7 +68,7 @@
 func TestNewGrantorIsNotJudgedByWaits(t *testing.T) {
 	m := NewMeter(usualStep)
 	for now := time.Hour; now < time.Hour+gracePeriod; now += usualStep {
-		m.Granted(2 * maxGrantWait)
+		m.RecordGrant(2 * maxGrantWait)
 		require.False(t, m.RecordStep(now))
 	}
 }
--- a/internal/gateway/leasing/orders.go
+++ b/internal/gateway/leasing/orders.go
@@ -76,7 +76,7 @@
 		case g := <-line.grants:
 			waited := l.Clock.Now() - g.since
 			if l.order(ctx, line, g.Order, upstream.KeptConn, grantTimeout) == lease.Done {
-				l.enqueue(ctx, func() { l.lag.Granted(waited) })
+				l.enqueue(ctx, func() { l.lag.RecordGrant(waited) })
 			}
 		}
 	}
