--- a/internal/decide/fitness/fitness.go
+++ b/internal/decide/fitness/fitness.go
@@ -64,8 +64,8 @@
 // Lag returns the mean delay of the steps.
 func (m *Meter) Lag() time.Duration { return m.lag }
 
-// Waited returns the mean wait of the grants that were done.
-func (m *Meter) Waited() time.Duration { return m.grantWait }
+// GrantWait returns the mean wait of the grants that were done.
+func (m *Meter) GrantWait() time.Duration { return m.grantWait }
 
 // Isolated reports whether so many owners leave orders unanswered that the fault is
 // this VM's: it is cut off, or slow beyond its own timeouts.
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -206,7 +206,7 @@
 	l.unfitUntil.Store(int64(l.Clock.Now() + unfitTime))
 	next := l.grants.Plan(nil)
 	next.Resigned = true
-	version, lag, waited := l.version, l.lag.Lag(), l.lag.Waited()
+	version, lag, waited := l.version, l.lag.Lag(), l.lag.GrantWait()
 	go func() {
 		_, err := l.write(ctx, next, version)
 		l.Log.Info().Str("step", "leases").Str("service", l.service).Uint64("epoch", next.Epoch).Dur("lag", lag).Dur("waited", waited).
