--- a/internal/decide/leaving/leaving.go
+++ b/internal/decide/leaving/leaving.go
@@ -40,9 +40,9 @@
 	Expected time.Duration
 }
 
-// Takes reports whether a VM that was asked to stop so long ago, and gives up in left what
+// Accepts reports whether a VM that was asked to stop so long ago, and gives up in left what
 // still runs then, takes the request.
-func Takes(r Request, since, left time.Duration) bool {
+func Accepts(r Request, since, left time.Duration) bool {
 	left -= Answering
 	if r.Most <= left {
 		return true
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -35,7 +35,7 @@
 		{"past its end, and fast", 100 * ms, 5 * ms, 6000 * ms, -500 * ms, false},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, Takes(Request{Most: c.most, Expected: c.expected}, c.since, c.left), c.name)
+		require.Equal(t, c.want, Accepts(Request{Most: c.most, Expected: c.expected}, c.since, c.left), c.name)
 	}
 }
 
@@ -49,7 +49,7 @@
 		}
 		r := Request{Most: span("most", 0, time.Minute), Expected: span("expected", 0, 10*time.Second)}
 		since, left := span("since", balancerDelay, 30*time.Second), span("left", -time.Second, 30*time.Second)
-		require.Equal(t, r.Most+Answering <= left, Takes(r, since, left))
+		require.Equal(t, r.Most+Answering <= left, Accepts(r, since, left))
 	})
 }
 
@@ -61,11 +61,11 @@
 		}
 		r := Request{Most: span("most"), Expected: span("expected")}
 		since, left := span("since"), span("left")
-		if !Takes(r, since, left) {
+		if !Accepts(r, since, left) {
 			return
 		}
 		less := Request{Most: min(r.Most, span("less")), Expected: r.Expected}
-		require.True(t, Takes(less, since, left+span("more")))
+		require.True(t, Accepts(less, since, left+span("more")))
 	})
 }
 
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -96,7 +96,7 @@
 	}
 	since, stays := g.stoppingFor(), g.endsIn()
 	request := leaving.Request{Most: left, Expected: expected}
-	sends := leaving.Takes(request, since, stays)
+	sends := leaving.Accepts(request, since, stays)
 	if c.ran > 0 {
 		sends = leaving.Repeats(request, stays)
 	}
