--- a/internal/decide/leaving/leaving.go
+++ b/internal/decide/leaving/leaving.go
@@ -50,10 +50,10 @@
 	return since < min(balancerDelay, left) && r.Expected <= left/tailFactor
 }
 
-// Repeats reports whether a VM that was asked to stop, and gives up in left what still runs
+// AllowsRepeat reports whether a VM that was asked to stop, and gives up in left what still runs
 // then, sends a request again that may have run. Where nothing is known of such requests,
 // half of the longest that it may take is assumed.
-func Repeats(r Request, left time.Duration) bool {
+func AllowsRepeat(r Request, left time.Duration) bool {
 	likely := tailFactor * r.Expected
 	if r.Expected == 0 {
 		likely = r.Most / 2
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -85,6 +85,6 @@
 		{"past its end", 0, 0, -500 * ms, false},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, Repeats(Request{Most: c.most, Expected: c.expected}, c.left), c.name)
+		require.Equal(t, c.want, AllowsRepeat(Request{Most: c.most, Expected: c.expected}, c.left), c.name)
 	}
 }
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -98,7 +98,7 @@
 	request := leaving.Request{Most: left, Expected: expected}
 	sends := leaving.Accepts(request, since, stays)
 	if c.ran > 0 {
-		sends = leaving.Repeats(request, stays)
+		sends = leaving.AllowsRepeat(request, stays)
 	}
 	if !sends {
 		c.refusedOn = fmt.Sprintf("%s expected %dms most %dms stopping for %dms ends in %dms ran %d",
