--- a/internal/decide/leaving/leaving.go
+++ b/internal/decide/leaving/leaving.go
@@ -32,9 +32,9 @@
 
 // Request is what is known of a request that is about to be sent to a target.
 type Request struct {
-	// Most is after how long it ends in any case: its caller waits no longer, or the
+	// MaxDuration is after how long it ends in any case: its caller waits no longer, or the
 	// timeout of its route is over.
-	Most time.Duration
+	MaxDuration time.Duration
 	// Expected is the mean of what such requests take at that target, what waits there
 	// included; 0 where it is not known.
 	Expected time.Duration
@@ -44,7 +44,7 @@
 // still runs then, takes the request.
 func Accepts(r Request, since, left time.Duration) bool {
 	left -= Answering
-	if r.Most <= left {
+	if r.MaxDuration <= left {
 		return true
 	}
 	return since < min(balancerDelay, left) && r.Expected <= left/tailFactor
@@ -56,7 +56,7 @@
 func AllowsRepeat(r Request, left time.Duration) bool {
 	likely := tailFactor * r.Expected
 	if r.Expected == 0 {
-		likely = r.Most / 2
+		likely = r.MaxDuration / 2
 	}
-	return min(likely, r.Most) <= left-Answering
+	return min(likely, r.MaxDuration) <= left-Answering
 }
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -35,7 +35,7 @@
 		{"past its end, and fast", 100 * ms, 5 * ms, 6000 * ms, -500 * ms, false},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, Accepts(Request{Most: c.most, Expected: c.expected}, c.since, c.left), c.name)
+		require.Equal(t, c.want, Accepts(Request{MaxDuration: c.most, Expected: c.expected}, c.since, c.left), c.name)
 	}
 }
 
@@ -47,9 +47,9 @@
 		span := func(name string, least, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
 		}
-		r := Request{Most: span("most", 0, time.Minute), Expected: span("expected", 0, 10*time.Second)}
+		r := Request{MaxDuration: span("most", 0, time.Minute), Expected: span("expected", 0, 10*time.Second)}
 		since, left := span("since", balancerDelay, 30*time.Second), span("left", -time.Second, 30*time.Second)
-		require.Equal(t, r.Most+Answering <= left, Accepts(r, since, left))
+		require.Equal(t, r.MaxDuration+Answering <= left, Accepts(r, since, left))
 	})
 }
 
@@ -59,12 +59,12 @@
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, name))
 		}
-		r := Request{Most: span("most"), Expected: span("expected")}
+		r := Request{MaxDuration: span("most"), Expected: span("expected")}
 		since, left := span("since"), span("left")
 		if !Accepts(r, since, left) {
 			return
 		}
-		less := Request{Most: min(r.Most, span("less")), Expected: r.Expected}
+		less := Request{MaxDuration: min(r.MaxDuration, span("less")), Expected: r.Expected}
 		require.True(t, Accepts(less, since, left+span("more")))
 	})
 }
@@ -85,6 +85,6 @@
 		{"past its end", 0, 0, -500 * ms, false},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, AllowsRepeat(Request{Most: c.most, Expected: c.expected}, c.left), c.name)
+		require.Equal(t, c.want, AllowsRepeat(Request{MaxDuration: c.most, Expected: c.expected}, c.left), c.name)
 	}
 }
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -95,7 +95,7 @@
 		expected = time.Duration(float64(expected) * g.state.warmupCostOf(c.service))
 	}
 	since, stays := g.stoppingFor(), g.endsIn()
-	request := leaving.Request{Most: left, Expected: expected}
+	request := leaving.Request{MaxDuration: left, Expected: expected}
 	sends := leaving.Accepts(request, since, stays)
 	if c.ran > 0 {
 		sends = leaving.AllowsRepeat(request, stays)
