--- a/internal/decide/leaving/leaving.go
+++ b/internal/decide/leaving/leaving.go
@@ -25,9 +25,9 @@
 	balancerDelay = 2500 * time.Millisecond
 	// tailFactor times the mean is what nearly all requests take at most.
 	tailFactor = 3
-	// Answering is the time from a target's answer to its last byte at the caller: a VM
+	// AnswerDelivery is the time from a target's answer to its last byte at the caller: a VM
 	// with a part of a core may wait a tenth of a second for its turn.
-	Answering = 100 * time.Millisecond
+	AnswerDelivery = 100 * time.Millisecond
 )
 
 // Request is what is known of a request that is about to be sent to a target.
@@ -43,7 +43,7 @@
 // Accepts reports whether a VM that was asked to stop so long ago, and gives up in left what
 // still runs then, takes the request.
 func Accepts(r Request, since, left time.Duration) bool {
-	left -= Answering
+	left -= AnswerDelivery
 	if r.MaxDuration <= left {
 		return true
 	}
@@ -58,5 +58,5 @@
 	if r.Expected == 0 {
 		likely = r.MaxDuration / 2
 	}
-	return min(likely, r.MaxDuration) <= left-Answering
+	return min(likely, r.MaxDuration) <= left-AnswerDelivery
 }
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -49,7 +49,7 @@
 		}
 		r := Request{MaxDuration: span("most", 0, time.Minute), Expected: span("expected", 0, 10*time.Second)}
 		since, left := span("since", balancerDelay, 30*time.Second), span("left", -time.Second, 30*time.Second)
-		require.Equal(t, r.MaxDuration+Answering <= left, Accepts(r, since, left))
+		require.Equal(t, r.MaxDuration+AnswerDelivery <= left, Accepts(r, since, left))
 	})
 }
 
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -36,7 +36,7 @@
 	end := begin.Add(part(grace, stopWaiting))
 	stopCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	err := g.closeFront(stopCtx, time.Until(end)-leaving.Answering)
+	err := g.closeFront(stopCtx, time.Until(end)-leaving.AnswerDelivery)
 	g.log.Info().Str("step", "stop").Dur("took", time.Since(begin)).Err(err).Int("leading", g.leasing.Leading()).Msg("front closed")
 	g.leasing.AwaitSuccessors(stopCtx)
 	g.cancel()
