--- a/internal/decide/pick/cold_test.go
+++ b/internal/decide/pick/cold_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simOwner plays one owner that runs requests in the order of their arrival.
+// simOwner simulates an owner that runs requests in the order of their arrival.
 type simOwner struct {
 	state State
-	// slotFreeAt holds when each slot is free.
+	// slotFreeAt is when each slot becomes free.
 	slotFreeAt []time.Duration
-	// endsAt holds when the requests at the owner end.
+	// endsAt is when each request at the owner ends.
 	endsAt []time.Duration
 }
 
-// send has the owner run a request and returns how long it takes there.
+// send gives the owner a request and returns how long it will take, queueing included.
 func (l *simOwner) send(now, service time.Duration) time.Duration {
 	first := 0
 	for i, free := range l.slotFreeAt {
@@ -44,19 +44,19 @@
 	l.endsAt = kept
 }
 
-// Half of the targets are lost. Each one left has its own keys, and as many that are cold
-// there and take four times as long: three times what it can do. Requests for its own
-// keys waited behind the cold ones, and were late or refused though the owner can do all
-// of them. Callers of its own keys must get their answers in time, nearly all, and some
-// of the others theirs.
-func TestWarmKeysAreServedBesideColdOnes(t *testing.T) {
+// Guards against requests for warm keys that wait behind those for cold keys. After the
+// loss of half of the targets, each remaining one has as many cold keys as warm ones;
+// cold ones take four times as long, and the total load is nearly three times its
+// capacity. Nearly all requests for warm keys must be answered in time, and some of those
+// for cold keys.
+func TestWarmKeysAreServedDespiteColdOnes(t *testing.T) {
 	const (
 		slots     = 6
 		usual     = 95 * time.Millisecond
 		coldness  = 4
 		objective = 300 * time.Millisecond
-		warmRate  = 34 // a second: half of what the owner can do
-		coldRate  = 34
+		warmRate  = 34 // requests per second, half of what the owner can serve
+		coldRate  = 34 // requests per second
 	)
 	draw := rand.New(rand.NewPCG(1, 2))
 	l := &simOwner{state: State{Slots: slots}, slotFreeAt: make([]time.Duration, slots)}
--- a/internal/decide/pick/overload_test.go
+++ b/internal/decide/pick/overload_test.go
@@ -8,14 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An owner gets one and a half times what it can do; a third of it are bookings, the rest
-// searches. Refused as they came, one booking in three was turned away. Nearly all
-// bookings must be taken, and of the searches as many as the owner can do beside them.
-func TestUrgentRequestsHaveTheLastPlaces(t *testing.T) {
+// Guards against refused bookings at an owner that gets one and a half times its
+// capacity, a third of it bookings and the rest searches. Without a reserve one booking in
+// three was refused. Nearly all bookings must be accepted, and as many searches as fit
+// beside them.
+func TestUrgentRequestsMayUseReserve(t *testing.T) {
 	const (
 		slots = 6
 		usual = 95 * time.Millisecond
-		rate  = 95 // a second; the owner can do 63
+		rate  = 95 // requests per second; the owner can serve 63
 	)
 	draw := rand.New(rand.NewPCG(3, 4))
 	l := &simOwner{state: State{Slots: slots}, slotFreeAt: make([]time.Duration, slots)}
--- a/internal/decide/pick/pick_test.go
+++ b/internal/decide/pick/pick_test.go
@@ -9,7 +9,7 @@
 
 func skipNone(int) bool { return false }
 
-func TestLeastLoadedIsTaken(t *testing.T) {
+func TestLeastLoadedIsChosen(t *testing.T) {
 	states := []*State{{Slots: 2, Own: 1, Others: 2, Near: true}, {Slots: 2, Own: 1, Near: true}, {Slots: 2, Others: 2, Near: true}}
 	require.Equal(t, 1, Choose(states, Job{}, skipNone, 0))
 	require.Equal(t, 2, Choose(states, Job{}, func(i int) bool { return i == 1 }, 0))
@@ -22,8 +22,9 @@
 	require.Equal(t, 0, Choose(states, Job{}, skipNone, 0))
 }
 
-// Thirty servers joined a pool of more than a hundred, and two thirds of them got no
-// request in five seconds: all VMs took the first of the idle ones in the list.
+// Guards against idle targets that get no requests because all VMs choose the first idle
+// one of the list. When thirty servers joined a pool of more than a hundred, two thirds
+// of them got no request in five seconds.
 func TestIdleTargetsTakeTurns(t *testing.T) {
 	states := make([]*State, 40)
 	for i := range states {
@@ -41,19 +42,19 @@
 	require.Len(t, got, 40)
 	states[7].Own = 1
 	job.StartIndex = 7
-	require.Equal(t, 8, Choose(states, job, skipNone, 0), "an idle one is better than one that works")
+	require.Equal(t, 8, Choose(states, job, skipNone, 0), "an idle target is better than one with a request")
 }
 
-// A target that gets more than it can queue never answers, and the connection is
-// lost. When all are full the request must be refused, not sent.
+// Guards against connections that are lost because a target gets more requests than it
+// can queue. If all targets are full, the request must be refused, not sent.
 func TestFullTargetsAreNotChosen(t *testing.T) {
 	states := []*State{{Slots: 2, Others: 6}, {Slots: 1, Own: 3}}
 	require.Equal(t, -1, Choose(states, Job{}, skipNone, 0))
 }
 
-// One target of ten turns ten times slower. It must get less than its share at
-// once, and not be chosen while a usual one has a free slot.
-func TestSlowTargetIsLeft(t *testing.T) {
+// One target of ten becomes ten times slower. It must not be chosen although it has a
+// free slot and the others are in use, and must recover.
+func TestSlowTargetIsAvoided(t *testing.T) {
 	states := make([]*State, 10)
 	for i := range states {
 		states[i] = &State{Slots: 2, Near: true}
@@ -73,31 +74,31 @@
 	for range 10 {
 		states[3].Answered(usual, usual, 1)
 	}
-	require.Less(t, states[3].Slowness(), 1.6, "it recovers")
+	require.Less(t, states[3].Slowness(), 1.6, "the target did not recover")
 }
 
-// A dead target fails at once and so looks idle. It rests, and is tried again
-// after a while with one request.
-func TestUnreachableTargetRests(t *testing.T) {
+// Guards against a target that attracts requests because it fails at once and so appears
+// idle. It must get a back-off, and be tried again afterwards.
+func TestUnreachableTargetBacksOff(t *testing.T) {
 	states := []*State{{Slots: 2, Near: true}, {Slots: 2, Own: 5}}
 	states[0].ConnectFailed(0)
 	require.Equal(t, 1, Choose(states, Job{}, skipNone, 50*time.Millisecond))
 	require.Equal(t, 0, Choose(states, Job{}, skipNone, minBackoff))
-	require.Equal(t, 0, Choose(states, Job{}, func(i int) bool { return i == 1 }, 0), "resting is better than nothing")
+	require.Equal(t, 0, Choose(states, Job{}, func(i int) bool { return i == 1 }, 0), "a target in back-off is better than none")
 }
 
-// With little to do, a target nearby that is soon enough is better than a faster
-// one in another data centre: the bytes between them are paid for.
-func TestNearTargetThatIsSoonEnoughIsTaken(t *testing.T) {
+// Under low load a target in the same data centre that is fast enough is better than a
+// faster one elsewhere, because traffic between data centres has a cost.
+func TestNearTargetThatIsFastEnoughIsChosen(t *testing.T) {
 	states := []*State{{Slots: 2, logSlow: -0.5}, {Slots: 2, Near: true, logSlow: 0.3}}
 	require.Equal(t, 0, Choose(states, Job{Usual: 100 * time.Millisecond, Objective: 200 * time.Millisecond}, skipNone, 0))
 	require.Equal(t, 1, Choose(states, Job{Usual: 100 * time.Millisecond, Objective: 500 * time.Millisecond}, skipNone, 0))
 }
 
-// A key turns hot, and eight VMs send its owner what each believes to fit, before
-// they exchange loads. Together they must not send more than the owner can
-// run and queue.
-func TestVMsThatDoNotSeeEachOtherYetDoNotOverfillATarget(t *testing.T) {
+// Guards against an owner that is overloaded by a hot key because each of eight VMs sends
+// what fits by its own count before they exchange loads. Together they may send at most
+// twice what the owner can run and queue.
+func TestVMsDoNotOverfillTargetBeforeExchange(t *testing.T) {
 	const vms, slots, queue = 8, 3, 12
 	views, sent := make([]State, vms), 0
 	for i := range views {
@@ -118,12 +119,12 @@
 			views[i].SetOthers(0)
 		}
 	}
-	require.False(t, views[0].Full(), "what was not seen fades")
+	require.False(t, views[0].Full(), "unreported requests decay")
 }
 
-// Work takes a millisecond, and one request follows the other. None is ever in
-// the way of the next; a target must not count as full for what has long ended.
-func TestShortWorkDoesNotFillATarget(t *testing.T) {
+// Guards against a target that counts as full because of requests that have ended.
+// Requests of a millisecond that follow one another must never fill it.
+func TestShortRequestsDoNotFillTarget(t *testing.T) {
 	s := State{Slots: 2}
 	for range 1000 {
 		require.False(t, s.Full())
@@ -132,9 +133,10 @@
 	}
 }
 
-// A target loses one answer in four, and its keys have no other owner. Refused while it
-// rested, most of their requests got nothing. Several losses in a row mean that it is gone.
-func TestTargetThatLosesSomeAnswersDoesNotRest(t *testing.T) {
+// Guards against refusing most requests for the keys of a target that loses one answer in
+// four, by a back-off after each loss; its keys have no other owner. Several losses in a
+// row mean that the target is gone.
+func TestTargetThatLosesSomeAnswersDoesNotBackOff(t *testing.T) {
 	var s State
 	for i := range 40 {
 		now := time.Duration(i) * 10 * time.Millisecond
