--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -1,26 +1,28 @@
 // Package balance chooses the target of a pool for a request.
 //
-// Load pattern: one server of a pool is ten times slower than the rest, another
-// refuses connections, a third says on its load endpoint that it is idle and on
-// its health endpoint that it is well. Without a choice by what was measured, each
-// gets its even share, and a tenth of all callers wait ten times as long; a choice
-// by what targets say sends everything to the one that lies.
+// In a pool one server may be ten times slower than the rest, another may refuse
+// connections, and a third may wrongly report that it is idle and healthy. Without
+// measurements each would get an equal share of the requests, and a tenth of all callers
+// would wait ten times as long. A choice by what targets report would send everything
+// to the one with the wrong report.
 //
-// A target is scored by its requests in flight, times its measured slowness: the
-// ratio of its service times to what such requests take in the pool. What it says
-// of its load only decides between equal scores, so a lie wins a tie at most. A
-// slow target is used where waiting for a better one would take longer still, and
-// is tried now and then to see whether it recovered. One whose connection failed
-// rests, doubling up to a bound. One that leaves gets nothing.
+// The score of a target is its requests in flight times its measured slowness, which is
+// the ratio of its service times to those of such requests in the pool. The load that a
+// target reports only decides between equal scores, so a wrong report wins a tie at
+// most. A slow target is used if waiting for a better one would take even longer, and is
+// probed from time to time to see whether it has recovered. A target whose connection
+// failed gets a back-off, which doubles up to a bound. A target that is leaving gets no
+// requests.
 //
-// Grounds: least in flight is within a few percent of the best possible for equal
-// servers. Slowness is a geometric mean over the last 4 answers, since one long job
-// among short ones must not condemn its target: a job 100 times longer moves it by
-// a factor of 3 at most, while a target 10 times slower is found after about 4
-// answers. Exponential service times have a geometric mean of 0.56 of the mean and
-// a deviation of 0.48 (natural logarithm) over 4 answers, so 3 is 3.5 deviations
-// away. A trial a second on 10 targets of a thousand requests a second costs one
-// request in a thousand.
+// For equal servers the choice by least requests in flight is within a few percent of
+// the optimum. Slowness is a geometric moving mean over about 4 answers, so that one
+// long request among short ones does not make its target count as slow: a request that
+// takes 100 times as long changes the slowness by a factor of about 3, while a target
+// that is 10 times slower is detected after about 4 answers. Exponential service times
+// have a geometric mean of 0.56 of the mean and a standard deviation of 0.48 (natural
+// logarithm) over 4 answers, so the threshold of 3 is 3.5 deviations away. At one probe
+// per second, a pool of 10 targets and a thousand requests per second spends one request
+// in a thousand on probes.
 package balance
 
 import (
@@ -29,36 +31,37 @@
 )
 
 const (
-	// slownessSamples is how many answers the slowness reaches over.
+	// slownessSamples is the number of answers over which slowness is averaged.
 	slownessSamples = 4
-	// slowAbove is the slowness from which a target is avoided, slowBelow the
-	// one from which it is no more; the gap keeps chance from flapping.
+	// slowAbove is the slowness above which a target counts as slow, slowBelow the
+	// slowness below which it no longer does. The gap between them prevents flapping
+	// due to random variation.
 	slowAbove = 3.0
 	slowBelow = 1.5
-	// probeInterval is the least time between two trials of a slow target.
+	// probeInterval is the least time between probes of a slow target.
 	probeInterval = time.Second
-	// minBackoff and restMost bound the rest after failed connections. A target
-	// that is back is found within the second that callers may notice, at two
-	// or three trials a second.
+	// minBackoff and maxBackoff bound the back-off after failed connections. With two
+	// or three attempts per second, a target that can be reached again is found in
+	// less than the second that callers would notice.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// leavingTimeout is how long a target that refused as leaving gets nothing,
-	// unless its health endpoint says so again.
+	// leavingTimeout is how long a target that refused a request as leaving gets no
+	// requests; after that, only its health endpoint counts.
 	leavingTimeout = 5 * time.Second
 )
 
-// Target is what is known of one target. The zero value is a new target.
+// Target is the load and the measurements of one target. The zero value is a new target.
 type Target struct {
-	// InFlight counts the requests on their way.
+	// InFlight is the number of requests sent to the target and not yet answered.
 	InFlight int
-	// Limit is how many may be.
+	// Limit is the bound on InFlight.
 	Limit int
-	// Hint is how many requests it says to run.
+	// Hint is the number of running requests that the target reports.
 	Hint int
-	// HintLeaving is what its health endpoint says.
+	// HintLeaving reports whether the health endpoint says that the target is leaving.
 	HintLeaving bool
 
-	// logRatio is the moving mean of the logarithm of measured to expected.
+	// logRatio is the moving mean of the logarithm of measured over expected time.
 	logRatio     float64
 	slow         bool
 	lastProbe    time.Time
@@ -67,13 +70,13 @@
 	leavingUntil time.Time
 }
 
-// Slowness returns the ratio of measured to expected service times, 1 at first.
+// Slowness returns the mean ratio of measured to expected service times, 1 for a new target.
 func (t *Target) Slowness() float64 { return math.Exp(t.logRatio) }
 
-// Slow reports whether the target is avoided.
+// Slow reports whether the target counts as slow.
 func (t *Target) Slow() bool { return t.slow }
 
-// Sent notes that a request is in flight.
+// Sent records that a request was sent to the target.
 func (t *Target) Sent(now time.Time) {
 	t.InFlight++
 	if t.slow {
@@ -81,15 +84,15 @@
 	}
 }
 
-// Answered notes an answer.
+// Answered records an answer and ends the target's back-off.
 func (t *Target) Answered(took, expected time.Duration) {
 	t.failures = 0
 	t.backoffUntil = time.Time{}
 	t.measure(took, expected)
 }
 
-// Overdue notes a request that was given up after so long. A frozen target gives
-// no answers to measure.
+// Overdue records a request that was given up after running for the given time. Without
+// it a frozen target, which sends no answers to measure, would not count as slow.
 func (t *Target) Overdue(running, expected time.Duration) {
 	if running > expected {
 		t.measure(running, expected)
@@ -107,27 +110,29 @@
 	}
 }
 
-// Failed notes a connection that failed or broke. It returns how long the target
-// rests.
+// Failed records a connection that failed or broke, and returns the length of the
+// target's back-off.
 func (t *Target) Failed(now time.Time) time.Duration {
-	rest := min(time.Duration(float64(minBackoff)*math.Pow(2, float64(min(t.failures, 16)))), maxBackoff)
+	backoff := min(time.Duration(float64(minBackoff)*math.Pow(2, float64(min(t.failures, 16)))), maxBackoff)
 	t.failures++
-	t.backoffUntil = now.Add(rest)
-	return rest
+	t.backoffUntil = now.Add(backoff)
+	return backoff
 }
 
-// RefusedLeaving notes that the target refused a request because it leaves.
+// RefusedLeaving records that the target refused a request because it is leaving.
 func (t *Target) RefusedLeaving(now time.Time) { t.leavingUntil = now.Add(leavingTimeout) }
 
-// Returned notes that a target that had left says that it is back.
+// Returned records that a target that was leaving reports that it serves again.
 func (t *Target) Returned() { t.leavingUntil = time.Time{} }
 
-// Serves reports whether the target takes part now.
+// Serves reports whether the target may get requests: it is not in back-off and has not
+// recently refused a request as leaving.
 func (t *Target) Serves(now time.Time) bool {
 	return !now.Before(t.backoffUntil) && !now.Before(t.leavingUntil)
 }
 
-// ServesFrom returns the end of the target's rest; in the past for one that serves.
+// ServesFrom returns the time from which the target may get requests again. It is in the
+// past for a target that serves.
 func (t *Target) ServesFrom() time.Time {
 	if t.leavingUntil.After(t.backoffUntil) {
 		return t.leavingUntil
@@ -135,11 +140,12 @@
 	return t.backoffUntil
 }
 
-// Leaving reports whether the target said that it leaves, by a refusal or a hint.
+// Leaving reports whether the target said that it is leaving, by a refusal or at its health
+// endpoint.
 func (t *Target) Leaving(now time.Time) bool { return t.HintLeaving || now.Before(t.leavingUntil) }
 
-// hasFreeSlot reports whether a request can be sent at once.
-// After a failed connection one request tries the target, not a slot's worth each.
+// hasFreeSlot reports whether the target can get a request at once. After a failed
+// connection only one request at a time is sent to it, instead of one for each slot.
 func (t *Target) hasFreeSlot(now time.Time) bool {
 	limit := t.Limit
 	if t.failures > 0 {
@@ -148,20 +154,20 @@
 	return t.Serves(now) && t.InFlight < limit
 }
 
-// Choice is one decision.
+// Choice is the input for one choice of a target.
 type Choice struct {
 	Now time.Time
-	// Avoid is the index of the target just tried, -1 for none.
+	// Avoid is the index of the target that was tried before, -1 for none.
 	Avoid int
-	// Wait is how long a request would wait for a slot of a target that is
-	// not slow, Service how long it takes there.
+	// Wait is how long the request would wait for a slot of a target that is not
+	// slow, Service how long it would then take there.
 	Wait, Service time.Duration
 }
 
-// Choose returns the index of the best target that has a free slot, or -1. Those
-// that say they leave are used only if all that serve say so: a health endpoint
-// may mislead, and no target at all would be worse.
-// Slow targets are avoided only while another serves.
+// Choose returns the index of the best target with a free slot, or -1 for none. A target
+// whose health endpoint says that it is leaving is used only if all that serve say so: the
+// endpoint may be wrong, and having no target would be worse. Slow targets are avoided only
+// while another one serves.
 func Choose(targets []*Target, c Choice) int {
 	hinted, quick := true, false
 	for _, t := range targets {
@@ -195,7 +201,8 @@
 	return best
 }
 
-// worthUsing reports, where a target that is not slow serves, whether a slow target is better than to wait for another.
+// worthUsing reports whether to send a request to the target although a target that is not
+// slow serves: it is not slow, is due for a probe, or is faster than waiting for another.
 func (c Choice) worthUsing(t *Target) bool {
 	if !t.Slow() || c.probeDue(t) {
 		return true
@@ -204,7 +211,7 @@
 	return slow < c.Wait+c.Service
 }
 
-// probeDue reports whether a slow target is due to be tried.
+// probeDue reports whether a slow target is due for a probe.
 func (c Choice) probeDue(t *Target) bool {
 	return t.InFlight == 0 && c.Now.Sub(t.lastProbe) >= probeInterval
 }
@@ -220,8 +227,8 @@
 	return a.Hint < b.Hint
 }
 
-// score is the time that a request more would take there, in service times. A
-// slowness within what chance explains counts as none.
+// score returns the time that one more request would take at the target, in service times.
+// The slowness of a target that does not count as slow is ignored as random variation.
 func score(t *Target) float64 {
 	slowness := 1.0
 	if t.Slow() {
--- a/internal/decide/balance/balance_test.go
+++ b/internal/decide/balance/balance_test.go
@@ -10,15 +10,15 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// A free slot is never left idle while a target that is not slow has it, no slot is
-// filled twice, and a target that rests or was just tried is passed over.
-func TestChoiceUsesWhatIsFree(t *testing.T) {
+// A free slot of a target that is not slow is always used, no slot gets two requests, and
+// a target in back-off is never chosen, nor one that was just tried if another is free.
+func TestChoiceUsesFreeSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := make([]*Target, rapid.IntRange(1, 6).Draw(t, "targets"))
 		for i := range targets {
 			targets[i] = &Target{Limit: rapid.IntRange(1, 3).Draw(t, "limit"), Hint: rapid.IntRange(0, 9).Draw(t, "hint")}
 			targets[i].InFlight = rapid.IntRange(0, targets[i].Limit).Draw(t, "inFlight")
-			if rapid.Bool().Draw(t, "rests") {
+			if rapid.Bool().Draw(t, "in back-off") {
 				targets[i].Failed(start)
 			}
 		}
@@ -43,8 +43,8 @@
 	})
 }
 
-// One long job among short ones must not condemn the target that ran it.
-func TestOneLongJobIsNotSlowness(t *testing.T) {
+// One long request among short ones must not make its target count as slow.
+func TestOneLongRequestIsNotSlowness(t *testing.T) {
 	x := &Target{Limit: 2}
 	for range 10 {
 		x.Answered(5*time.Millisecond, 8*time.Millisecond)
@@ -53,7 +53,7 @@
 	require.False(t, x.Slow())
 }
 
-func TestRestAfterFailureIsBounded(t *testing.T) {
+func TestBackoffAfterFailureIsBounded(t *testing.T) {
 	x := &Target{Limit: 2}
 	now := start
 	for range 20 {
@@ -78,10 +78,10 @@
 	require.Equal(t, -1, Choose(targets, c))
 }
 
-// The only owner of some keys, or every target of a pool, turns slow. Nothing better
-// can be waited for, so every free slot must be used; a benchmark hung on this, with
-// one request a second sent as a trial.
-func TestSlowTargetsServeWhereNoneIsBetter(t *testing.T) {
+// Guards against free slots left unused when the only owner of some keys, or every target
+// of a pool, becomes slow, so that there is nothing better to wait for. A benchmark hung
+// because of this: only one request per second was sent, as a probe.
+func TestSlowTargetsServeIfNoneIsBetter(t *testing.T) {
 	slow := func() *Target {
 		x := &Target{Limit: 2, InFlight: 1, lastProbe: start}
 		for range 10 {
@@ -93,8 +93,8 @@
 	c := Choice{Now: start, Avoid: -1, Service: 8 * time.Millisecond}
 	require.Equal(t, 0, Choose([]*Target{slow()}, c))
 	require.GreaterOrEqual(t, Choose([]*Target{slow(), slow()}, c), 0)
-	resting := &Target{Limit: 2}
-	resting.Failed(start)
-	require.Equal(t, 0, Choose([]*Target{slow(), resting}, c))
+	backingOff := &Target{Limit: 2}
+	backingOff.Failed(start)
+	require.Equal(t, 0, Choose([]*Target{slow(), backingOff}, c))
 	require.Equal(t, -1, Choose([]*Target{slow(), {Limit: 1, InFlight: 1}}, c))
 }
