--- a/internal/decide/fitness/fitness.go
+++ b/internal/decide/fitness/fitness.go
@@ -1,48 +1,49 @@
-// Package fitness decides whether a grantor is too slow or too cut off to go on.
+// Package fitness detects that a grantor's VM is too slow, or too isolated, to continue
+// as grantor.
 //
-// A VM that gets a fraction of its processor time renews late, takes its own delays for silence of
-// targets, and moves their keys. It shows in its own steps, which come late.
+// On a VM that gets a fraction of its CPU time, the grantor renews grants late, mistakes
+// its own delays for targets that do not answer, and moves their keys. There are three
+// signs of it:
 //
-// Or it shows in its orders: with a sixth of the processor its steps come in time,
-// while hundreds of grants wait for their turn, keys on the move for seconds.
-//
-// Or in what it receives: most owners leave its orders unanswered. More likely this VM is
-// cut off than that half of the targets are gone.
+//   - Its steps are late.
+//   - Its grants wait. With a sixth of the CPU, steps may be in time while hundreds of
+//     grants are queued, and moves of keys take seconds.
+//   - Most owners do not answer its orders. It is more likely that this VM is isolated
+//     than that half of the targets are gone.
 package fitness
 
 import "time"
 
 const (
-	// meanSteps is how many steps the mean reaches over, a third of a second at
-	// the usual pace.
+	// meanSteps is the number of steps, or grants, over which the means are taken. At
+	// the usual rate the steps cover a third of a second.
 	meanSteps = 16
-	// maxLag is the mean delay of a step from which a VM is too slow: renewals
-	// of a few hundred ranges then take longer than their period.
+	// maxLag is the mean delay of a step above which a VM is too slow: renewing a few
+	// hundred ranges then takes longer than the renewal period.
 	maxLag = 60 * time.Millisecond
-	// maxGrantWait is the mean wait of grants from which a VM is too slow: two thirds
-	// of their period. It is below 30 ms at the usual pace, and 230 ms for the
-	// first round of a new grantor.
+	// maxGrantWait is the mean wait of grants above which a VM is too slow: two thirds
+	// of the renewal period. The wait is usually below 30 ms, and 230 ms in the first
+	// round of a new grantor.
 	maxGrantWait = 400 * time.Millisecond
-	// gracePeriod is how long a grantor is not judged by its grants' waits.
-	// Where no VM can renew all ranges in time, grantors must not resign in turn.
+	// gracePeriod is how long the wait of a new grantor's grants is ignored. If no VM
+	// can renew all ranges in time, grantors must not resign one after the other.
 	gracePeriod = 10 * time.Second
-	// minSilentOwners is how many owners must be silent before a grantor blames itself: two
-	// may be gone at once.
+	// minSilentOwners is how many owners must leave orders unanswered before a grantor
+	// counts as isolated; two may be lost at the same time.
 	minSilentOwners = 3
 )
 
-// Meter finds out that a grantor's VM is too slow. It belongs to one goroutine.
+// Meter detects that a grantor's VM is too slow. It is not safe for concurrent use.
 type Meter struct {
-	// step is the usual time between two steps.
+	// step is the usual time between steps.
 	step      time.Duration
 	last, lag time.Duration
 	started   bool
-	// began is when the meter began, grantWait the mean wait of the grants that were
-	// done.
+	// began is the time of the first step, grantWait the mean wait of completed grants.
 	began, grantWait time.Duration
 }
 
-// NewMeter returns a meter of a grantor that takes a step each so often.
+// NewMeter returns a meter for a grantor that usually takes a step at this interval.
 func NewMeter(step time.Duration) *Meter { return &Meter{step: step} }
 
 // RecordStep records a step and reports whether the VM is too slow.
@@ -57,17 +58,17 @@
 	return m.lag > maxLag || m.grantWait > maxGrantWait && now-m.began > gracePeriod
 }
 
-// RecordGrant records how long a grant waited for its turn. Those that were not done
-// wait for a target that does not answer, which says nothing of this VM.
+// RecordGrant records how long a completed grant waited for its turn. Incomplete grants
+// wait for a target that does not answer, which does not indicate a slow VM.
 func (m *Meter) RecordGrant(waited time.Duration) { m.grantWait += (waited - m.grantWait) / meanSteps }
 
-// Lag returns the mean delay of the steps.
+// Lag returns the mean delay of steps.
 func (m *Meter) Lag() time.Duration { return m.lag }
 
-// GrantWait returns the mean wait of the grants that were done.
+// GrantWait returns the mean wait of completed grants.
 func (m *Meter) GrantWait() time.Duration { return m.grantWait }
 
-// Isolated reports whether so many owners leave orders unanswered that the fault is
-// this VM's: it is cut off, or slow beyond its own timeouts.
-// All orders of a slow grantor may time out at once while every target is well.
+// Isolated reports whether so many owners leave orders unanswered that the cause must be
+// this VM: it is isolated, or so slow that its own timeouts expire. All orders of a slow
+// grantor may time out at once while every target is healthy.
 func Isolated(silent, owners int) bool { return silent >= minSilentOwners && 2*silent >= owners }
--- a/internal/decide/fitness/fitness_test.go
+++ b/internal/decide/fitness/fitness_test.go
@@ -9,10 +9,10 @@
 
 const usualStep = 20 * time.Millisecond
 
-// The grantor's VM gets a sixth of its processor time. It took its own delays for
-// silence of targets and moved their keys about for six seconds. It must notice
-// within a second that it is the slow one; a single long step is no reason.
-func TestSlowGrantorNotices(t *testing.T) {
+// Guards against a grantor with a sixth of its CPU time that mistakes its own delays for
+// silent targets and moves their keys, which went on for six seconds. The delay of its
+// steps must be detected within 2 s; a single long step must not count.
+func TestSlowGrantorIsDetected(t *testing.T) {
 	m := NewMeter(usualStep)
 	now := time.Hour
 	step := func(gap time.Duration) bool {
@@ -32,17 +32,17 @@
 	}
 }
 
-func TestGrantorThatNobodyAnswersBlamesItself(t *testing.T) {
+func TestGrantorWithoutAnswersIsIsolated(t *testing.T) {
 	require.True(t, Isolated(9, 10))
 	require.True(t, Isolated(5, 10))
-	require.False(t, Isolated(3, 10), "that many targets may be lost")
-	require.False(t, Isolated(2, 2), "with so few, nothing tells")
+	require.False(t, Isolated(3, 10), "so many targets may be lost at once")
+	require.False(t, Isolated(2, 2), "so few owners are not conclusive")
 }
 
-// A grantor got a sixth of its processor time for six seconds. Its steps came in
-// time, but up to 160 grants waited for their turn, half a second to two each: a hot
-// key that moved had no owner for three seconds.
-func TestGrantorWhoseGrantsWaitIsUnfit(t *testing.T) {
+// Guards against a grantor with a sixth of its CPU time whose steps are in time while up
+// to 160 grants wait half a second to two seconds each. A hot key that moved had no owner
+// for three seconds.
+func TestLongGrantWaitsAreDetected(t *testing.T) {
 	m := NewMeter(usualStep)
 	now := time.Hour
 	step := func(waited time.Duration) bool {
@@ -51,21 +51,21 @@
 		return m.RecordStep(now)
 	}
 	for i := range int(gracePeriod/usualStep) + 200 {
-		require.False(t, step(time.Duration(i%16)*3*time.Millisecond), "the last of an owner's grants waits for the others")
+		require.False(t, step(time.Duration(i%16)*3*time.Millisecond), "the last grant of an owner waits for the others")
 	}
-	unfit := -1
+	slowAt := -1
 	for i := range 40 {
-		if unfit < 0 && step(900*time.Millisecond) {
-			unfit = i
+		if slowAt < 0 && step(900*time.Millisecond) {
+			slowAt = i
 		}
 	}
-	require.GreaterOrEqual(t, unfit, 4, "a few late ones are no sign")
-	require.Less(t, unfit, 16)
+	require.GreaterOrEqual(t, slowAt, 4, "a few late grants must not count")
+	require.Less(t, slowAt, 16)
 }
 
-// A service had so many ranges that no VM could renew them in time. Ten grantors
-// resigned one after the other within forty seconds.
-func TestNewGrantorIsNotJudgedByWaits(t *testing.T) {
+// Guards against grantors that resign in turn if a service has more ranges than any VM can
+// renew in time. Ten grantors resigned within forty seconds.
+func TestNewGrantorMayHaveLongWaits(t *testing.T) {
 	m := NewMeter(usualStep)
 	for now := time.Hour; now < time.Hour+gracePeriod; now += usualStep {
 		m.RecordGrant(2 * maxGrantWait)
