--- a/internal/decide/epochlimit/epochlimit.go
+++ b/internal/decide/epochlimit/epochlimit.go
@@ -1,8 +1,9 @@
-// Package epochlimit bounds how often a group's record gets a new epoch.
+// Package epochlimit limits the rate at which the record of a group gets new epochs.
 //
-// Each epoch makes all grantors of the group claim it anew. On overloaded VMs claims time out
-// and write further epochs, which keeps the VMs overloaded and uses up the store's writes. A
-// burst lets several losses in a row be repaired without a wait; the rate bounds a storm.
+// After each new epoch all grantors of the group have to claim it again. On overloaded VMs
+// these claims time out and write further epochs, which keeps the VMs overloaded and uses
+// up the write capacity of the store. The limit allows a burst, so that several losses in a
+// row are repaired without delay, and bounds the rate of a sustained storm.
 package epochlimit
 
 import (
@@ -12,9 +13,9 @@
 )
 
 const (
-	// burst is how many epochs may follow each other without a pause.
+	// burst is the number of epochs that may be written without delay.
 	burst = 6
-	// refillInterval is the time until one more is allowed.
+	// refillInterval is the time after which one more epoch is allowed.
 	refillInterval = 2 * time.Second
 )
 
@@ -24,13 +25,14 @@
 	tokens *rate.Limiter
 }
 
-// New returns the limiter of a group of which no epoch was seen.
+// New returns a limiter for a group of which no epoch has been seen.
 func New() *Limiter { return &Limiter{tokens: rate.NewLimiter(rate.Every(refillInterval), burst)} }
 
-// toTime turns a reading of the monotonic clock into the library's time.
+// toTime converts a reading of the monotonic clock to the time type of the rate package.
 func toTime(now time.Duration) time.Time { return time.Unix(0, int64(now)) }
 
-// Seen records the epoch in force, whoever wrote it. The first one seen is free.
+// Seen records the current epoch, no matter who wrote it. Each higher epoch uses one token,
+// except the first one seen.
 func (l *Limiter) Seen(epoch uint64, now time.Duration) {
 	if epoch <= l.epoch {
 		return
--- a/internal/decide/epochlimit/epochlimit_test.go
+++ b/internal/decide/epochlimit/epochlimit_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Keys wait 3 s for an owner. Their owner and grantor are lost a few seconds after an
-// earlier loss; the epoch that the takeover needs was held back as if it were one of
-// a storm.
-func TestLossesInARowWaitForNothing(t *testing.T) {
+// Guards against a takeover that is delayed because the limit holds back the epoch that it
+// needs. Keys waited 3 s for an owner when owner and grantor were lost a few seconds after
+// an earlier loss.
+func TestLossesInARowAreNotDelayed(t *testing.T) {
 	p := New()
 	p.Seen(1, time.Second)
 	for n := range uint64(burst) {
@@ -21,10 +21,10 @@
 	require.False(t, p.Allow(2*time.Second))
 }
 
-// The store is full of writes of one service's record and other groups wait for
-// theirs. Nine agents on starved machines claim a group over and over, each claim
-// writing an epoch. Whatever they do, a minute holds a bounded number of epochs.
-func TestClaimsWithoutEndWriteFewEpochs(t *testing.T) {
+// Guards against a store that is overloaded by writes of one service's record, so that other
+// groups wait. Nine agents on VMs with little CPU time may claim a group again and again,
+// each time with a new epoch; the number of epochs per minute must stay bounded.
+func TestRepeatedClaimsWriteFewEpochs(t *testing.T) {
 	p := New()
 	p.Seen(1, time.Second)
 	written := 0
@@ -35,6 +35,6 @@
 		}
 	}
 	require.LessOrEqual(t, written, burst+30)
-	require.Greater(t, written, 25, "the group is not given up either")
+	require.Greater(t, written, 25, "epochs are still written at the allowed rate")
 	require.True(t, p.Allow(time.Minute+refillInterval))
 }
