--- a/internal/decide/leaving/leaving.go
+++ b/internal/decide/leaving/leaving.go
@@ -1,47 +1,52 @@
-// Package leaving decides which requests a VM that was asked to stop still takes.
+// Package leaving decides which requests a VM still accepts after it was asked to stop.
 //
-// Callers go on sending on kept connections. A request that is still at work when the process ends gets
-// no response; one that is refused at once, as not run, is served by another VM.
+// Callers continue to send requests on kept connections. A request that still runs when
+// the process ends gets no response; one that is refused at once, as not run, is served by
+// another VM.
 //
-// Two rules. What surely ends in time is taken to the last moment: its caller waits no
-// longer, or its route's timeout ends it before the process does. What may take longer is
-// taken only while the balancer has not noticed yet, and not if such requests are known to
-// take too long. In that time all of the VM's usual share comes, on new connections, too, and
-// refusing it would turn away thousands for the few that take long. Afterwards only the odd
-// request on a kept connection comes. Nothing is refused by a guess: a VM that has just
-// started knows no times yet.
+// A request that certainly ends in time, because its caller's deadline or its route's
+// timeout ends it before the process does, is accepted until the last moment.
 //
-// A VM with little time left takes requests that may outlast it for half of that time.
+// A request that may take longer is accepted only while the load balancer has not noticed
+// that the VM is leaving, and not if such requests are known to take too long. During that
+// time the VM gets its usual share of requests, also on new connections, and refusing all
+// of it would turn away thousands of requests because of the few that take long.
+// Afterwards only occasional requests on kept connections arrive. No request is refused
+// because its usual time is unknown: a VM that has just started has no measurements yet.
 //
-// A request that may have run already cannot be refused as not run. Sending it again is worth
-// it only where the second answer is likely to arrive before the VM ends; otherwise its caller
-// gets what is known of the first.
+// If little time is left, requests that may take longer are accepted during the first half of
+// it only.
+//
+// A request that may have run already cannot be refused as not run. It is sent again only
+// if the second answer is likely to arrive before the VM stops; otherwise its caller gets
+// the outcome of the first attempt as far as it is known.
 package leaving
 
 import "time"
 
 const (
-	// balancerDelay is how long after the VM was asked to stop new connections still come.
+	// balancerDelay is how long after the VM was asked to stop new connections still arrive.
 	balancerDelay = 2500 * time.Millisecond
-	// tailFactor times the mean is what nearly all requests take at most.
+	// tailFactor is the multiple of the mean that nearly all requests take at most.
 	tailFactor = 3
-	// AnswerDelivery is the time from a target's answer to its last byte at the caller: a VM
-	// with a part of a core may wait a tenth of a second for its turn.
+	// AnswerDelivery is the time from a target's answer to the arrival of its last byte at
+	// the caller. A VM with a fraction of a core may wait a tenth of a second to be
+	// scheduled.
 	AnswerDelivery = 100 * time.Millisecond
 )
 
-// Request is what is known of a request that is about to be sent to a target.
+// Request describes a request that is about to be sent to a target.
 type Request struct {
-	// MaxDuration is after how long it ends in any case: its caller waits no longer, or the
-	// timeout of its route is over.
+	// MaxDuration is the time after which the request ends in any case, by its caller's
+	// deadline or by the timeout of its route.
 	MaxDuration time.Duration
-	// Expected is the mean of what such requests take at that target, what waits there
-	// included; 0 where it is not known.
+	// Expected is the mean time that such requests take at that target, queueing
+	// included; 0 if unknown.
 	Expected time.Duration
 }
 
-// Accepts reports whether a VM that was asked to stop so long ago, and gives up in left what
-// still runs then, takes the request.
+// Accepts reports whether a VM accepts the request. since is the time since it was asked to
+// stop, left the time until it aborts the requests that still run.
 func Accepts(r Request, since, left time.Duration) bool {
 	left -= AnswerDelivery
 	if r.MaxDuration <= left {
@@ -50,9 +55,9 @@
 	return since < min(balancerDelay, left) && r.Expected <= left/tailFactor
 }
 
-// AllowsRepeat reports whether a VM that was asked to stop, and gives up in left what still runs
-// then, sends a request again that may have run. Where nothing is known of such requests,
-// half of the longest that it may take is assumed.
+// AllowsRepeat reports whether a VM that was asked to stop, and aborts running requests after
+// left, sends a request again that may have run already. If the expected time is unknown, half
+// of the request's MaxDuration is assumed.
 func AllowsRepeat(r Request, left time.Duration) bool {
 	likely := tailFactor * r.Expected
 	if r.Expected == 0 {
--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -19,30 +19,30 @@
 		since, left    time.Duration
 		want           bool
 	}{
-		{"told just now", 4000 * ms, 560 * ms, 0, 5500 * ms, true},
-		{"a caller that waits for a minute, told just now", 60000 * ms, 560 * ms, 0, 5500 * ms, true},
-		{"a caller that waits for a minute, the VM not noticed yet", 60000 * ms, 560 * ms, 2400 * ms, 3100 * ms, true},
-		{"the work nearly always takes longer than the VM stays", 60000 * ms, 2000 * ms, 0, 5500 * ms, false},
-		{"nothing is known of it, the VM not noticed yet", 60000 * ms, 0, 2400 * ms, 3100 * ms, true},
-		{"nothing is known of it, the VM has little time", 60000 * ms, 0, 1000 * ms, 800 * ms, false},
-		{"nothing is known of it, long after", 4000 * ms, 0, 3200 * ms, 2300 * ms, false},
-		{"nothing is known of it, and its timeout ends it", 2000 * ms, 0, 3200 * ms, 2300 * ms, true},
-		{"long after, a search that may take four seconds", 4000 * ms, 560 * ms, 3200 * ms, 2300 * ms, false},
-		{"long after, a search whose caller waits a second", 1000 * ms, 560 * ms, 3200 * ms, 2300 * ms, true},
-		{"the answer would come out as the process ends", 2300 * ms, 560 * ms, 3200 * ms, 2300 * ms, false},
+		{"asked to stop just now", 4000 * ms, 560 * ms, 0, 5500 * ms, true},
+		{"deadline of a minute, asked to stop just now", 60000 * ms, 560 * ms, 0, 5500 * ms, true},
+		{"deadline of a minute, before the balancer notices", 60000 * ms, 560 * ms, 2400 * ms, 3100 * ms, true},
+		{"three times the mean exceeds the time left", 60000 * ms, 2000 * ms, 0, 5500 * ms, false},
+		{"expected time unknown, before the balancer notices", 60000 * ms, 0, 2400 * ms, 3100 * ms, true},
+		{"expected time unknown, little time left", 60000 * ms, 0, 1000 * ms, 800 * ms, false},
+		{"expected time unknown, after the balancer noticed", 4000 * ms, 0, 3200 * ms, 2300 * ms, false},
+		{"expected time unknown, timeout ends it in time", 2000 * ms, 0, 3200 * ms, 2300 * ms, true},
+		{"after the balancer noticed, may take four seconds", 4000 * ms, 560 * ms, 3200 * ms, 2300 * ms, false},
+		{"after the balancer noticed, deadline of a second", 1000 * ms, 560 * ms, 3200 * ms, 2300 * ms, true},
+		{"no time left to deliver the answer", 2300 * ms, 560 * ms, 3200 * ms, 2300 * ms, false},
 		{"the process ends now", 100 * ms, 5 * ms, 5500 * ms, 0, false},
-		{"past its end", 0, 0, 6000 * ms, -500 * ms, false},
-		{"past its end, and fast", 100 * ms, 5 * ms, 6000 * ms, -500 * ms, false},
+		{"after the process should have ended", 0, 0, 6000 * ms, -500 * ms, false},
+		{"after the process should have ended, short request", 100 * ms, 5 * ms, 6000 * ms, -500 * ms, false},
 	}
 	for _, c := range cases {
 		require.Equal(t, c.want, Accepts(Request{MaxDuration: c.most, Expected: c.expected}, c.since, c.left), c.name)
 	}
 }
 
-// Once the balancer has noticed, whatever is taken ends before the process does: with the
-// longest that it may take, and the way of its answer to the caller. However fast such
-// requests usually are, one that is slow is not cut.
-func TestWhatIsTakenLateEnds(t *testing.T) {
+// Guards against requests that are aborted when the process ends. Once the load balancer
+// has noticed, a request is accepted only if its longest duration and the delivery of its
+// answer fit into the time left, no matter how fast such requests usually are.
+func TestRequestsAcceptedLateEndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string, least, most time.Duration) time.Duration {
 			return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
@@ -53,8 +53,8 @@
 	})
 }
 
-// A VM with more time left, or a caller with less patience, is no reason to refuse.
-func TestMoreTimeOrLessPatienceRefusesNothing(t *testing.T) {
+// A request that is accepted is also accepted with more time left or a shorter deadline.
+func TestMoreTimeOrShorterDeadlineRefusesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, name))
@@ -75,14 +75,14 @@
 		most, expected, left time.Duration
 		want                 bool
 	}{
-		{"work of half a second, two seconds left", 8000 * ms, 500 * ms, 2000 * ms, true},
-		{"work of half a second, an eighth of a second left", 8000 * ms, 500 * ms, 125 * ms, false},
-		{"the usual work ends in time, the slowest may not", 8000 * ms, 500 * ms, 1000 * ms, false},
-		{"nothing is known of it, most of its time left", 4000 * ms, 0, 2300 * ms, true},
-		{"nothing is known of it, a third of a second left", 4000 * ms, 0, 320 * ms, false},
-		{"its caller gives up before the VM ends", 200 * ms, 500 * ms, 320 * ms, true},
-		{"the answer would arrive as the process ends", 300 * ms, 100 * ms, 320 * ms, false},
-		{"past its end", 0, 0, -500 * ms, false},
+		{"half a second expected, two seconds left", 8000 * ms, 500 * ms, 2000 * ms, true},
+		{"half a second expected, an eighth of a second left", 8000 * ms, 500 * ms, 125 * ms, false},
+		{"the mean ends in time, the slowest may not", 8000 * ms, 500 * ms, 1000 * ms, false},
+		{"expected time unknown, more than half of its longest duration left", 4000 * ms, 0, 2300 * ms, true},
+		{"expected time unknown, a third of a second left", 4000 * ms, 0, 320 * ms, false},
+		{"the deadline ends it before the VM stops", 200 * ms, 500 * ms, 320 * ms, true},
+		{"no time left to deliver the answer", 300 * ms, 100 * ms, 320 * ms, false},
+		{"after the process should have ended", 0, 0, -500 * ms, false},
 	}
 	for _, c := range cases {
 		require.Equal(t, c.want, AllowsRepeat(Request{MaxDuration: c.most, Expected: c.expected}, c.left), c.name)
--- a/internal/gateway/leaving.go
+++ b/internal/gateway/leaving.go
@@ -17,7 +17,7 @@
 	// second and takes a VM out after two misses.
 	stopAccepting = 0.55
 	// stopWaiting is when the last answers have been sent. Requests that still run are ended
-	// leaving.Answering earlier, so that their callers get an answer.
+	// leaving.AnswerDelivery earlier, so that their callers get an answer.
 	stopWaiting = 0.92
 )
 
