--- a/internal/decide/keyspread/keyspread.go
+++ b/internal/decide/keyspread/keyspread.go
@@ -4,9 +4,9 @@
 // Busy keys are often adjacent and change within seconds, so that one owner gets
 // several times its capacity while others are idle.
 //
-// The load of an owner is the request rate for its keys divided by its capacity. As
-// long as that is a gain, the most loaded owner gives up ranges, each to the owner
-// that will have the least load with it. A range that is too hot for any owner is
+// The load of an owner is the request rate for its keys divided by its capacity. The
+// most loaded owner gives up ranges, each to the owner that will have the least load
+// with it, as long as the move is a gain. A range that is too hot for any owner is
 // divided at the key that halves its load. A single key cannot be divided; instead all
 // other ranges move away from its owner.
 //
--- a/internal/decide/placement/balance.go
+++ b/internal/decide/placement/balance.go
@@ -128,8 +128,8 @@
 
 // chooseTarget returns the move of the group to the least loaded target or to its
 // standby; see standbyGainRatio.
-func (r *round) chooseTarget(l *loads, g *model.Group, coldest string) candidateMove {
-	o := candidateMove{group: g, to: coldest, gain: l.gain(g, coldest)}
+func (r *round) chooseTarget(l *loads, g *model.Group, leastLoaded string) candidateMove {
+	o := candidateMove{group: g, to: leastLoaded, gain: l.gain(g, leastLoaded)}
 	standby := g.Standby.Name
 	if !r.usable(standby) || r.incomingMoves(standby) >= maxMovesPerTarget {
 		return o
--- a/internal/decide/placement/faults_test.go
+++ b/internal/decide/placement/faults_test.go
@@ -79,7 +79,7 @@
 				if l.begin != nil {
 					l.begin(p)
 				}
-				m.Set(f, step, p.run())
+				m.Set(f, step, p.runFault())
 			})
 		}
 	}
--- a/internal/decide/placement/move_simulation_test.go
+++ b/internal/decide/placement/move_simulation_test.go
@@ -85,8 +85,8 @@
 	p.last, p.state = p.planner.moves[1], movePreparing
 }
 
-// run simulates one fault at one step and returns where the group ended.
-func (p *moveSimulation) run() string {
+// runFault simulates one fault at one step and returns where the group ended.
+func (p *moveSimulation) runFault() string {
 	p.begin()
 	if p.step.Event == "" {
 		p.stepTaken = true
@@ -111,7 +111,7 @@
 	require.Empty(p.t, g.MoveTo, "a move was left undone")
 	require.Empty(p.t, p.planner.moves, "a move was left undone")
 	require.Equal(p.t, g.Owner.Name, p.in.Serving[1].Target.Name, "the recorded owner does not serve")
-	require.False(p.t, p.in.Lost[g.Owner.Name], "a lost target owns")
+	require.False(p.t, p.in.Lost[g.Owner.Name], "the owner is a lost target")
 	switch g.Owner.Name {
 	case p.to:
 		return "moved"
--- a/internal/decide/placement/repair.go
+++ b/internal/decide/placement/repair.go
@@ -61,14 +61,14 @@
 		return ""
 	}
 	l := r.measureLoads()
-	coldest := slices.MinFunc(r.eligible, func(a, b string) int {
+	leastLoaded := slices.MinFunc(r.eligible, func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.target[a], l.target[b]), cmp.Compare(a, b))
 	})
 	standby := g.Standby.Name
-	if r.usable(standby) && l.target[standby]-l.target[coldest] < l.group[g.ID]/2 {
+	if r.usable(standby) && l.target[standby]-l.target[leastLoaded] < l.group[g.ID]/2 {
 		return standby
 	}
-	return coldest
+	return leastLoaded
 }
 
 // reassignUnfenced gives a group to its standby where targets do not check fences.
