--- a/internal/decide/leaving/leaving_test.go
+++ b/internal/decide/leaving/leaving_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-func TestTakes(t *testing.T) {
+func TestAccepts(t *testing.T) {
 	cases := []struct {
 		name           string
 		most, expected time.Duration
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestRepeats(t *testing.T) {
+func TestAllowsRepeat(t *testing.T) {
 	cases := []struct {
 		name                 string
 		most, expected, left time.Duration
