--- a/internal/decide/idempotency/idempotency_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -26,7 +26,7 @@
 
 type vm struct {
 	place wire.Place
-	book  *Book
+	book  *RecordStore
 	lives int
 	dead  bool
 }
@@ -51,7 +51,7 @@
 func (c *cluster) start(v *vm) {
 	v.lives++
 	v.dead = false
-	v.book = NewBook(v.place.VM, c.now)
+	v.book = NewRecordStore(v.place.VM, c.now)
 }
 
 func (c *cluster) find(name string) *vm {
--- a/internal/decide/idempotency/slope_test.go
+++ b/internal/decide/idempotency/slope_test.go
@@ -29,8 +29,8 @@
 	for _, n := range []int{1 << 10, 1 << 13, 1 << 15} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			places := slopePlaces(3)
-			fill := func() *Book {
-				book := NewBook(places[0].VM, 0)
+			fill := func() *RecordStore {
+				book := NewRecordStore(places[0].VM, 0)
 				book.SetPlaces(places, 0)
 				for _, p := range places[1:] {
 					book.TakeCopy(p.VM, Copy{Places: places}, time.Second)
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -60,7 +60,7 @@
 	counts  intentCounts
 
 	mu   sync.Mutex
-	book *idempotency.Book
+	book *idempotency.RecordStore
 	// mine are the claims that this dispatcher coordinates or has ended.
 	mine map[string]*localClaim
 	seq  uint64
@@ -84,7 +84,7 @@
 	return &intents{
 		vm: vm, life: time.Now().UnixNano(), clock: clock, feed: f, peers: peer.NewPool(2), log: logger, journal: j,
 		counts: intentCounts{counter("run"), counter("repeated"), counter("doubted"), counter("released")},
-		book:   idempotency.NewBook(vm, clock.Now()),
+		book:   idempotency.NewRecordStore(vm, clock.Now()),
 		mine:   make(map[string]*localClaim),
 		tried:  make(map[string]time.Duration),
 	}
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -48,7 +48,7 @@
 		require.NoError(t, err)
 		name := fmt.Sprintf("vm%d", i+1)
 		node := newIntents(name, newSetView(v), journal.New(name, processName, 16), logger, metrics.NewRegistry())
-		node.book = idempotency.NewBook(name, node.clock.Now()-time.Second)
+		node.book = idempotency.NewRecordStore(name, node.clock.Now()-time.Second)
 		require.NoError(t, server.Register("Dispatch", node))
 		go func() { _ = server.Serve() }()
 		t.Cleanup(server.Close)
