--- a/internal/decide/idempotency/idempotency.go
+++ b/internal/decide/idempotency/idempotency.go
@@ -23,7 +23,7 @@
 // answer, or waits for it, or gets unknown where the lost VM was sending it. After
 // the loss of two of a key's three holders a repeat gets unknown, never a second
 // run. Not covered: all dispatchers restarted within fleetStart, which is taken
-// for the start of a new fleet; a repeat after Remember; VMs that return under
+// for the start of a new fleet; a repeat after Retention; VMs that return under
 // their name with an earlier state (ours keep none).
 //
 // Figures: repeats come within a caller's patience (60 s by default) and its
@@ -41,8 +41,8 @@
 
 // Bounds of what one dispatcher keeps.
 const (
-	// Remember is how long a record is kept after its last change.
-	Remember = 10 * time.Minute
+	// Retention is how long a record is kept after its last change.
+	Retention = 10 * time.Minute
 	// VoteLife is how long a coordinator may count a vote. A restarted holder
 	// takes no copies before that: a claim that its earlier life voted for, and
 	// that another holder stores only later, would be in none of them.
--- a/internal/decide/idempotency/recordstore.go
+++ b/internal/decide/idempotency/recordstore.go
@@ -121,12 +121,12 @@
 // Forgot reports whether records of an earlier life may be missing here.
 func (rs *RecordStore) Forgot(now time.Duration) bool {
 	for p, at := range rs.gone {
-		if now-at > Remember {
+		if now-at > Retention {
 			delete(rs.gone, p)
 		}
 	}
 	regained := len(rs.places) > 0 && len(rs.gone) == 0 && len(rs.Missing()) == 0
-	if regained || now-rs.started > Remember || rs.newFleet(now) {
+	if regained || now-rs.started > Retention || rs.newFleet(now) {
 		rs.forgot = false
 	}
 	return rs.forgot
@@ -205,7 +205,7 @@
 }
 
 func (rs *RecordStore) expire(k Key, now time.Duration) {
-	if h := rs.records[k]; h != nil && now-h.changed > Remember {
+	if h := rs.records[k]; h != nil && now-h.changed > Retention {
 		rs.drop(k)
 	}
 }
--- a/internal/decide/idempotency/scenario_test.go
+++ b/internal/decide/idempotency/scenario_test.go
@@ -92,7 +92,7 @@
 	s.drop(second)
 	s.repeat(third)
 	require.Equal(t, 1, s.runs[s.key], "the repeat ran again")
-	s.now += Remember + time.Second
+	s.now += Retention + time.Second
 	require.False(t, first.book.Forgot(s.now), "a doubt ends with the records")
 }
 
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -167,7 +167,7 @@
 	defer t.mu.Unlock()
 	t.book.Expire(now)
 	for id, claim := range t.mine {
-		if claim.endedAt != 0 && now-claim.endedAt > idempotency.Remember {
+		if claim.endedAt != 0 && now-claim.endedAt > idempotency.Retention {
 			delete(t.mine, id)
 		}
 	}
