--- a/internal/decide/idempotency/idempotency_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -66,7 +66,7 @@
 func (c *cluster) sync(v *vm) {
 	for _, name := range v.book.Missing() {
 		if other := c.find(name); !other.dead {
-			v.book.TakeCopy(name, other.book.CopyFor(v.place.VM, c.now), c.now)
+			v.book.MergeCopy(name, other.book.CopyFor(v.place.VM, c.now), c.now)
 		}
 	}
 }
--- a/internal/decide/idempotency/recordstore.go
+++ b/internal/decide/idempotency/recordstore.go
@@ -282,8 +282,8 @@
 	return c
 }
 
-// TakeCopy adds the records of another VM.
-func (rs *RecordStore) TakeCopy(vm string, c Copy, now time.Duration) {
+// MergeCopy adds the records of another VM.
+func (rs *RecordStore) MergeCopy(vm string, c Copy, now time.Duration) {
 	if !slices.Equal(c.Places, rs.places) || now-rs.started <= VoteLife {
 		return
 	}
--- a/internal/decide/idempotency/slope_test.go
+++ b/internal/decide/idempotency/slope_test.go
@@ -33,7 +33,7 @@
 				book := NewRecordStore(places[0].VM, 0)
 				book.SetPlaces(places, 0)
 				for _, p := range places[1:] {
-					book.TakeCopy(p.VM, Copy{Places: places}, time.Second)
+					book.MergeCopy(p.VM, Copy{Places: places}, time.Second)
 				}
 				for i := range n {
 					r := slopeRecord(i)
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -156,7 +156,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	t.book.TakeCopy(m.VM, reply, now)
+	t.book.MergeCopy(m.VM, reply, now)
 	if slices.Equal(reply.Places, t.book.Places()) {
 		t.tried[m.VM] = now
 	}
