--- a/internal/decide/idempotency/idempotency.go
+++ b/internal/decide/idempotency/idempotency.go
@@ -22,7 +22,7 @@
 // Promise: the loss of any one VM loses no record: a repeat gets the first
 // answer, or waits for it, or gets unknown where the lost VM was sending it. After
 // the loss of two of a key's three holders a repeat gets unknown, never a second
-// run. Not covered: all dispatchers restarted within fleetStart, which is taken
+// run. Not covered: all dispatchers restarted within newFleetAge, which is taken
 // for the start of a new fleet; a repeat after Retention; VMs that return under
 // their name with an earlier state (ours keep none).
 //
@@ -43,22 +43,22 @@
 const (
 	// Retention is how long a record is kept after its last change.
 	Retention = 10 * time.Minute
-	// VoteLife is how long a coordinator may count a vote. A restarted holder
+	// VoteValidity is how long a coordinator may count a vote. A restarted holder
 	// takes no copies before that: a claim that its earlier life voted for, and
 	// that another holder stores only later, would be in none of them.
-	VoteLife = 500 * time.Millisecond
+	VoteValidity = 500 * time.Millisecond
 	// maxRecords bounds the records; beyond it new keys are refused as not run,
 	// and none is forgotten before its time.
 	maxRecords = 65536
-	// maxAnswers bounds the bytes of kept answers; beyond it the oldest are
+	// maxAnswerBytes bounds the bytes of kept answers; beyond it the oldest are
 	// dropped, and their repeats get unknown.
-	maxAnswers = 64 << 20
-	// maxCopied bounds the bytes of answers in one copy between dispatchers.
-	maxCopied = 8 << 20
-	// fleetStart is how young all dispatchers must be to count as a new fleet.
-	fleetStart = time.Minute
-	// holders is how many VMs hold a record: the fewest with two that meet.
-	holders = 3
+	maxAnswerBytes = 64 << 20
+	// maxCopiedBytes bounds the bytes of answers in one copy between dispatchers.
+	maxCopiedBytes = 8 << 20
+	// newFleetAge is how young all dispatchers must be to count as a new fleet.
+	newFleetAge = time.Minute
+	// holderCount is how many VMs hold a record: the fewest with two that meet.
+	holderCount = 3
 )
 
 // Key names a logical request.
@@ -107,13 +107,13 @@
 	var out []string
 	used := make(map[string]bool)
 	for _, i := range order {
-		if len(out) < holders && !used[places[i].DataCentre] {
+		if len(out) < holderCount && !used[places[i].DataCentre] {
 			used[places[i].DataCentre] = true
 			out = append(out, places[i].VM)
 		}
 	}
 	for _, i := range order {
-		if len(out) < holders && !slices.Contains(out, places[i].VM) {
+		if len(out) < holderCount && !slices.Contains(out, places[i].VM) {
 			out = append(out, places[i].VM)
 		}
 	}
@@ -138,8 +138,8 @@
 	Mismatched
 	// Refuse: the request was never run and cannot be recorded now.
 	Refuse
-	// Doubt: an earlier run may be forgotten.
-	Doubt
+	// Unknown: an earlier run may be forgotten.
+	Unknown
 )
 
 // Decide counts the votes of n holders. final says that no more will come.
@@ -155,7 +155,7 @@
 			clean++
 		}
 		mismatch = mismatch || v.Mismatch
-		record = better(record, v.Record)
+		record = moreComplete(record, v.Record)
 	}
 	switch q := Quorum(n); {
 	case n > 0 && stored >= q && clean >= q:
@@ -169,11 +169,11 @@
 	case n > 0 && clean >= q:
 		return Refuse, nil
 	}
-	return Doubt, nil
+	return Unknown, nil
 }
 
-// better returns the record that says more of the request's end.
-func better(a, b *Record) *Record {
+// moreComplete returns the record that says more of the request's end.
+func moreComplete(a, b *Record) *Record {
 	switch {
 	case a == nil:
 		return b
--- a/internal/decide/idempotency/idempotency_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -16,19 +16,19 @@
 type attempt struct {
 	record Record
 	by     []string
-	// open are the holders that were not asked yet.
-	open  []string
-	votes []Vote
-	life  int
-	begun time.Duration
-	over  bool
+	// unasked are the holders that were not asked yet.
+	unasked          []string
+	votes            []Vote
+	coordinatorStart int
+	startedAt        time.Duration
+	done             bool
 }
 
 type vm struct {
-	place wire.Place
-	book  *RecordStore
-	lives int
-	dead  bool
+	place  wire.Place
+	book   *RecordStore
+	starts int
+	down   bool
 }
 
 type cluster struct {
@@ -49,8 +49,8 @@
 }
 
 func (c *cluster) start(v *vm) {
-	v.lives++
-	v.dead = false
+	v.starts++
+	v.down = false
 	v.book = NewRecordStore(v.place.VM, c.now)
 }
 
@@ -65,16 +65,16 @@
 
 func (c *cluster) sync(v *vm) {
 	for _, name := range v.book.Missing() {
-		if other := c.find(name); !other.dead {
+		if other := c.find(name); !other.down {
 			v.book.MergeCopy(name, other.book.CopyFor(v.place.VM, c.now), c.now)
 		}
 	}
 }
 
-func (c *cluster) settle() {
+func (c *cluster) syncAll() {
 	for range 3 {
 		for _, v := range c.vms {
-			if !v.dead {
+			if !v.down {
 				v.book.SetPlaces(c.listed, c.now)
 				c.sync(v)
 			}
@@ -82,31 +82,31 @@
 	}
 }
 
-func (c *cluster) begin(v *vm, k Key) {
+func (c *cluster) startAttempt(v *vm, k Key) {
 	by := Holders(v.book.Places(), k)
-	id := fmt.Sprintf("%s/%d/%d", v.place.VM, v.lives, len(c.attempts))
+	id := fmt.Sprintf("%s/%d/%d", v.place.VM, v.starts, len(c.attempts))
 	c.attempts = append(c.attempts, &attempt{
-		record: Record{Key: k, Fingerprint: 7, Claim: Claim{ID: id, Coordinator: v.place.VM, Life: int64(v.lives)}},
-		by:     by, open: slices.Clone(by), life: v.lives, begun: c.now,
+		record: Record{Key: k, Fingerprint: 7, Claim: Claim{ID: id, Coordinator: v.place.VM, Life: int64(v.starts)}},
+		by:     by, unasked: slices.Clone(by), coordinatorStart: v.starts, startedAt: c.now,
 	})
 }
 
-// ask delivers one claim of an attempt, or loses the claim or its answer, and
+// deliverClaim delivers one claim of an attempt, or loses the claim or its answer, and
 // lets the coordinator decide.
-func (c *cluster) ask(a *attempt, i int, fate string) {
-	holder := c.find(a.open[i])
-	a.open = slices.Delete(a.open, i, i+1)
-	if !holder.dead && fate != "claim lost" {
+func (c *cluster) deliverClaim(a *attempt, i int, fate string) {
+	holder := c.find(a.unasked[i])
+	a.unasked = slices.Delete(a.unasked, i, i+1)
+	if !holder.down && fate != "claim lost" {
 		vote := holder.book.Claim(a.record, a.by, c.now)
-		if fate != "answer lost" && c.now-a.begun <= VoteLife {
+		if fate != "answer lost" && c.now-a.startedAt <= VoteValidity {
 			a.votes = append(a.votes, vote)
 		}
 	}
 	coordinator := c.find(a.record.Claim.Coordinator)
-	if a.over || coordinator.dead || coordinator.lives != a.life {
+	if a.done || coordinator.down || coordinator.starts != a.coordinatorStart {
 		return
 	}
-	action, _ := Decide(a.votes, len(a.by), len(a.open) == 0)
+	action, _ := Decide(a.votes, len(a.by), len(a.unasked) == 0)
 	switch action {
 	case Wait:
 		return
@@ -115,54 +115,54 @@
 	default:
 		// It surely was not run: the claim is withdrawn.
 		for _, name := range a.by {
-			if h := c.find(name); !h.dead {
+			if h := c.find(name); !h.down {
 				h.book.Release(a.record.Key, a.record.Claim.ID)
 			}
 		}
 	}
-	a.over = true
+	a.done = true
 }
 
-var fates = []string{"arrives", "arrives", "arrives", "arrives", "claim lost", "answer lost"}
+var deliveries = []string{"arrives", "arrives", "arrives", "arrives", "claim lost", "answer lost"}
 
 func (c *cluster) step() {
 	v := c.vms[rapid.IntRange(0, len(c.vms)-1).Draw(c.t, "vm")]
 	k := Key{Customer: "studio", Service: "booth", Name: fmt.Sprint(rapid.IntRange(0, 3).Draw(c.t, "key"))}
 	switch rapid.IntRange(0, 14).Draw(c.t, "action") {
 	case 0, 1, 2:
-		if !v.dead {
-			c.begin(v, k)
+		if !v.down {
+			c.startAttempt(v, k)
 		}
 	case 3, 4, 5, 6, 7:
-		pending := slices.DeleteFunc(slices.Clone(c.attempts), func(a *attempt) bool { return len(a.open) == 0 })
+		pending := slices.DeleteFunc(slices.Clone(c.attempts), func(a *attempt) bool { return len(a.unasked) == 0 })
 		for n := rapid.IntRange(1, 4).Draw(c.t, "claims"); n > 0 && len(pending) > 0; n-- {
 			a := pending[rapid.IntRange(0, len(pending)-1).Draw(c.t, "attempt")]
-			if len(a.open) > 0 {
-				c.ask(a, rapid.IntRange(0, len(a.open)-1).Draw(c.t, "holder"), rapid.SampledFrom(fates).Draw(c.t, "fate"))
+			if len(a.unasked) > 0 {
+				c.deliverClaim(a, rapid.IntRange(0, len(a.unasked)-1).Draw(c.t, "holder"), rapid.SampledFrom(deliveries).Draw(c.t, "fate"))
 			}
 		}
 	case 8:
 		// The first VM stays: a fleet restarted whole is the stated exception.
 		if v != c.vms[0] {
-			v.dead = true
+			v.down = true
 		}
 	case 9:
-		if v.dead && slices.Contains(c.listed, v.place) {
+		if v.down && slices.Contains(c.listed, v.place) {
 			c.start(v)
 		}
 	case 10:
-		if v.dead {
+		if v.down {
 			c.listed = slices.DeleteFunc(slices.Clone(c.listed), func(p wire.Place) bool { return p == v.place })
 		}
 	case 11:
-		if !v.dead {
+		if !v.down {
 			v.book.SetPlaces(c.listed, c.now)
 			c.sync(v)
 		}
 	case 12:
-		c.settle()
+		c.syncAll()
 	case 13:
-		if v != c.vms[0] && !v.dead {
+		if v != c.vms[0] && !v.down {
 			c.leave(v)
 		}
 	case 14:
@@ -177,11 +177,11 @@
 func (c *cluster) leave(v *vm) {
 	records := v.book.Leave(c.now)
 	for _, other := range c.vms {
-		if other != v && !other.dead && !rapid.Bool().Draw(c.t, "lost") {
+		if other != v && !other.down && !rapid.Bool().Draw(c.t, "lost") {
 			other.book.Handoff(v.place.VM, records, c.now)
 		}
 	}
-	v.dead = true
+	v.down = true
 }
 
 func newCluster(t *rapid.T, n int) *cluster {
@@ -189,9 +189,9 @@
 	for range n {
 		c.add()
 	}
-	c.now += 2 * VoteLife
-	c.settle()
-	c.now += 2 * fleetStart
+	c.now += 2 * VoteValidity
+	c.syncAll()
+	c.now += 2 * newFleetAge
 	return c
 }
 
@@ -212,16 +212,16 @@
 
 // One of three holders is lost: a new key still runs, a used one is followed.
 // Two are lost: a used key is in doubt, never new.
-func TestLossOfOneAndOfTwoHolders(t *testing.T) {
+func TestLossOfOneAndTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 6)
 		k := Key{Customer: "studio", Service: "booth", Name: rapid.StringN(1, 8, -1).Draw(t, "name")}
 		claim := func() (Action, *Record) {
-			c.begin(c.vms[0], k)
+			c.startAttempt(c.vms[0], k)
 			a := c.attempts[len(c.attempts)-1]
 			var votes []Vote
 			for _, name := range a.by {
-				if h := c.find(name); !h.dead {
+				if h := c.find(name); !h.down {
 					votes = append(votes, h.book.Claim(a.record, a.by, c.now))
 				}
 			}
@@ -233,7 +233,7 @@
 			action, _ := claim()
 			require.Equal(t, Run, action)
 		}
-		c.find(by[0]).dead = true
+		c.find(by[0]).down = true
 		action, record := claim()
 		if fresh {
 			require.Equal(t, Run, action)
@@ -242,16 +242,16 @@
 		require.Equal(t, Follow, action)
 		require.NotNil(t, record)
 		c.start(c.find(by[0]))
-		c.now += 2 * VoteLife
-		c.find(by[1]).dead = true
-		c.find(by[2]).dead = true
-		c.settle()
+		c.now += 2 * VoteValidity
+		c.find(by[1]).down = true
+		c.find(by[2]).down = true
+		c.syncAll()
 		action, _ = claim()
-		require.Equal(t, Doubt, action)
+		require.Equal(t, Unknown, action)
 	})
 }
 
-func TestOtherRequestWithTheSameKeyIsRefused(t *testing.T) {
+func TestDifferentRequestWithSameKeyIsRefused(t *testing.T) {
 	vote := Vote{Record: &Record{Fingerprint: 1}, Mismatch: true}
 	action, _ := Decide([]Vote{vote, vote, vote}, 3, true)
 	require.Equal(t, Mismatched, action)
--- a/internal/decide/idempotency/recordstore.go
+++ b/internal/decide/idempotency/recordstore.go
@@ -16,35 +16,35 @@
 	// forgot says that this dispatcher may have held records in an earlier
 	// life, and has not got them back.
 	forgot bool
-	// synced are the VMs whose records were read since places came, and
+	// copies are the VMs whose records were read since places came, and
 	// whether they had forgotten theirs.
-	synced map[string]syncState
-	// gone are VMs that left the list, with the time; their records went too.
-	gone map[wire.Place]time.Duration
+	copies map[string]copyState
+	// departed are VMs that left the list, with the time; their records went too.
+	departed map[wire.Place]time.Duration
 	// handoffs are VMs that handed their records over before they left.
 	handoffs map[string]bool
-	// left says that this VM did, and records nothing more.
-	left bool
+	// leaving says that this VM did, and records nothing more.
+	leaving bool
 
-	records map[Key]*held
-	// kept are the keys of records with answers, oldest first.
-	kept  []Key
-	bytes int
+	records map[Key]*heldRecord
+	// answerKeys are the keys of records with answers, oldest first.
+	answerKeys  []Key
+	answerBytes int
 }
 
-type syncState struct {
+type copyState struct {
 	forgot bool
 	age    time.Duration
 }
 
-type held struct {
+type heldRecord struct {
 	Record
 	changed time.Duration
 }
 
 // NewRecordStore returns the book of a dispatcher that has just started.
 func NewRecordStore(vm string, now time.Duration) *RecordStore {
-	return &RecordStore{vm: vm, started: now, forgot: true, synced: make(map[string]syncState), gone: make(map[wire.Place]time.Duration), handoffs: make(map[string]bool), records: make(map[Key]*held)}
+	return &RecordStore{vm: vm, started: now, forgot: true, copies: make(map[string]copyState), departed: make(map[wire.Place]time.Duration), handoffs: make(map[string]bool), records: make(map[Key]*heldRecord)}
 }
 
 // SetPlaces takes the platform's list, sorted by VM.
@@ -54,14 +54,14 @@
 	}
 	for _, p := range rs.places {
 		if !slices.Contains(places, p) && !rs.handoffs[p.VM] {
-			rs.gone[p] = now
+			rs.departed[p] = now
 		}
 	}
 	for _, p := range places {
 		delete(rs.handoffs, p.VM)
 	}
 	rs.places = slices.Clone(places)
-	rs.synced = make(map[string]syncState)
+	rs.copies = make(map[string]copyState)
 }
 
 // Places returns the list in force.
@@ -71,14 +71,14 @@
 func (rs *RecordStore) Missing() []string {
 	var out []string
 	for _, p := range rs.places {
-		if s, ok := rs.synced[p.VM]; p.VM != rs.vm && (!ok || s.forgot) {
+		if s, ok := rs.copies[p.VM]; p.VM != rs.vm && (!ok || s.forgot) {
 			out = append(out, p.VM)
 		}
 	}
 	return out
 }
 
-// clean reports whether no record of the key can be unknown here: it was at two
+// isClean reports whether no record of the key can be unknown here: it was at two
 // VMs at least when its request was sent, and one VM's records at most are
 // missing, of all that may have been its holders.
 //
@@ -86,32 +86,32 @@
 // list. All that are listed then answer, and none has the record. So VMs that
 // left count as missing for the keys that they would hold today, for as long as
 // records last, and a VM that forgot gets its word back only if none had left.
-func (rs *RecordStore) clean(k Key, now time.Duration) bool {
+func (rs *RecordStore) isClean(k Key, now time.Duration) bool {
 	if len(rs.places) == 0 {
 		return false
 	}
-	if rs.newFleet(now) {
+	if rs.isNewFleet(now) {
 		return true
 	}
-	missing := len(rs.Missing()) + rs.goneHolders(k)
+	missing := len(rs.Missing()) + rs.departedHolders(k)
 	if rs.Forgot(now) {
 		missing++
 	}
 	return missing <= 1
 }
 
-// known reports whether every listed VM was asked for its copy since this one
+// askedAllVMs reports whether every listed VM was asked for its copy since this one
 // started.
 //
 // Failure: a VM handed over and was restarted under its name. It stores a claim
 // and is lost, and a VM that still has its handoff takes nothing for missing.
 // Asking for a copy takes the handoff back, so nothing is stored before.
-func (rs *RecordStore) known(now time.Duration) bool {
+func (rs *RecordStore) askedAllVMs(now time.Duration) bool {
 	if !rs.Forgot(now) {
 		return true
 	}
 	for _, p := range rs.places {
-		if _, ok := rs.synced[p.VM]; p.VM != rs.vm && !ok {
+		if _, ok := rs.copies[p.VM]; p.VM != rs.vm && !ok {
 			return false
 		}
 	}
@@ -120,22 +120,22 @@
 
 // Forgot reports whether records of an earlier life may be missing here.
 func (rs *RecordStore) Forgot(now time.Duration) bool {
-	for p, at := range rs.gone {
+	for p, at := range rs.departed {
 		if now-at > Retention {
-			delete(rs.gone, p)
+			delete(rs.departed, p)
 		}
 	}
-	regained := len(rs.places) > 0 && len(rs.gone) == 0 && len(rs.Missing()) == 0
-	if regained || now-rs.started > Retention || rs.newFleet(now) {
+	regained := len(rs.places) > 0 && len(rs.departed) == 0 && len(rs.Missing()) == 0
+	if regained || now-rs.started > Retention || rs.isNewFleet(now) {
 		rs.forgot = false
 	}
 	return rs.forgot
 }
 
-// goneHolders counts the VMs that left and would hold the key if they had not.
-func (rs *RecordStore) goneHolders(k Key) int {
+// departedHolders counts the VMs that left and would hold the key if they had not.
+func (rs *RecordStore) departedHolders(k Key) int {
 	n := 0
-	for p := range rs.gone {
+	for p := range rs.departed {
 		if slices.Contains(Holders(append(slices.Clone(rs.places), p), k), p.VM) {
 			n++
 		}
@@ -143,14 +143,14 @@
 	return n
 }
 
-// newFleet reports whether every dispatcher answered and is young: nobody had
+// isNewFleet reports whether every dispatcher answered and is young: nobody had
 // anything to forget.
-func (rs *RecordStore) newFleet(now time.Duration) bool {
-	if now-rs.started > fleetStart || len(rs.places) == 0 || len(rs.gone) > 0 {
+func (rs *RecordStore) isNewFleet(now time.Duration) bool {
+	if now-rs.started > newFleetAge || len(rs.places) == 0 || len(rs.departed) > 0 {
 		return false
 	}
 	for _, p := range rs.places {
-		if s, ok := rs.synced[p.VM]; p.VM != rs.vm && (!ok || s.age > fleetStart) {
+		if s, ok := rs.copies[p.VM]; p.VM != rs.vm && (!ok || s.age > newFleetAge) {
 			return false
 		}
 	}
@@ -160,7 +160,7 @@
 // Claim votes on a claim. The holders are the coordinator's; a VM with another
 // list names others, and its vote does not count.
 func (rs *RecordStore) Claim(r Record, by []string, now time.Duration) Vote {
-	if rs.left || !slices.Equal(by, Holders(rs.places, r.Key)) {
+	if rs.leaving || !slices.Equal(by, Holders(rs.places, r.Key)) {
 		return Vote{}
 	}
 	rs.expire(r.Key, now)
@@ -168,8 +168,8 @@
 		copied := h.Record
 		return Vote{Record: &copied, Mismatch: h.Fingerprint != r.Fingerprint}
 	}
-	v := Vote{Clean: rs.clean(r.Key, now)}
-	if rs.records[r.Key] != nil || rs.known(now) && rs.room(now) {
+	v := Vote{Clean: rs.isClean(r.Key, now)}
+	if rs.records[r.Key] != nil || rs.askedAllVMs(now) && rs.hasRoom(now) {
 		rs.put(r, now)
 		v.Stored = true
 	}
@@ -178,17 +178,17 @@
 
 func (rs *RecordStore) put(r Record, now time.Duration) {
 	rs.drop(r.Key)
-	rs.records[r.Key] = &held{Record: r, changed: now - r.Age}
+	rs.records[r.Key] = &heldRecord{Record: r, changed: now - r.Age}
 	if r.Answer == nil {
 		return
 	}
-	rs.kept = append(rs.kept, r.Key)
-	rs.bytes += len(r.Answer.Body)
-	for rs.bytes > maxAnswers && len(rs.kept) > 0 {
-		oldest := rs.records[rs.kept[0]]
-		rs.bytes -= len(oldest.Answer.Body)
+	rs.answerKeys = append(rs.answerKeys, r.Key)
+	rs.answerBytes += len(r.Answer.Body)
+	for rs.answerBytes > maxAnswerBytes && len(rs.answerKeys) > 0 {
+		oldest := rs.records[rs.answerKeys[0]]
+		rs.answerBytes -= len(oldest.Answer.Body)
 		oldest.Answer = nil
-		rs.kept = rs.kept[1:]
+		rs.answerKeys = rs.answerKeys[1:]
 	}
 }
 
@@ -198,8 +198,8 @@
 		return
 	}
 	if h.Answer != nil {
-		rs.bytes -= len(h.Answer.Body)
-		rs.kept = slices.DeleteFunc(rs.kept, func(other Key) bool { return other == k })
+		rs.answerBytes -= len(h.Answer.Body)
+		rs.answerKeys = slices.DeleteFunc(rs.answerKeys, func(other Key) bool { return other == k })
 	}
 	delete(rs.records, k)
 }
@@ -210,8 +210,8 @@
 	}
 }
 
-// room makes room for a record by expired ones only.
-func (rs *RecordStore) room(now time.Duration) bool {
+// hasRoom makes hasRoom for a record by expired ones only.
+func (rs *RecordStore) hasRoom(now time.Duration) bool {
 	if len(rs.records) < maxRecords {
 		return true
 	}
@@ -262,7 +262,7 @@
 func (rs *RecordStore) CopyFor(vm string, now time.Duration) Copy {
 	delete(rs.handoffs, vm)
 	c := Copy{Places: rs.places, Forgot: rs.Forgot(now), Age: now - rs.started}
-	for p, at := range rs.gone {
+	for p, at := range rs.departed {
 		c.Gone = append(c.Gone, Departure{Place: p, Age: now - at})
 	}
 	copied := 0
@@ -273,7 +273,7 @@
 			if r.Answer != nil {
 				copied += len(r.Answer.Body)
 			}
-			if copied > maxCopied {
+			if copied > maxCopiedBytes {
 				r.Answer = nil
 			}
 			c.Records = append(c.Records, r)
@@ -284,24 +284,24 @@
 
 // MergeCopy adds the records of another VM.
 func (rs *RecordStore) MergeCopy(vm string, c Copy, now time.Duration) {
-	if !slices.Equal(c.Places, rs.places) || now-rs.started <= VoteLife {
+	if !slices.Equal(c.Places, rs.places) || now-rs.started <= VoteValidity {
 		return
 	}
 	for _, d := range c.Gone {
 		if !slices.Contains(rs.places, d.Place) {
-			rs.gone[d.Place] = max(rs.gone[d.Place], now-d.Age)
+			rs.departed[d.Place] = max(rs.departed[d.Place], now-d.Age)
 		}
 	}
 	for _, r := range c.Records {
 		rs.merge(r, now)
 	}
-	rs.synced[vm] = syncState{forgot: c.Forgot, age: c.Age}
+	rs.copies[vm] = copyState{forgot: c.Forgot, age: c.Age}
 }
 
 // Leave returns all records, for the others to take over, and ends this VM's part
 // as a holder: a claim stored after it would be known to nobody.
 func (rs *RecordStore) Leave(now time.Duration) Copy {
-	rs.left = true
+	rs.leaving = true
 	c := Copy{Places: rs.places, Forgot: rs.Forgot(now), Age: now - rs.started}
 	for _, h := range rs.records {
 		r := h.Record
@@ -334,4 +334,4 @@
 }
 
 // Size returns the number of records and the bytes of their answers.
-func (rs *RecordStore) Size() (records, bytes int) { return len(rs.records), rs.bytes }
+func (rs *RecordStore) Size() (records, bytes int) { return len(rs.records), rs.answerBytes }
