--- a/internal/decide/idempotency/idempotency_test.go
+++ b/internal/decide/idempotency/idempotency_test.go
@@ -12,11 +12,11 @@
 	"hemlockquay/internal/wire"
 )
 
-// attempt is one coordinator's try to run a key.
+// attempt is one coordinator's attempt to run the request of a key.
 type attempt struct {
 	record Record
 	by     []string
-	// unasked are the holders that were not asked yet.
+	// unasked lists the holders that have not received the claim yet.
 	unasked          []string
 	votes            []Vote
 	coordinatorStart int
@@ -26,11 +26,12 @@
 
 type vm struct {
 	place  wire.Place
-	book   *RecordStore
+	store  *RecordStore
 	starts int
 	down   bool
 }
 
+// cluster simulates dispatchers and the platform's list of VMs in virtual time.
 type cluster struct {
 	t        *rapid.T
 	now      time.Duration
@@ -51,7 +52,7 @@
 func (c *cluster) start(v *vm) {
 	v.starts++
 	v.down = false
-	v.book = NewRecordStore(v.place.VM, c.now)
+	v.store = NewRecordStore(v.place.VM, c.now)
 }
 
 func (c *cluster) find(name string) *vm {
@@ -64,9 +65,9 @@
 }
 
 func (c *cluster) sync(v *vm) {
-	for _, name := range v.book.Missing() {
+	for _, name := range v.store.Missing() {
 		if other := c.find(name); !other.down {
-			v.book.MergeCopy(name, other.book.CopyFor(v.place.VM, c.now), c.now)
+			v.store.MergeCopy(name, other.store.CopyFor(v.place.VM, c.now), c.now)
 		}
 	}
 }
@@ -75,7 +76,7 @@
 	for range 3 {
 		for _, v := range c.vms {
 			if !v.down {
-				v.book.SetPlaces(c.listed, c.now)
+				v.store.SetPlaces(c.listed, c.now)
 				c.sync(v)
 			}
 		}
@@ -83,7 +84,7 @@
 }
 
 func (c *cluster) startAttempt(v *vm, k Key) {
-	by := Holders(v.book.Places(), k)
+	by := Holders(v.store.Places(), k)
 	id := fmt.Sprintf("%s/%d/%d", v.place.VM, v.starts, len(c.attempts))
 	c.attempts = append(c.attempts, &attempt{
 		record: Record{Key: k, Fingerprint: 7, Claim: Claim{ID: id, Coordinator: v.place.VM, Life: int64(v.starts)}},
@@ -91,14 +92,14 @@
 	})
 }
 
-// deliverClaim delivers one claim of an attempt, or loses the claim or its answer, and
-// lets the coordinator decide.
-func (c *cluster) deliverClaim(a *attempt, i int, fate string) {
+// deliverClaim delivers an attempt's claim to one holder, or loses the claim or its answer,
+// and lets the coordinator decide.
+func (c *cluster) deliverClaim(a *attempt, i int, delivery string) {
 	holder := c.find(a.unasked[i])
 	a.unasked = slices.Delete(a.unasked, i, i+1)
-	if !holder.down && fate != "claim lost" {
-		vote := holder.book.Claim(a.record, a.by, c.now)
-		if fate != "answer lost" && c.now-a.startedAt <= VoteValidity {
+	if !holder.down && delivery != "claim lost" {
+		vote := holder.store.Claim(a.record, a.by, c.now)
+		if delivery != "answer lost" && c.now-a.startedAt <= VoteValidity {
 			a.votes = append(a.votes, vote)
 		}
 	}
@@ -113,17 +114,17 @@
 	case Run:
 		c.runs[a.record.Key]++
 	default:
-		// It surely was not run: the claim is withdrawn.
+		// The request certainly was not run, so the coordinator withdraws the claim.
 		for _, name := range a.by {
 			if h := c.find(name); !h.down {
-				h.book.Release(a.record.Key, a.record.Claim.ID)
+				h.store.Release(a.record.Key, a.record.Claim.ID)
 			}
 		}
 	}
 	a.done = true
 }
 
-var deliveries = []string{"arrives", "arrives", "arrives", "arrives", "claim lost", "answer lost"}
+var deliveries = []string{"delivered", "delivered", "delivered", "delivered", "claim lost", "answer lost"}
 
 func (c *cluster) step() {
 	v := c.vms[rapid.IntRange(0, len(c.vms)-1).Draw(c.t, "vm")]
@@ -138,11 +139,12 @@
 		for n := rapid.IntRange(1, 4).Draw(c.t, "claims"); n > 0 && len(pending) > 0; n-- {
 			a := pending[rapid.IntRange(0, len(pending)-1).Draw(c.t, "attempt")]
 			if len(a.unasked) > 0 {
-				c.deliverClaim(a, rapid.IntRange(0, len(a.unasked)-1).Draw(c.t, "holder"), rapid.SampledFrom(deliveries).Draw(c.t, "fate"))
+				c.deliverClaim(a, rapid.IntRange(0, len(a.unasked)-1).Draw(c.t, "holder"), rapid.SampledFrom(deliveries).Draw(c.t, "delivery"))
 			}
 		}
 	case 8:
-		// The first VM stays: a fleet restarted whole is the stated exception.
+		// The first VM keeps running: a restart of the whole fleet is not covered, as the
+		// package comment states.
 		if v != c.vms[0] {
 			v.down = true
 		}
@@ -156,7 +158,7 @@
 		}
 	case 11:
 		if !v.down {
-			v.book.SetPlaces(c.listed, c.now)
+			v.store.SetPlaces(c.listed, c.now)
 			c.sync(v)
 		}
 	case 12:
@@ -173,12 +175,12 @@
 	c.now += time.Duration(rapid.IntRange(0, 2000).Draw(c.t, "ms")) * time.Millisecond
 }
 
-// leave is a planned stop; some of the others do not get the records.
+// leave shuts a VM down as planned. Some of the other VMs do not receive its records.
 func (c *cluster) leave(v *vm) {
-	records := v.book.Leave(c.now)
+	records := v.store.Leave(c.now)
 	for _, other := range c.vms {
 		if other != v && !other.down && !rapid.Bool().Draw(c.t, "lost") {
-			other.book.Handoff(v.place.VM, records, c.now)
+			other.store.Handoff(v.place.VM, records, c.now)
 		}
 	}
 	v.down = true
@@ -195,9 +197,9 @@
 	return c
 }
 
-// A caller repeats one booking through all entries while dispatchers are lost,
-// restarted without memory, replaced and cut off, and lists of VMs differ. A
-// second run would be a double booking.
+// Guards against a second run of a request, which would be a double booking. The caller repeats
+// it through all entries while dispatchers are lost, restarted with empty memory, replaced and
+// partitioned, and while their lists of VMs differ.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, rapid.IntRange(3, 6).Draw(t, "vms"))
@@ -210,8 +212,9 @@
 	})
 }
 
-// One of three holders is lost: a new key still runs, a used one is followed.
-// Two are lost: a used key is in doubt, never new.
+// Guards against a second run after holders are lost. With one of three holders lost, a request
+// with a new key still runs and a repeat follows its record. With two lost, the outcome of a
+// used key is unknown; it is never taken for new.
 func TestLossOfOneAndTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 6)
@@ -222,7 +225,7 @@
 			var votes []Vote
 			for _, name := range a.by {
 				if h := c.find(name); !h.down {
-					votes = append(votes, h.book.Claim(a.record, a.by, c.now))
+					votes = append(votes, h.store.Claim(a.record, a.by, c.now))
 				}
 			}
 			return Decide(votes, len(a.by), true)
@@ -251,6 +254,7 @@
 	})
 }
 
+// Guards against answering a request with the answer of another one that used the same key.
 func TestDifferentRequestWithSameKeyIsRefused(t *testing.T) {
 	vote := Vote{Record: &Record{Fingerprint: 1}, Mismatch: true}
 	action, _ := Decide([]Vote{vote, vote, vote}, 3, true)
--- a/internal/decide/idempotency/recordstore.go
+++ b/internal/decide/idempotency/recordstore.go
@@ -7,31 +7,34 @@
 	"hemlockquay/internal/wire"
 )
 
-// RecordStore is what one dispatcher keeps as a holder. It belongs to one goroutine at
-// a time. Times are readings of one clock that never goes back.
+// RecordStore holds the records of one dispatcher in its role as a holder. It is not safe
+// for concurrent use. All times passed to it are readings of one monotonic clock.
 type RecordStore struct {
 	vm      string
 	started time.Duration
 	places  []wire.Place
-	// forgot says that this dispatcher may have held records in an earlier
-	// life, and has not got them back.
+	// forgot reports whether this dispatcher may have held records before its last
+	// restart and has not recovered them yet.
 	forgot bool
-	// copies are the VMs whose records were read since places came, and
-	// whether they had forgotten theirs.
+	// copies holds the state of each VM whose records were merged since places last
+	// changed.
 	copies map[string]copyState
-	// departed are VMs that left the list, with the time; their records went too.
+	// departed holds the VMs that were removed from the list without handing over their
+	// records, and when they were removed. Their copies of the records are lost.
 	departed map[wire.Place]time.Duration
-	// handoffs are VMs that handed their records over before they left.
+	// handoffs holds the VMs that handed over their records before shutting down.
 	handoffs map[string]bool
-	// leaving says that this VM did, and records nothing more.
+	// leaving is set once this VM has handed over its records; it accepts no more claims.
 	leaving bool
 
 	records map[Key]*heldRecord
-	// answerKeys are the keys of records with answers, oldest first.
+	// answerKeys holds the keys of the records that have an answer, oldest first.
 	answerKeys  []Key
 	answerBytes int
 }
 
+// copyState describes the VM that a copy came from: whether it lacked records itself, and
+// how long it had been running.
 type copyState struct {
 	forgot bool
 	age    time.Duration
@@ -42,12 +45,12 @@
 	changed time.Duration
 }
 
-// NewRecordStore returns the book of a dispatcher that has just started.
+// NewRecordStore returns the empty store of a dispatcher that has just started.
 func NewRecordStore(vm string, now time.Duration) *RecordStore {
 	return &RecordStore{vm: vm, started: now, forgot: true, copies: make(map[string]copyState), departed: make(map[wire.Place]time.Duration), handoffs: make(map[string]bool), records: make(map[Key]*heldRecord)}
 }
 
-// SetPlaces takes the platform's list, sorted by VM.
+// SetPlaces sets the platform's list of VMs, sorted by VM.
 func (rs *RecordStore) SetPlaces(places []wire.Place, now time.Duration) {
 	if slices.Equal(places, rs.places) || len(places) == 0 {
 		return
@@ -64,10 +67,11 @@
 	rs.copies = make(map[string]copyState)
 }
 
-// Places returns the list in force.
+// Places returns the current list of VMs.
 func (rs *RecordStore) Places() []wire.Place { return rs.places }
 
-// Missing returns the listed VMs whose records are not known here.
+// Missing returns the listed VMs, other than this one, from which no complete copy of the
+// records was merged.
 func (rs *RecordStore) Missing() []string {
 	var out []string
 	for _, p := range rs.places {
@@ -78,14 +82,14 @@
 	return out
 }
 
-// isClean reports whether no record of the key can be unknown here: it was at two
-// VMs at least when its request was sent, and one VM's records at most are
-// missing, of all that may have been its holders.
+// isClean reports whether this store is certain to hold the key's record if there is one.
+// A record is stored on at least two VMs when its request is sent, so the store may lack
+// the records of at most one VM (this one included) that may have been a holder of the key.
 //
-// Failure: one holder restarts and forgets, the other is lost and leaves the
-// list. All that are listed then answer, and none has the record. So VMs that
-// left count as missing for the keys that they would hold today, for as long as
-// records last, and a VM that forgot gets its word back only if none had left.
+// VMs removed from the list count as missing for the keys that they would hold today, until
+// their records would have expired, and a restarted VM counts as recovered only if no VM
+// has been removed. Otherwise, if one holder restarts and loses its records and the other
+// is lost and removed from the list, all listed VMs answer and none has the record.
 func (rs *RecordStore) isClean(k Key, now time.Duration) bool {
 	if len(rs.places) == 0 {
 		return false
@@ -100,12 +104,12 @@
 	return missing <= 1
 }
 
-// askedAllVMs reports whether every listed VM was asked for its copy since this one
-// started.
+// askedAllVMs reports whether this VM has recovered its records or has merged a copy from
+// every other listed VM since it started.
 //
-// Failure: a VM handed over and was restarted under its name. It stores a claim
-// and is lost, and a VM that still has its handoff takes nothing for missing.
-// Asking for a copy takes the handoff back, so nothing is stored before.
+// No claim is stored before that. A VM may hand over its records and restart under the same
+// name. If it then stored a claim and was lost, a VM that still has the old handoff would
+// not count it as missing. Asking a VM for its copy cancels the handoff there.
 func (rs *RecordStore) askedAllVMs(now time.Duration) bool {
 	if !rs.Forgot(now) {
 		return true
@@ -118,7 +122,7 @@
 	return true
 }
 
-// Forgot reports whether records of an earlier life may be missing here.
+// Forgot reports whether records stored before this dispatcher's last restart may be missing.
 func (rs *RecordStore) Forgot(now time.Duration) bool {
 	for p, at := range rs.departed {
 		if now-at > Retention {
@@ -132,7 +136,8 @@
 	return rs.forgot
 }
 
-// departedHolders counts the VMs that left and would hold the key if they had not.
+// departedHolders returns the number of removed VMs that would be holders of the key if they
+// were still listed.
 func (rs *RecordStore) departedHolders(k Key) int {
 	n := 0
 	for p := range rs.departed {
@@ -143,8 +148,8 @@
 	return n
 }
 
-// isNewFleet reports whether every dispatcher answered and is young: nobody had
-// anything to forget.
+// isNewFleet reports whether all listed dispatchers are known to have started at most
+// newFleetAge ago and none was removed from the list, so that no record can be lost.
 func (rs *RecordStore) isNewFleet(now time.Duration) bool {
 	if now-rs.started > newFleetAge || len(rs.places) == 0 || len(rs.departed) > 0 {
 		return false
@@ -157,8 +162,9 @@
 	return true
 }
 
-// Claim votes on a claim. The holders are the coordinator's; a VM with another
-// list names others, and its vote does not count.
+// Claim stores the claim if possible and returns this holder's vote on it. by lists the
+// holders as the coordinator computed them; if this VM's list gives other holders, the vote
+// is empty and does not count.
 func (rs *RecordStore) Claim(r Record, by []string, now time.Duration) Vote {
 	if rs.leaving || !slices.Equal(by, Holders(rs.places, r.Key)) {
 		return Vote{}
@@ -210,7 +216,8 @@
 	}
 }
 
-// hasRoom makes hasRoom for a record by expired ones only.
+// hasRoom reports whether another record can be stored. If the store is full, it first
+// removes expired records, and only these.
 func (rs *RecordStore) hasRoom(now time.Duration) bool {
 	if len(rs.records) < maxRecords {
 		return true
@@ -219,46 +226,49 @@
 	return len(rs.records) < maxRecords
 }
 
-// Expire forgets records after their time.
+// Expire removes the records that are older than Retention.
 func (rs *RecordStore) Expire(now time.Duration) {
 	for k := range rs.records {
 		rs.expire(k, now)
 	}
 }
 
-// Settle records the end of a claimed request.
+// Settle stores the outcome of a claimed request.
 func (rs *RecordStore) Settle(r Record, now time.Duration) {
 	if h := rs.records[r.Key]; h == nil || h.Claim.ID == r.Claim.ID {
 		rs.put(r, now)
 	}
 }
 
-// Release forgets a claim whose request surely was not run.
+// Release removes a claim whose request certainly was not run.
 func (rs *RecordStore) Release(k Key, id string) {
 	if h := rs.records[k]; h != nil && h.Claim.ID == id {
 		rs.drop(k)
 	}
 }
 
-// Departure is a VM that left the list some time ago.
+// Departure is a VM that was removed from the list, and how long ago.
 type Departure struct {
 	Place wire.Place
 	Age   time.Duration
 }
 
-// Copy is what a VM gives to another that asks for its records.
+// Copy is a VM's records and state, as sent to another holder.
 type Copy struct {
-	// Places is the giver's list: a copy from under another list may lack
-	// records that are claimed meanwhile.
+	// Places is the sender's list of VMs. A copy made under a different list may lack
+	// records that are claimed in the meantime.
 	Places []wire.Place
-	// Gone are the VMs that left, with how long ago.
-	Gone    []Departure
-	Forgot  bool
+	// Gone lists the VMs that were removed from the list.
+	Gone []Departure
+	// Forgot reports whether records from before the sender's last restart may be missing.
+	Forgot bool
+	// Age is how long ago the sender started.
 	Age     time.Duration
 	Records []Record
 }
 
-// CopyFor returns the records of which the asking VM is a holder.
+// CopyFor returns the records of which the given VM is a holder. It cancels an earlier
+// handoff of that VM. Answers beyond maxCopiedBytes are left out.
 func (rs *RecordStore) CopyFor(vm string, now time.Duration) Copy {
 	delete(rs.handoffs, vm)
 	c := Copy{Places: rs.places, Forgot: rs.Forgot(now), Age: now - rs.started}
@@ -282,7 +292,8 @@
 	return c
 }
 
-// MergeCopy adds the records of another VM.
+// MergeCopy merges a copy of another VM's records. It ignores a copy made under a different
+// list of VMs, and any copy within VoteValidity of the start.
 func (rs *RecordStore) MergeCopy(vm string, c Copy, now time.Duration) {
 	if !slices.Equal(c.Places, rs.places) || now-rs.started <= VoteValidity {
 		return
@@ -298,8 +309,8 @@
 	rs.copies[vm] = copyState{forgot: c.Forgot, age: c.Age}
 }
 
-// Leave returns all records, for the others to take over, and ends this VM's part
-// as a holder: a claim stored after it would be known to nobody.
+// Leave returns all records for the other holders to take over, and rejects claims from now
+// on: a claim stored later would be lost with this VM.
 func (rs *RecordStore) Leave(now time.Duration) Copy {
 	rs.leaving = true
 	c := Copy{Places: rs.places, Forgot: rs.Forgot(now), Age: now - rs.started}
@@ -311,8 +322,9 @@
 	return c
 }
 
-// Handoff takes over the records of a VM that leaves, those that this VM holds
-// or will hold without it. It must still be listed, and not have forgotten any.
+// Handoff merges the records of a VM that is shutting down, as far as this VM will be their
+// holder without it. A handoff from a VM that is not listed, or that may lack records
+// itself, is ignored.
 func (rs *RecordStore) Handoff(vm string, c Copy, now time.Duration) {
 	rest := slices.DeleteFunc(slices.Clone(rs.places), func(p wire.Place) bool { return p.VM == vm })
 	if c.Forgot || len(rest) == len(rs.places) {
@@ -326,12 +338,13 @@
 	rs.handoffs[vm] = true
 }
 
-// merge adds a record of another VM, unless this one knows more.
+// merge stores a record of another VM if this store has none for the key, or has the same
+// claim without its outcome.
 func (rs *RecordStore) merge(r Record, now time.Duration) {
 	if h := rs.records[r.Key]; h == nil || !h.Done && r.Done && h.Claim.ID == r.Claim.ID {
 		rs.put(r, now)
 	}
 }
 
-// Size returns the number of records and the bytes of their answers.
+// Size returns the number of records and the total size of their answer bodies.
 func (rs *RecordStore) Size() (records, bytes int) { return len(rs.records), rs.answerBytes }
--- a/internal/decide/idempotency/scenario_test.go
+++ b/internal/decide/idempotency/scenario_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// scenario is a fleet that has run for long, one key, and the key's holders by rank.
+// scenario is a fleet that started long ago, one key, and the key's holders by rank.
 type scenario struct {
 	*cluster
 	key Key
@@ -25,42 +25,42 @@
 
 func (s *scenario) holder(rank int) *vm { return s.find(s.by[rank]) }
 
-// startClaim begins a claim at a coordinator.
+// startClaim starts a claim at a coordinator.
 func (s *scenario) startClaim(coordinator *vm) *attempt {
 	s.startAttempt(coordinator, s.key)
 	return s.attempts[len(s.attempts)-1]
 }
 
-// deliver brings the claim to one holder and its vote back.
+// deliver delivers the claim to one holder and returns its vote to the coordinator.
 func (s *scenario) deliver(a *attempt, holder *vm) {
 	for i, name := range a.unasked {
 		if name == holder.place.VM {
-			s.deliverClaim(a, i, "arrives")
+			s.deliverClaim(a, i, "delivered")
 			return
 		}
 	}
 }
 
-// repeatRequest is the caller's second sending, through a coordinator that reaches all
-// holders that live.
+// repeatRequest sends the caller's repeat through a coordinator that reaches all holders
+// that are up.
 func (s *scenario) repeatRequest(coordinator *vm) {
 	a := s.startClaim(coordinator)
 	for len(a.unasked) > 0 {
-		s.deliverClaim(a, 0, "arrives")
+		s.deliverClaim(a, 0, "delivered")
 	}
 }
 
-// unlist takes a VM that is dead off the platform's list, and lets all others see it.
+// unlist stops a VM, removes it from the platform's list and updates all other VMs.
 func (s *scenario) unlist(v *vm) {
 	v.down = true
 	s.listed = slices.DeleteFunc(slices.Clone(s.listed), func(p wire.Place) bool { return p == v.place })
 	s.syncAll()
 }
 
-// A caller repeats a booking and gets two. The first holder votes for the claim,
-// is restarted and copies the records of the others at once; only then the second
-// holder stores the claim, and with both votes the request runs. The second holder
-// is lost. The first believes that it knows all, has nothing, and is clean.
+// Guards against a double booking. The first holder votes for the claim, restarts, and copies
+// the others' records at once. Only then does the second holder store the claim, and the request
+// runs with both votes. When the second holder is lost, the first one has no record but would
+// count as clean.
 func TestHolderRestartedBetweenTwoVotes(t *testing.T) {
 	s := newScenario(4)
 	first, second, third := s.holder(0), s.holder(1), s.holder(2)
@@ -74,12 +74,12 @@
 	s.syncAll()
 	second.down = true
 	s.repeatRequest(third)
-	require.Equal(t, 1, s.runs[s.key], "the repeat ran again")
+	require.Equal(t, 1, s.runs[s.key], "the request ran a second time")
 }
 
-// A caller repeats a booking and gets two. Of the two holders that stored its
-// claim one was lost and left the platform's list, and the other was restarted.
-// Every VM that is listed answers the restarted one, and none has the record.
+// Guards against a double booking. Of the two holders that stored the claim, one was lost and
+// removed from the platform's list, and the other was restarted. All listed VMs answer the
+// restarted one, and none has the record.
 func TestRestartedHolderIsNotCleanAfterAnotherLeft(t *testing.T) {
 	s := newScenario(4)
 	first, second, third := s.holder(0), s.holder(1), s.holder(2)
@@ -91,14 +91,13 @@
 	s.now += 2 * VoteValidity
 	s.unlist(second)
 	s.repeatRequest(third)
-	require.Equal(t, 1, s.runs[s.key], "the repeat ran again")
+	require.Equal(t, 1, s.runs[s.key], "the request ran a second time")
 	s.now += Retention + time.Second
-	require.False(t, first.book.Forgot(s.now), "a doubt ends with the records")
+	require.False(t, first.store.Forgot(s.now), "lost records no longer matter once they would have expired")
 }
 
-// A caller repeats a booking and gets two. Both holders that stored its claim were
-// restarted. Each reads the copies of all others, the other one's too, which is
-// whole and empty.
+// Guards against a double booking. Both holders that stored the claim were restarted. Each
+// reads the copies of all others, including the other restarted one's, which is empty.
 func TestTwoRestartedHoldersAreNotClean(t *testing.T) {
 	s := newScenario(4)
 	first, second, third := s.holder(0), s.holder(1), s.holder(2)
@@ -111,12 +110,12 @@
 	s.now += 2 * VoteValidity
 	s.syncAll()
 	s.repeatRequest(third)
-	require.Equal(t, 1, s.runs[s.key], "the repeat ran again")
+	require.Equal(t, 1, s.runs[s.key], "the request ran a second time")
 }
 
-// A caller repeats a booking and gets two. One holder was restarted and is stopped
-// by plan before it had its records back; the other one is lost. The others took
-// the handoff for a whole one and missed only one VM.
+// Guards against a double booking. One holder was restarted and is shut down as planned before
+// it has recovered its records; the other one is lost. If the others took its handoff for
+// complete, they would count only one VM as missing.
 func TestHandoffFromHolderWithMissingRecordsIsIgnored(t *testing.T) {
 	s := newScenario(4)
 	first, second, third := s.holder(0), s.holder(1), s.holder(2)
@@ -128,14 +127,14 @@
 	s.start(first)
 	s.now += 2 * VoteValidity
 	s.syncAll()
-	handoff := first.book.Leave(s.now)
+	handoff := first.store.Leave(s.now)
 	require.True(t, handoff.Forgot)
 	for _, v := range s.vms {
 		if v != first && !v.down {
-			v.book.Handoff(first.place.VM, handoff, s.now)
+			v.store.Handoff(first.place.VM, handoff, s.now)
 		}
 	}
 	s.unlist(first)
 	s.repeatRequest(third)
-	require.Equal(t, 1, s.runs[s.key], "the repeat ran again")
+	require.Equal(t, 1, s.runs[s.key], "the request ran a second time")
 }
--- a/internal/decide/idempotency/slope_test.go
+++ b/internal/decide/idempotency/slope_test.go
@@ -24,31 +24,31 @@
 	}
 }
 
-// BenchmarkSlopeClaim is a claim of a new key, and its release, beside n records.
+// BenchmarkSlopeClaim measures the claim of a new key and its release in a store of n records.
 func BenchmarkSlopeClaim(b *testing.B) {
 	for _, n := range []int{1 << 10, 1 << 13, 1 << 15} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			places := slopePlaces(3)
 			fill := func() *RecordStore {
-				book := NewRecordStore(places[0].VM, 0)
-				book.SetPlaces(places, 0)
+				store := NewRecordStore(places[0].VM, 0)
+				store.SetPlaces(places, 0)
 				for _, p := range places[1:] {
-					book.MergeCopy(p.VM, Copy{Places: places}, time.Second)
+					store.MergeCopy(p.VM, Copy{Places: places}, time.Second)
 				}
 				for i := range n {
 					r := slopeRecord(i)
-					book.Claim(r, Holders(places, r.Key), time.Second)
+					store.Claim(r, Holders(places, r.Key), time.Second)
 				}
-				return book
+				return store
 			}
 			kept := capacity.Retained(func() any { return fill() })
-			book, r := fill(), slopeRecord(1<<20)
+			store, r := fill(), slopeRecord(1<<20)
 			by := Holders(places, r.Key)
 			for b.Loop() {
-				book.Claim(r, by, time.Second)
-				book.Release(r.Key, r.Claim.ID)
+				store.Claim(r, by, time.Second)
+				store.Release(r.Key, r.Claim.ID)
 			}
-			if records, _ := book.Size(); records != n {
+			if records, _ := store.Size(); records != n {
 				b.Fatal("claims were not stored: ", records)
 			}
 			b.ReportMetric(kept, "heap-B")
@@ -56,8 +56,8 @@
 	}
 }
 
-// BenchmarkSlopeHolders finds a key's holders among n VMs; each request with an
-// Idempotency-Key does so.
+// BenchmarkSlopeHolders measures finding a key's holders among n VMs, which every request with
+// an Idempotency-Key does.
 func BenchmarkSlopeHolders(b *testing.B) {
 	for _, n := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
