--- a/internal/decide/quarantine/cases.go
+++ b/internal/decide/quarantine/cases.go
@@ -6,13 +6,13 @@
 )
 
 // Notice merges a case that another dispatcher reports.
-func (w *Watch) Notice(c Case, now time.Duration) {
-	f := w.open(c.Fingerprint, now)
+func (t *Tracker) Notice(c Case, now time.Duration) {
+	f := t.open(c.Fingerprint, now)
 	f.Deaths = union(f.Deaths, c.Deaths)
 	f.Cleared = union(f.Cleared, c.Cleared)
 	f.changed = max(f.changed, now-c.Age)
 	if f.Suspect() {
-		delete(w.proven, c.Fingerprint)
+		delete(t.proven, c.Fingerprint)
 		return
 	}
 	// A permit for deaths that are cleared is none for the next death.
@@ -29,8 +29,8 @@
 }
 
 // Case returns what is known of a fingerprint.
-func (w *Watch) Case(fp Fingerprint, now time.Duration) Case {
-	f := w.current(fp, now)
+func (t *Tracker) Case(fp Fingerprint, now time.Duration) Case {
+	f := t.current(fp, now)
 	if f == nil {
 		return Case{Fingerprint: fp}
 	}
@@ -40,11 +40,11 @@
 }
 
 // Cases returns all cases in force, for a dispatcher that has just started.
-func (w *Watch) Cases(now time.Duration) []Case {
+func (t *Tracker) Cases(now time.Duration) []Case {
 	var out []Case
-	for fp := range w.cases {
-		if w.current(fp, now) != nil {
-			out = append(out, w.Case(fp, now))
+	for fp := range t.cases {
+		if t.current(fp, now) != nil {
+			out = append(out, t.Case(fp, now))
 		}
 	}
 	return out
@@ -52,8 +52,8 @@
 
 // current returns the case of a fingerprint, nil once it is over. A permit that
 // nobody used is given back.
-func (w *Watch) current(fp Fingerprint, now time.Duration) *permitFile {
-	f := w.cases[fp]
+func (t *Tracker) current(fp Fingerprint, now time.Duration) *permitFile {
+	f := t.cases[fp]
 	if f == nil {
 		return nil
 	}
@@ -62,31 +62,31 @@
 		life = Lifetime
 	}
 	if now-f.changed > life {
-		delete(w.cases, fp)
+		delete(t.cases, fp)
 		return nil
 	}
-	if f.permit != permitNone && w.running[fp] == 0 && now-f.asked > permitLife {
+	if f.permit != permitNone && t.running[fp] == 0 && now-f.asked > permitLife {
 		f.permit = permitNone
 	}
 	return f
 }
 
-func (w *Watch) open(fp Fingerprint, now time.Duration) *permitFile {
-	if f := w.current(fp, now); f != nil {
+func (t *Tracker) open(fp Fingerprint, now time.Duration) *permitFile {
+	if f := t.current(fp, now); f != nil {
 		return f
 	}
-	if len(w.cases) >= maxCases {
-		w.dropOldest()
+	if len(t.cases) >= maxCases {
+		t.dropOldest()
 	}
 	f := &permitFile{Case: Case{Fingerprint: fp}, changed: now}
-	w.cases[fp] = f
+	t.cases[fp] = f
 	return f
 }
 
 // dropOldest forgets the oldest suspect, or the oldest case of all.
-func (w *Watch) dropOldest() {
+func (t *Tracker) dropOldest() {
 	var victim *permitFile
-	for _, f := range w.cases {
+	for _, f := range t.cases {
 		quarantined := f.Quarantined()
 		switch {
 		case victim == nil, !quarantined && victim.Quarantined():
@@ -95,33 +95,33 @@
 			victim = f
 		}
 	}
-	delete(w.cases, victim.Fingerprint)
+	delete(t.cases, victim.Fingerprint)
 }
 
-func (w *Watch) isProven(fp Fingerprint) bool {
-	_, ok := w.proven[fp]
+func (t *Tracker) isProven(fp Fingerprint) bool {
+	_, ok := t.proven[fp]
 	return ok
 }
 
-func (w *Watch) prove(fp Fingerprint) {
-	if len(w.proven) >= maxProven {
+func (t *Tracker) prove(fp Fingerprint) {
+	if len(t.proven) >= maxProven {
 		n := 0
-		for old := range w.proven {
+		for old := range t.proven {
 			if n++; n > maxProven/2 {
 				break
 			}
-			delete(w.proven, old)
+			delete(t.proven, old)
 		}
 	}
-	w.proven[fp] = struct{}{}
+	t.proven[fp] = struct{}{}
 }
 
-func (w *Watch) load(pool, target string) *targetRuns {
+func (t *Tracker) load(pool, target string) *targetRuns {
 	name := pool + "/" + target
-	l := w.targets[name]
+	l := t.targets[name]
 	if l == nil {
 		l = &targetRuns{}
-		w.targets[name] = l
+		t.targets[name] = l
 	}
 	return l
 }
--- a/internal/decide/quarantine/permits.go
+++ b/internal/decide/quarantine/permits.go
@@ -29,8 +29,8 @@
 
 // admitSuspect keeps the target free of others until the suspect runs there, or
 // until the reservation is over.
-func (w *Watch) admitSuspect(f *permitFile, l *targetRuns, pool string, now time.Duration) Verdict {
-	if other, busy := w.suspects[pool]; busy && other != f.Fingerprint || w.running[f.Fingerprint] > 0 {
+func (t *Tracker) admitSuspect(f *permitFile, l *targetRuns, pool string, now time.Duration) Verdict {
+	if other, busy := t.suspects[pool]; busy && other != f.Fingerprint || t.running[f.Fingerprint] > 0 {
 		return Hold
 	}
 	switch {
@@ -39,7 +39,7 @@
 		return NeedsPermit
 	case f.permit == permitAsked:
 		return Hold
-	case l.suspect != f.Fingerprint && w.kept(l, now):
+	case l.suspect != f.Fingerprint && t.kept(l, now):
 		return Hold
 	}
 	if l.running > 0 {
@@ -54,14 +54,14 @@
 // kept reports whether a target is kept for a suspect: while it waits there, for a
 // bounded time, and while it runs. Would others join it, a death would name no
 // culprit.
-func (w *Watch) kept(l *targetRuns, now time.Duration) bool {
+func (t *Tracker) kept(l *targetRuns, now time.Duration) bool {
 	return l.suspect != 0 && (l.alone || now-l.reserved < reservation)
 }
 
 // giveBack ends a permit whose run ended without an answer.
 // Another dispatcher gets the permit at once instead of when the unused one expires.
-func (w *Watch) giveBack(fp Fingerprint) {
-	if f := w.cases[fp]; f != nil && w.running[fp] == 0 {
+func (t *Tracker) giveBack(fp Fingerprint) {
+	if f := t.cases[fp]; f != nil && t.running[fp] == 0 {
 		f.permit = permitNone
 	}
 }
@@ -71,18 +71,18 @@
 // permit and comes first. The asker's case must have been merged before, and it
 // merges ours from the reply, so that a quarantine need not be looked at here: the
 // asker refuses the request itself.
-func (w *Watch) MayPermit(fp Fingerprint, pool, asker string, now time.Duration) bool {
-	f := w.current(fp, now)
-	_, busy := w.suspects[pool]
+func (t *Tracker) MayPermit(fp Fingerprint, pool, asker string, now time.Duration) bool {
+	f := t.current(fp, now)
+	_, busy := t.suspects[pool]
 	switch {
-	case busy || w.running[fp] > 0:
+	case busy || t.running[fp] > 0:
 		return false
 	case f == nil || f.permit == permitNone:
 		return true
 	case f.permit == permitHeld && now-f.asked > unusedPermit:
 		f.permit = permitNone
 		return true
-	case f.permit == permitAsked && asker < w.vm:
+	case f.permit == permitAsked && asker < t.vm:
 		f.permit = permitNone
 		return true
 	}
@@ -91,8 +91,8 @@
 
 // Permit is the outcome of asking all others; asked is when Admit wanted it.
 // Only the round of the ask that stands counts: the permits of an earlier one may be obsolete.
-func (w *Watch) Permit(fp Fingerprint, asked time.Duration, granted bool, now time.Duration) {
-	f := w.current(fp, now)
+func (t *Tracker) Permit(fp Fingerprint, asked time.Duration, granted bool, now time.Duration) {
+	f := t.current(fp, now)
 	if f == nil || f.permit != permitAsked || f.asked != asked {
 		return
 	}
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -2,7 +2,7 @@
 //
 // Load pattern and failure: one request kills each target that runs it, and its
 // caller, or a retry, sends it again, through several entries at once. Without
-// the watch one request takes down a whole pool, and every request that ran
+// the tracker one request takes down a whole pool, and every request that ran
 // beside it is lost with it, again and again.
 //
 // A request is known by its fingerprint. Until a fingerprint was once answered it
@@ -69,8 +69,8 @@
 	Refuse
 )
 
-// Watch is one dispatcher's part. It belongs to one goroutine at a time.
-type Watch struct {
+// Tracker is one dispatcher's part. It belongs to one goroutine at a time.
+type Tracker struct {
 	vm      string
 	cases   map[Fingerprint]*permitFile
 	proven  map[Fingerprint]struct{}
@@ -80,38 +80,38 @@
 	suspects map[string]Fingerprint
 }
 
-// New returns a watch that suspects nothing.
-func New(vm string) *Watch {
-	return &Watch{
+// New returns a tracker that suspects nothing.
+func New(vm string) *Tracker {
+	return &Tracker{
 		vm: vm, cases: make(map[Fingerprint]*permitFile), proven: make(map[Fingerprint]struct{}),
 		running: make(map[Fingerprint]int), targets: make(map[string]*targetRuns), suspects: make(map[string]Fingerprint),
 	}
 }
 
 // Admit decides on a request for a free slot of the target.
-func (w *Watch) Admit(fp Fingerprint, pool, target string, now time.Duration) Verdict {
-	l := w.load(pool, target)
-	f := w.current(fp, now)
+func (t *Tracker) Admit(fp Fingerprint, pool, target string, now time.Duration) Verdict {
+	l := t.load(pool, target)
+	f := t.current(fp, now)
 	switch {
 	case f != nil && f.Quarantined():
 		return Refuse
 	case f != nil && f.Suspect():
-		return w.admitSuspect(f, l, pool, now)
-	case w.kept(l, now):
+		return t.admitSuspect(f, l, pool, now)
+	case t.kept(l, now):
 		return Hold
-	case !w.isProven(fp) && w.running[fp] > 0:
+	case !t.isProven(fp) && t.running[fp] > 0:
 		return Hold
 	}
 	return Run
 }
 
 // Started says that an admitted request is in flight.
-func (w *Watch) Started(fp Fingerprint, pool, target string, now time.Duration) {
-	w.running[fp]++
-	l := w.load(pool, target)
+func (t *Tracker) Started(fp Fingerprint, pool, target string, now time.Duration) {
+	t.running[fp]++
+	l := t.load(pool, target)
 	l.running++
-	if f := w.current(fp, now); f != nil && f.Suspect() {
-		w.suspects[pool] = fp
+	if f := t.current(fp, now); f != nil && f.Suspect() {
+		t.suspects[pool] = fp
 		l.suspect, l.reserved, l.alone = fp, now, true
 	}
 }
@@ -119,14 +119,14 @@
 // Finished says that an attempt ended and the target lives. answered is false
 // where the end says nothing of the request, as when it was shed or given up. It
 // returns the case to report to others, or nil.
-func (w *Watch) Finished(fp Fingerprint, pool, target string, answered bool, now time.Duration) *Case {
-	w.ended(fp, pool, target)
+func (t *Tracker) Finished(fp Fingerprint, pool, target string, answered bool, now time.Duration) *Case {
+	t.ended(fp, pool, target)
 	if !answered {
-		w.giveBack(fp)
+		t.giveBack(fp)
 		return nil
 	}
-	w.prove(fp)
-	f := w.current(fp, now)
+	t.prove(fp)
+	f := t.current(fp, now)
 	if f == nil || !f.Suspect() || f.permit != permitHeld {
 		return nil
 	}
@@ -138,38 +138,38 @@
 	return &c
 }
 
-func (w *Watch) ended(fp Fingerprint, pool, target string) {
-	if w.running[fp]--; w.running[fp] <= 0 {
-		delete(w.running, fp)
+func (t *Tracker) ended(fp Fingerprint, pool, target string) {
+	if t.running[fp]--; t.running[fp] <= 0 {
+		delete(t.running, fp)
 	}
-	l := w.load(pool, target)
+	l := t.load(pool, target)
 	l.running = max(l.running-1, 0)
 	if l.suspect == fp {
 		l.suspect, l.alone = 0, false
 	}
-	if w.suspects[pool] == fp {
-		delete(w.suspects, pool)
+	if t.suspects[pool] == fp {
+		delete(t.suspects, pool)
 	}
 }
 
 // Died says that a target ended with these requests running. The death counts
 // against a suspect that ran there, which was alone, and else against all. It
 // returns the cases to report to others.
-func (w *Watch) Died(running []Fingerprint, pool, target string, now time.Duration) []Case {
-	d := Death{Name: w.vm + "/" + target + "/" + now.String(), Alone: len(running) == 1}
-	if l := w.load(pool, target); l.alone && slices.Contains(running, l.suspect) {
+func (t *Tracker) Died(running []Fingerprint, pool, target string, now time.Duration) []Case {
+	d := Death{Name: t.vm + "/" + target + "/" + now.String(), Alone: len(running) == 1}
+	if l := t.load(pool, target); l.alone && slices.Contains(running, l.suspect) {
 		d.Proof = true
 	}
 	var out []Case
 	for _, fp := range slices.Compact(slices.Sorted(slices.Values(running))) {
-		f := w.open(fp, now)
+		f := t.open(fp, now)
 		f.Deaths = union(f.Deaths, []Death{d})
 		f.changed, f.permit = now, permitNone
-		delete(w.proven, fp)
+		delete(t.proven, fp)
 		out = append(out, f.Case)
 	}
 	for _, fp := range running {
-		w.ended(fp, pool, target)
+		t.ended(fp, pool, target)
 	}
 	return out
 }
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -22,15 +22,15 @@
 
 // fleet is some dispatchers that share a pool of targets.
 type fleet struct {
-	t       *rapid.T
-	now     time.Duration
-	watches []*Watch
-	waiting [][]Fingerprint
-	targets [][]run
-	slots   int
-	kills   map[Fingerprint]int
-	served  map[Fingerprint]int
-	refused map[Fingerprint]int
+	t        *rapid.T
+	now      time.Duration
+	trackers []*Tracker
+	waiting  [][]Fingerprint
+	targets  [][]run
+	slots    int
+	kills    map[Fingerprint]int
+	served   map[Fingerprint]int
+	refused  map[Fingerprint]int
 	// lossy loses notices between dispatchers.
 	lossy bool
 }
@@ -38,7 +38,7 @@
 func newFleet(t *rapid.T, dispatchers int) *fleet {
 	f := &fleet{t: t, slots: 3, kills: make(map[Fingerprint]int), served: make(map[Fingerprint]int), refused: make(map[Fingerprint]int)}
 	for i := range dispatchers {
-		f.watches = append(f.watches, New(fmt.Sprintf("vm%d", i)))
+		f.trackers = append(f.trackers, New(fmt.Sprintf("vm%d", i)))
 		f.waiting = append(f.waiting, nil)
 	}
 	f.targets = make([][]run, 4)
@@ -48,9 +48,9 @@
 func name(target int) string { return fmt.Sprintf("target%d", target) }
 
 func (f *fleet) tell(from int, c *Case) {
-	for i, w := range f.watches {
+	for i, tr := range f.trackers {
 		if i != from && c != nil && !(f.lossy && rapid.Bool().Draw(f.t, "lost")) {
-			w.Notice(*c, f.now)
+			tr.Notice(*c, f.now)
 		}
 	}
 }
@@ -58,16 +58,16 @@
 // permit asks all others at once, as the wiring does.
 func (f *fleet) permit(d int, fp Fingerprint) {
 	granted := true
-	c := f.watches[d].Case(fp, f.now)
-	for i, w := range f.watches {
+	c := f.trackers[d].Case(fp, f.now)
+	for i, tr := range f.trackers {
 		if i == d {
 			continue
 		}
-		w.Notice(c, f.now)
-		granted = w.MayPermit(fp, testPool, f.watches[d].vm, f.now) && granted
-		f.watches[d].Notice(w.Case(fp, f.now), f.now)
+		tr.Notice(c, f.now)
+		granted = tr.MayPermit(fp, testPool, f.trackers[d].vm, f.now) && granted
+		f.trackers[d].Notice(tr.Case(fp, f.now), f.now)
 	}
-	f.watches[d].Permit(fp, f.now, granted, f.now)
+	f.trackers[d].Permit(fp, f.now, granted, f.now)
 }
 
 // send offers one waiting request of a dispatcher to a target.
@@ -77,9 +77,9 @@
 	}
 	fp := f.waiting[d][0]
 	f.waiting[d] = f.waiting[d][1:]
-	switch f.watches[d].Admit(fp, testPool, name(target), f.now) {
+	switch f.trackers[d].Admit(fp, testPool, name(target), f.now) {
 	case Run:
-		f.watches[d].Started(fp, testPool, name(target), f.now)
+		f.trackers[d].Started(fp, testPool, name(target), f.now)
 		f.targets[target] = append(f.targets[target], run{fp, d})
 	case Refuse:
 		f.refused[fp]++
@@ -101,13 +101,13 @@
 	if r.fp > killers {
 		f.targets[target] = f.targets[target][1:]
 		f.served[r.fp]++
-		f.tell(r.dispatcher, f.watches[r.dispatcher].Finished(r.fp, testPool, name(target), true, f.now))
+		f.tell(r.dispatcher, f.trackers[r.dispatcher].Finished(r.fp, testPool, name(target), true, f.now))
 		return
 	}
 	f.kills[r.fp]++
 	lost := f.targets[target]
 	f.targets[target] = nil
-	for d, w := range f.watches {
+	for d, tr := range f.trackers {
 		var running []Fingerprint
 		for _, x := range lost {
 			if x.dispatcher == d {
@@ -118,14 +118,14 @@
 		if len(running) == 0 {
 			continue
 		}
-		for _, c := range w.Died(running, testPool, name(target), f.now) {
+		for _, c := range tr.Died(running, testPool, name(target), f.now) {
 			f.tell(d, &c)
 		}
 	}
 }
 
 func (f *fleet) step() {
-	d := rapid.IntRange(0, len(f.watches)-1).Draw(f.t, "dispatcher")
+	d := rapid.IntRange(0, len(f.trackers)-1).Draw(f.t, "dispatcher")
 	target := rapid.IntRange(0, len(f.targets)-1).Draw(f.t, "target")
 	switch rapid.IntRange(0, 5).Draw(f.t, "action") {
 	case 0:
@@ -144,7 +144,7 @@
 		require.LessOrEqual(f.t, f.kills[fp], bound, "targets killed by %d", fp)
 	}
 	for fp := range f.refused {
-		if len(f.watches) > 1 {
+		if len(f.trackers) > 1 {
 			// Stated in the package comment: "alone" is not known then.
 			break
 		}
@@ -157,7 +157,7 @@
 	for range 400 {
 		f.now += 50 * time.Millisecond
 		for target := range f.targets {
-			for d := range f.watches {
+			for d := range f.trackers {
 				f.send(d, target)
 			}
 			f.finish(target)
@@ -203,32 +203,32 @@
 // beside a second killer. Two deaths were counted, and an ordinary request was
 // refused for hours.
 func TestInnocentBesideTwoKillersIsNotQuarantined(t *testing.T) {
-	w := New("vm1")
-	w.Started(3, testPool, "a", 0)
-	w.Finished(3, testPool, "a", true, 0)
+	tr := New("vm1")
+	tr.Started(3, testPool, "a", 0)
+	tr.Finished(3, testPool, "a", true, 0)
 	for i, target := range []string{"a", "b"} {
-		w.Started(Fingerprint(i+1), testPool, target, 0)
-		w.Started(3, testPool, target, 0)
+		tr.Started(Fingerprint(i+1), testPool, target, 0)
+		tr.Started(3, testPool, target, 0)
 	}
-	w.Died([]Fingerprint{1, 3}, testPool, "a", 1)
-	w.Died([]Fingerprint{2, 3}, testPool, "b", 2)
-	require.Equal(t, NeedsPermit, w.Admit(3, testPool, "c", 3))
-	w.Permit(3, 3, true, 3)
-	require.Equal(t, Run, w.Admit(3, testPool, "c", 3))
-	w.Started(3, testPool, "c", 3)
-	require.NotNil(t, w.Finished(3, testPool, "c", true, 4), "cleared")
-	require.Equal(t, Run, w.Admit(3, testPool, "c", 5))
+	tr.Died([]Fingerprint{1, 3}, testPool, "a", 1)
+	tr.Died([]Fingerprint{2, 3}, testPool, "b", 2)
+	require.Equal(t, NeedsPermit, tr.Admit(3, testPool, "c", 3))
+	tr.Permit(3, 3, true, 3)
+	require.Equal(t, Run, tr.Admit(3, testPool, "c", 3))
+	tr.Started(3, testPool, "c", 3)
+	require.NotNil(t, tr.Finished(3, testPool, "c", true, 4), "cleared")
+	require.Equal(t, Run, tr.Admit(3, testPool, "c", 5))
 }
 
 func TestQuarantineEndsAndCasesAreBounded(t *testing.T) {
-	w := New("vm1")
+	tr := New("vm1")
 	for i := range 2 * maxCases {
-		w.Notice(Case{Fingerprint: Fingerprint(i + 10), Deaths: []Death{{Name: "a"}}}, time.Duration(i))
+		tr.Notice(Case{Fingerprint: Fingerprint(i + 10), Deaths: []Death{{Name: "a"}}}, time.Duration(i))
 	}
-	require.LessOrEqual(t, len(w.cases), maxCases)
-	w.Notice(Case{Fingerprint: 1, Deaths: []Death{{Name: "a"}, {Name: "b", Alone: true, Proof: true}}}, 0)
-	require.Equal(t, Refuse, w.Admit(1, testPool, "t", time.Hour))
-	require.Equal(t, Run, w.Admit(1, testPool, "t", Lifetime+time.Hour))
+	require.LessOrEqual(t, len(tr.cases), maxCases)
+	tr.Notice(Case{Fingerprint: 1, Deaths: []Death{{Name: "a"}, {Name: "b", Alone: true, Proof: true}}}, 0)
+	require.Equal(t, Refuse, tr.Admit(1, testPool, "t", time.Hour))
+	require.Equal(t, Run, tr.Admit(1, testPool, "t", Lifetime+time.Hour))
 }
 
 // A target dies. The request that ran there is suspect; its repeat gets a permit
@@ -237,7 +237,7 @@
 // run that had ended, or that never began, and denied it to the second.
 func TestPermitGoesWithTheKey(t *testing.T) {
 	const fp, second = Fingerprint(7), time.Second
-	suspect := func() (old, next *Watch) {
+	suspect := func() (old, next *Tracker) {
 		old, next = New("vm1"), New("vm2")
 		old.Started(fp, testPool, "target1", second)
 		for _, c := range old.Died([]Fingerprint{fp}, testPool, "target1", second) {
--- a/internal/decide/quarantine/scenario_test.go
+++ b/internal/decide/quarantine/scenario_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// suspects makes fingerprints suspect at a watch: they ran together on a target
+// suspects makes fingerprints suspect at a tracker: they ran together on a target
 // that died.
-func suspects(w *Watch, now time.Duration, fps ...Fingerprint) []Case {
+func suspects(tr *Tracker, now time.Duration, fps ...Fingerprint) []Case {
 	for _, fp := range fps {
-		w.Started(fp, testPool, "lost", now)
+		tr.Started(fp, testPool, "lost", now)
 	}
-	return w.Died(fps, testPool, "lost", now)
+	return tr.Died(fps, testPool, "lost", now)
 }
 
 // A target dies with a killer and two innocents on it. If every suspect had a
@@ -21,34 +21,34 @@
 // work, and several killers would take them all down together. One suspect at a
 // time is on trial; the next one has its turn when the first is over.
 func TestOneSuspectInAPoolAtATime(t *testing.T) {
-	w := New("vm1")
-	suspects(w, 0, 1, 2)
+	tr := New("vm1")
+	suspects(tr, 0, 1, 2)
 	for _, fp := range []Fingerprint{1, 2} {
-		require.Equal(t, NeedsPermit, w.Admit(fp, testPool, "a", 0))
-		w.Permit(fp, 0, true, 0)
+		require.Equal(t, NeedsPermit, tr.Admit(fp, testPool, "a", 0))
+		tr.Permit(fp, 0, true, 0)
 	}
-	require.Equal(t, Run, w.Admit(1, testPool, "a", 0))
-	w.Started(1, testPool, "a", 0)
-	require.Equal(t, Hold, w.Admit(2, testPool, "b", 0), "another suspect is on trial")
-	require.Equal(t, Run, w.Admit(7, testPool, "b", 0), "ordinary work goes on")
-	require.NotNil(t, w.Finished(1, testPool, "a", true, 1))
-	require.Equal(t, Run, w.Admit(2, testPool, "a", 1), "its turn")
+	require.Equal(t, Run, tr.Admit(1, testPool, "a", 0))
+	tr.Started(1, testPool, "a", 0)
+	require.Equal(t, Hold, tr.Admit(2, testPool, "b", 0), "another suspect is on trial")
+	require.Equal(t, Run, tr.Admit(7, testPool, "b", 0), "ordinary work goes on")
+	require.NotNil(t, tr.Finished(1, testPool, "a", true, 1))
+	require.Equal(t, Run, tr.Admit(2, testPool, "a", 1), "its turn")
 }
 
 // Two dispatchers hold the queue of one pool, and each has another suspect. One
 // suspect is on trial; the second dispatcher asks for a permit for the other one.
 // Both targets could die at once, and an order for each pool would mean nothing.
 func TestNoPermitWhileAnotherSuspectIsOnTrial(t *testing.T) {
-	w := New("vm2")
-	cases := suspects(w, 0, 1, 2)
+	tr := New("vm2")
+	cases := suspects(tr, 0, 1, 2)
 	require.Len(t, cases, 2)
-	require.Equal(t, NeedsPermit, w.Admit(1, testPool, "a", 0))
-	w.Permit(1, 0, true, 0)
-	w.Started(1, testPool, "a", 0)
-	require.False(t, w.MayPermit(2, testPool, "vm1", 0), "another suspect is on trial here")
-	require.True(t, w.MayPermit(2, "other", "vm1", 0), "in another pool none is")
-	require.NotNil(t, w.Finished(1, testPool, "a", true, 1))
-	require.True(t, w.MayPermit(2, testPool, "vm1", 1))
+	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
+	tr.Permit(1, 0, true, 0)
+	tr.Started(1, testPool, "a", 0)
+	require.False(t, tr.MayPermit(2, testPool, "vm1", 0), "another suspect is on trial here")
+	require.True(t, tr.MayPermit(2, "other", "vm1", 0), "in another pool none is")
+	require.NotNil(t, tr.Finished(1, testPool, "a", true, 1))
+	require.True(t, tr.MayPermit(2, testPool, "vm1", 1))
 }
 
 // A killer runs at two dispatchers at once and takes two targets as a suspect,
@@ -118,30 +118,30 @@
 // that may run too would keep it for itself, and the two by turns for ever: the
 // target would take no ordinary work.
 func TestTargetKeptForASuspectIsNotKeptAnewByAnother(t *testing.T) {
-	w := New("vm1")
-	suspects(w, 0, 1, 2)
-	w.Started(8, testPool, "a", 0)
+	tr := New("vm1")
+	suspects(tr, 0, 1, 2)
+	tr.Started(8, testPool, "a", 0)
 	for _, fp := range []Fingerprint{1, 2} {
-		require.Equal(t, NeedsPermit, w.Admit(fp, testPool, "a", 0))
-		w.Permit(fp, 0, true, 0)
+		require.Equal(t, NeedsPermit, tr.Admit(fp, testPool, "a", 0))
+		tr.Permit(fp, 0, true, 0)
 	}
-	require.Equal(t, Hold, w.Admit(1, testPool, "a", 0))
-	require.Equal(t, Hold, w.Admit(9, testPool, "a", time.Second), "kept")
-	require.Equal(t, Hold, w.Admit(2, testPool, "a", time.Second))
-	require.Equal(t, Run, w.Admit(9, testPool, "a", reservation), "no longer")
+	require.Equal(t, Hold, tr.Admit(1, testPool, "a", 0))
+	require.Equal(t, Hold, tr.Admit(9, testPool, "a", time.Second), "kept")
+	require.Equal(t, Hold, tr.Admit(2, testPool, "a", time.Second))
+	require.Equal(t, Run, tr.Admit(9, testPool, "a", reservation), "no longer")
 }
 
 // A dispatcher holds a permit; the suspect is cleared elsewhere, and then a target
 // dies under it again. The old permit would let it run here while another
 // dispatcher, which asked after the new death, runs it too.
 func TestPermitEndsWithItsSuspicion(t *testing.T) {
-	w := New("vm1")
-	c := suspects(w, 0, 1)[0]
-	require.Equal(t, NeedsPermit, w.Admit(1, testPool, "a", 0))
-	w.Permit(1, 0, true, 0)
+	tr := New("vm1")
+	c := suspects(tr, 0, 1)[0]
+	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
+	tr.Permit(1, 0, true, 0)
 	c.Cleared = []string{c.Deaths[0].Name}
-	w.Notice(c, 0)
+	tr.Notice(c, 0)
 	c.Deaths = append(c.Deaths, Death{Name: "another"})
-	w.Notice(c, 0)
-	require.Equal(t, NeedsPermit, w.Admit(1, testPool, "a", 0))
+	tr.Notice(c, 0)
+	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
 }
--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -51,7 +51,7 @@
 	ready func()
 
 	mu    sync.Mutex
-	watch *quarantine.Watch
+	watch *quarantine.Tracker
 	// journaled are the quarantines that stand in the journal.
 	journaled map[quarantine.Fingerprint]bool
 	// queued and concluded count rounds; progress is closed at each conclusion.
