--- a/internal/decide/quarantine/cases.go
+++ b/internal/decide/quarantine/cases.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Notice merges a case that another dispatcher reports.
-func (t *Tracker) Notice(c Case, now time.Duration) {
+// MergeCase merges a case that another dispatcher reports.
+func (t *Tracker) MergeCase(c Case, now time.Duration) {
 	f := t.open(c.Fingerprint, now)
 	f.Deaths = union(f.Deaths, c.Deaths)
 	f.Cleared = union(f.Cleared, c.Cleared)
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -50,7 +50,7 @@
 func (f *fleet) tell(from int, c *Case) {
 	for i, tr := range f.trackers {
 		if i != from && c != nil && !(f.lossy && rapid.Bool().Draw(f.t, "lost")) {
-			tr.Notice(*c, f.now)
+			tr.MergeCase(*c, f.now)
 		}
 	}
 }
@@ -63,9 +63,9 @@
 		if i == d {
 			continue
 		}
-		tr.Notice(c, f.now)
+		tr.MergeCase(c, f.now)
 		granted = tr.MayPermit(fp, testPool, f.trackers[d].vm, f.now) && granted
-		f.trackers[d].Notice(tr.Case(fp, f.now), f.now)
+		f.trackers[d].MergeCase(tr.Case(fp, f.now), f.now)
 	}
 	f.trackers[d].Permit(fp, f.now, granted, f.now)
 }
@@ -223,10 +223,10 @@
 func TestQuarantineEndsAndCasesAreBounded(t *testing.T) {
 	tr := New("vm1")
 	for i := range 2 * maxCases {
-		tr.Notice(Case{Fingerprint: Fingerprint(i + 10), Deaths: []Death{{Name: "a"}}}, time.Duration(i))
+		tr.MergeCase(Case{Fingerprint: Fingerprint(i + 10), Deaths: []Death{{Name: "a"}}}, time.Duration(i))
 	}
 	require.LessOrEqual(t, len(tr.cases), maxCases)
-	tr.Notice(Case{Fingerprint: 1, Deaths: []Death{{Name: "a"}, {Name: "b", Alone: true, Proof: true}}}, 0)
+	tr.MergeCase(Case{Fingerprint: 1, Deaths: []Death{{Name: "a"}, {Name: "b", Alone: true, Proof: true}}}, 0)
 	require.Equal(t, Refuse, tr.Admit(1, testPool, "t", time.Hour))
 	require.Equal(t, Run, tr.Admit(1, testPool, "t", Lifetime+time.Hour))
 }
@@ -241,7 +241,7 @@
 		old, next = New("vm1"), New("vm2")
 		old.Started(fp, testPool, "target1", second)
 		for _, c := range old.Died([]Fingerprint{fp}, testPool, "target1", second) {
-			next.Notice(c, second)
+			next.MergeCase(c, second)
 		}
 		require.Equal(t, NeedsPermit, old.Admit(fp, testPool, "target1", second))
 		require.True(t, next.MayPermit(fp, testPool, "vm1", second))
--- a/internal/decide/quarantine/scenario_test.go
+++ b/internal/decide/quarantine/scenario_test.go
@@ -57,7 +57,7 @@
 func TestPermitThatWasGivenUpIsNotHeld(t *testing.T) {
 	vm1, vm2 := New("vm1"), New("vm2")
 	for _, c := range suspects(vm1, 0, 1) {
-		vm2.Notice(c, 0)
+		vm2.MergeCase(c, 0)
 	}
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", 0))
 	agreed := vm1.MayPermit(1, testPool, "vm2", 0)
@@ -104,11 +104,11 @@
 	vm1, vm2 := New("vm1"), New("vm2")
 	vm2.Started(1, testPool, "b", 0)
 	for _, c := range suspects(vm1, 0, 1) {
-		vm2.Notice(c, 0)
+		vm2.MergeCase(c, 0)
 	}
 	require.False(t, vm2.MayPermit(1, testPool, "vm1", 0))
 	for _, c := range vm2.Died([]Fingerprint{1}, testPool, "b", 1) {
-		vm1.Notice(c, 1)
+		vm1.MergeCase(c, 1)
 	}
 	require.Equal(t, Refuse, vm1.Admit(1, testPool, "a", 1))
 	require.Equal(t, Refuse, vm2.Admit(1, testPool, "a", 1))
@@ -140,8 +140,8 @@
 	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
 	tr.Permit(1, 0, true, 0)
 	c.Cleared = []string{c.Deaths[0].Name}
-	tr.Notice(c, 0)
+	tr.MergeCase(c, 0)
 	c.Deaths = append(c.Deaths, Death{Name: "another"})
-	tr.Notice(c, 0)
+	tr.MergeCase(c, 0)
 	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
 }
--- a/internal/dispatch/crashgossip.go
+++ b/internal/dispatch/crashgossip.go
@@ -69,7 +69,7 @@
 	if len(c.Deaths) == 0 {
 		return
 	}
-	w.watch.Notice(c, now)
+	w.watch.MergeCase(c, now)
 	merged := w.watch.Case(c.Fingerprint, now)
 	w.noteQuarantine(&merged)
 }
