--- a/internal/decide/quarantine/permits.go
+++ b/internal/decide/quarantine/permits.go
@@ -89,9 +89,9 @@
 	return false
 }
 
-// Permit is the outcome of asking all others; asked is when Admit wanted it.
+// PermitDecided is the outcome of asking all others; asked is when Admit wanted it.
 // Only the round of the ask that stands counts: the permits of an earlier one may be obsolete.
-func (t *Tracker) Permit(fp Fingerprint, asked time.Duration, granted bool, now time.Duration) {
+func (t *Tracker) PermitDecided(fp Fingerprint, asked time.Duration, granted bool, now time.Duration) {
 	f := t.current(fp, now)
 	if f == nil || f.permit != permitAsked || f.asked != asked {
 		return
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -67,7 +67,7 @@
 		granted = tr.MayPermit(fp, testPool, f.trackers[d].vm, f.now) && granted
 		f.trackers[d].MergeCase(tr.Case(fp, f.now), f.now)
 	}
-	f.trackers[d].Permit(fp, f.now, granted, f.now)
+	f.trackers[d].PermitDecided(fp, f.now, granted, f.now)
 }
 
 // send offers one waiting request of a dispatcher to a target.
@@ -213,7 +213,7 @@
 	tr.Died([]Fingerprint{1, 3}, testPool, "a", 1)
 	tr.Died([]Fingerprint{2, 3}, testPool, "b", 2)
 	require.Equal(t, NeedsPermit, tr.Admit(3, testPool, "c", 3))
-	tr.Permit(3, 3, true, 3)
+	tr.PermitDecided(3, 3, true, 3)
 	require.Equal(t, Run, tr.Admit(3, testPool, "c", 3))
 	tr.Started(3, testPool, "c", 3)
 	require.NotNil(t, tr.Finished(3, testPool, "c", true, 4), "cleared")
@@ -245,7 +245,7 @@
 		}
 		require.Equal(t, NeedsPermit, old.Admit(fp, testPool, "target1", second))
 		require.True(t, next.MayPermit(fp, testPool, "vm1", second))
-		old.Permit(fp, second, true, second)
+		old.PermitDecided(fp, second, true, second)
 		require.Equal(t, Run, old.Admit(fp, testPool, "target1", second))
 		return old, next
 	}
--- a/internal/decide/quarantine/scenario_test.go
+++ b/internal/decide/quarantine/scenario_test.go
@@ -25,7 +25,7 @@
 	suspects(tr, 0, 1, 2)
 	for _, fp := range []Fingerprint{1, 2} {
 		require.Equal(t, NeedsPermit, tr.Admit(fp, testPool, "a", 0))
-		tr.Permit(fp, 0, true, 0)
+		tr.PermitDecided(fp, 0, true, 0)
 	}
 	require.Equal(t, Run, tr.Admit(1, testPool, "a", 0))
 	tr.Started(1, testPool, "a", 0)
@@ -43,7 +43,7 @@
 	cases := suspects(tr, 0, 1, 2)
 	require.Len(t, cases, 2)
 	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
-	tr.Permit(1, 0, true, 0)
+	tr.PermitDecided(1, 0, true, 0)
 	tr.Started(1, testPool, "a", 0)
 	require.False(t, tr.MayPermit(2, testPool, "vm1", 0), "another suspect is on trial here")
 	require.True(t, tr.MayPermit(2, "other", "vm1", 0), "in another pool none is")
@@ -63,8 +63,8 @@
 	agreed := vm1.MayPermit(1, testPool, "vm2", 0)
 	require.True(t, agreed)
 	require.Equal(t, NeedsPermit, vm1.Admit(1, testPool, "a", 0))
-	vm1.Permit(1, 0, vm2.MayPermit(1, testPool, "vm1", 0), 0)
-	vm2.Permit(1, 0, agreed, 0)
+	vm1.PermitDecided(1, 0, vm2.MayPermit(1, testPool, "vm1", 0), 0)
+	vm2.PermitDecided(1, 0, agreed, 0)
 	require.Equal(t, Run, vm1.Admit(1, testPool, "a", 0))
 	vm1.Started(1, testPool, "a", 0)
 	require.NotEqual(t, Run, vm2.Admit(1, testPool, "b", 0), "vm1 has the permit")
@@ -76,7 +76,7 @@
 	vm2 := New("vm2")
 	suspects(vm2, 0, 1)
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", 0))
-	vm2.Permit(1, 0, true, 0)
+	vm2.PermitDecided(1, 0, true, 0)
 	require.False(t, vm2.MayPermit(1, testPool, "vm1", 0))
 	late := permitLife + time.Millisecond
 	require.True(t, vm2.MayPermit(1, testPool, "vm1", late), "given back when nobody used it")
@@ -93,7 +93,7 @@
 	late := permitLife + time.Millisecond
 	require.True(t, vm2.MayPermit(1, testPool, "vm1", late))
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", late))
-	vm2.Permit(1, 0, true, late)
+	vm2.PermitDecided(1, 0, true, late)
 	require.Equal(t, Hold, vm2.Admit(1, testPool, "b", late))
 }
 
@@ -123,7 +123,7 @@
 	tr.Started(8, testPool, "a", 0)
 	for _, fp := range []Fingerprint{1, 2} {
 		require.Equal(t, NeedsPermit, tr.Admit(fp, testPool, "a", 0))
-		tr.Permit(fp, 0, true, 0)
+		tr.PermitDecided(fp, 0, true, 0)
 	}
 	require.Equal(t, Hold, tr.Admit(1, testPool, "a", 0))
 	require.Equal(t, Hold, tr.Admit(9, testPool, "a", time.Second), "kept")
@@ -138,7 +138,7 @@
 	tr := New("vm1")
 	c := suspects(tr, 0, 1)[0]
 	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
-	tr.Permit(1, 0, true, 0)
+	tr.PermitDecided(1, 0, true, 0)
 	c.Cleared = []string{c.Deaths[0].Name}
 	tr.MergeCase(c, 0)
 	c.Deaths = append(c.Deaths, Death{Name: "another"})
--- a/internal/dispatch/crashgossip.go
+++ b/internal/dispatch/crashgossip.go
@@ -166,7 +166,7 @@
 	if g.pool == "" {
 		return
 	}
-	w.watch.Permit(g.notice.Fingerprint, g.asked, granted, now)
+	w.watch.PermitDecided(g.notice.Fingerprint, g.asked, granted, now)
 	if granted {
 		w.counts.permits.Inc(1)
 		return
