--- a/internal/decide/quarantine/case.go
+++ b/internal/decide/quarantine/case.go
@@ -26,13 +26,13 @@
 	Proof bool
 }
 
-// open returns the deaths that are not cleared.
-func (c *Case) open() []Death {
+// unclearedDeaths returns the deaths that are not cleared.
+func (c *Case) unclearedDeaths() []Death {
 	return slices.DeleteFunc(slices.Clone(c.Deaths), func(d Death) bool { return slices.Contains(c.Cleared, d.Name) })
 }
 
 // Suspect reports whether a request must run alone.
-func (c *Case) Suspect() bool { return len(c.open()) > 0 }
+func (c *Case) Suspect() bool { return len(c.unclearedDeaths()) > 0 }
 
 // Quarantined reports whether no request runs any more: a target died under it as
 // a suspect, or two died that ran nothing else. Two deaths beside others prove
@@ -40,7 +40,7 @@
 // killers.
 func (c *Case) Quarantined() bool {
 	alone := 0
-	for _, d := range c.open() {
+	for _, d := range c.unclearedDeaths() {
 		if d.Proof {
 			return true
 		}
--- a/internal/decide/quarantine/cases.go
+++ b/internal/decide/quarantine/cases.go
@@ -7,16 +7,16 @@
 
 // MergeCase merges a case that another dispatcher reports.
 func (t *Tracker) MergeCase(c Case, now time.Duration) {
-	f := t.open(c.Fingerprint, now)
-	f.Deaths = union(f.Deaths, c.Deaths)
-	f.Cleared = union(f.Cleared, c.Cleared)
-	f.changed = max(f.changed, now-c.Age)
-	if f.Suspect() {
+	cs := t.openCase(c.Fingerprint, now)
+	cs.Deaths = union(cs.Deaths, c.Deaths)
+	cs.Cleared = union(cs.Cleared, c.Cleared)
+	cs.changed = max(cs.changed, now-c.Age)
+	if cs.Suspect() {
 		delete(t.proven, c.Fingerprint)
 		return
 	}
 	// A permit for deaths that are cleared is none for the next death.
-	f.permit = permitNone
+	cs.permit = permitNone
 }
 
 func union[T comparable](a, b []T) []T {
@@ -30,12 +30,12 @@
 
 // Case returns what is known of a fingerprint.
 func (t *Tracker) Case(fp Fingerprint, now time.Duration) Case {
-	f := t.current(fp, now)
-	if f == nil {
+	cs := t.current(fp, now)
+	if cs == nil {
 		return Case{Fingerprint: fp}
 	}
-	c := f.Case
-	c.Age = now - f.changed
+	c := cs.Case
+	c.Age = now - cs.changed
 	return c
 }
 
@@ -52,50 +52,50 @@
 
 // current returns the case of a fingerprint, nil once it is over. A permit that
 // nobody used is given back.
-func (t *Tracker) current(fp Fingerprint, now time.Duration) *permitFile {
-	f := t.cases[fp]
-	if f == nil {
+func (t *Tracker) current(fp Fingerprint, now time.Duration) *caseState {
+	cs := t.cases[fp]
+	if cs == nil {
 		return nil
 	}
-	life := suspicion
-	if f.Quarantined() {
-		life = Lifetime
+	ttl := suspectTTL
+	if cs.Quarantined() {
+		ttl = Lifetime
 	}
-	if now-f.changed > life {
+	if now-cs.changed > ttl {
 		delete(t.cases, fp)
 		return nil
 	}
-	if f.permit != permitNone && t.running[fp] == 0 && now-f.asked > permitLife {
-		f.permit = permitNone
+	if cs.permit != permitNone && t.running[fp] == 0 && now-cs.permitSince > permitTimeout {
+		cs.permit = permitNone
 	}
-	return f
+	return cs
 }
 
-func (t *Tracker) open(fp Fingerprint, now time.Duration) *permitFile {
-	if f := t.current(fp, now); f != nil {
-		return f
+func (t *Tracker) openCase(fp Fingerprint, now time.Duration) *caseState {
+	if cs := t.current(fp, now); cs != nil {
+		return cs
 	}
 	if len(t.cases) >= maxCases {
 		t.dropOldest()
 	}
-	f := &permitFile{Case: Case{Fingerprint: fp}, changed: now}
-	t.cases[fp] = f
-	return f
+	cs := &caseState{Case: Case{Fingerprint: fp}, changed: now}
+	t.cases[fp] = cs
+	return cs
 }
 
 // dropOldest forgets the oldest suspect, or the oldest case of all.
 func (t *Tracker) dropOldest() {
-	var victim *permitFile
-	for _, f := range t.cases {
-		quarantined := f.Quarantined()
+	var oldest *caseState
+	for _, cs := range t.cases {
+		quarantined := cs.Quarantined()
 		switch {
-		case victim == nil, !quarantined && victim.Quarantined():
-			victim = f
-		case quarantined == victim.Quarantined() && f.changed < victim.changed:
-			victim = f
+		case oldest == nil, !quarantined && oldest.Quarantined():
+			oldest = cs
+		case quarantined == oldest.Quarantined() && cs.changed < oldest.changed:
+			oldest = cs
 		}
 	}
-	delete(t.cases, victim.Fingerprint)
+	delete(t.cases, oldest.Fingerprint)
 }
 
 func (t *Tracker) isProven(fp Fingerprint) bool {
@@ -103,7 +103,7 @@
 	return ok
 }
 
-func (t *Tracker) prove(fp Fingerprint) {
+func (t *Tracker) markProven(fp Fingerprint) {
 	if len(t.proven) >= maxProven {
 		n := 0
 		for old := range t.proven {
@@ -116,12 +116,12 @@
 	t.proven[fp] = struct{}{}
 }
 
-func (t *Tracker) load(pool, target string) *targetRuns {
+func (t *Tracker) targetState(pool, target string) *targetState {
 	name := pool + "/" + target
-	l := t.targets[name]
-	if l == nil {
-		l = &targetRuns{}
-		t.targets[name] = l
+	ts := t.targets[name]
+	if ts == nil {
+		ts = &targetState{}
+		t.targets[name] = ts
 	}
-	return l
+	return ts
 }
--- a/internal/decide/quarantine/permits.go
+++ b/internal/decide/quarantine/permits.go
@@ -2,67 +2,67 @@
 
 import "time"
 
-// file is a case with what this dispatcher does about it.
-type permitFile struct {
+// caseState is a case with what this dispatcher does about it.
+type caseState struct {
 	Case
-	changed time.Duration
-	permit  permit
-	asked   time.Duration
+	changed     time.Duration
+	permit      permit
+	permitSince time.Duration
 }
 
 type permit int
 
 const (
 	permitNone permit = iota
-	permitAsked
+	permitRequested
 	permitHeld
 )
 
-// load is what this dispatcher runs on a target.
-type targetRuns struct {
+// targetState is what this dispatcher runs on a target.
+type targetState struct {
 	running int
 	// suspect runs alone here, or waits for the target to be free.
-	suspect  Fingerprint
-	reserved time.Duration
-	alone    bool
+	suspect    Fingerprint
+	reservedAt time.Duration
+	alone      bool
 }
 
 // admitSuspect keeps the target free of others until the suspect runs there, or
 // until the reservation is over.
-func (t *Tracker) admitSuspect(f *permitFile, l *targetRuns, pool string, now time.Duration) Verdict {
-	if other, busy := t.suspects[pool]; busy && other != f.Fingerprint || t.running[f.Fingerprint] > 0 {
+func (t *Tracker) admitSuspect(cs *caseState, ts *targetState, pool string, now time.Duration) Verdict {
+	if other, busy := t.runningSuspect[pool]; busy && other != cs.Fingerprint || t.running[cs.Fingerprint] > 0 {
 		return Hold
 	}
 	switch {
-	case f.permit == permitNone:
-		f.permit, f.asked = permitAsked, now
+	case cs.permit == permitNone:
+		cs.permit, cs.permitSince = permitRequested, now
 		return NeedsPermit
-	case f.permit == permitAsked:
+	case cs.permit == permitRequested:
 		return Hold
-	case l.suspect != f.Fingerprint && t.kept(l, now):
+	case ts.suspect != cs.Fingerprint && t.isReserved(ts, now):
 		return Hold
 	}
-	if l.running > 0 {
-		if l.suspect != f.Fingerprint {
-			l.suspect, l.reserved = f.Fingerprint, now
+	if ts.running > 0 {
+		if ts.suspect != cs.Fingerprint {
+			ts.suspect, ts.reservedAt = cs.Fingerprint, now
 		}
 		return Hold
 	}
 	return Run
 }
 
-// kept reports whether a target is kept for a suspect: while it waits there, for a
+// isReserved reports whether a target is reserved for a suspect: while it waits there, for a
 // bounded time, and while it runs. Would others join it, a death would name no
 // culprit.
-func (t *Tracker) kept(l *targetRuns, now time.Duration) bool {
-	return l.suspect != 0 && (l.alone || now-l.reserved < reservation)
+func (t *Tracker) isReserved(ts *targetState, now time.Duration) bool {
+	return ts.suspect != 0 && (ts.alone || now-ts.reservedAt < reservationTimeout)
 }
 
-// giveBack ends a permit whose run ended without an answer.
+// releasePermit ends a permit whose run ended without an answer.
 // Another dispatcher gets the permit at once instead of when the unused one expires.
-func (t *Tracker) giveBack(fp Fingerprint) {
-	if f := t.cases[fp]; f != nil && t.running[fp] == 0 {
-		f.permit = permitNone
+func (t *Tracker) releasePermit(fp Fingerprint) {
+	if cs := t.cases[fp]; cs != nil && t.running[fp] == 0 {
+		cs.permit = permitNone
 	}
 }
 
@@ -72,18 +72,18 @@
 // merges ours from the reply, so that a quarantine need not be looked at here: the
 // asker refuses the request itself.
 func (t *Tracker) MayPermit(fp Fingerprint, pool, asker string, now time.Duration) bool {
-	f := t.current(fp, now)
-	_, busy := t.suspects[pool]
+	cs := t.current(fp, now)
+	_, busy := t.runningSuspect[pool]
 	switch {
 	case busy || t.running[fp] > 0:
 		return false
-	case f == nil || f.permit == permitNone:
+	case cs == nil || cs.permit == permitNone:
 		return true
-	case f.permit == permitHeld && now-f.asked > unusedPermit:
-		f.permit = permitNone
+	case cs.permit == permitHeld && now-cs.permitSince > heldPermitTimeout:
+		cs.permit = permitNone
 		return true
-	case f.permit == permitAsked && asker < t.vm:
-		f.permit = permitNone
+	case cs.permit == permitRequested && asker < t.vm:
+		cs.permit = permitNone
 		return true
 	}
 	return false
@@ -92,12 +92,12 @@
 // PermitDecided is the outcome of asking all others; asked is when Admit wanted it.
 // Only the round of the ask that stands counts: the permits of an earlier one may be obsolete.
 func (t *Tracker) PermitDecided(fp Fingerprint, asked time.Duration, granted bool, now time.Duration) {
-	f := t.current(fp, now)
-	if f == nil || f.permit != permitAsked || f.asked != asked {
+	cs := t.current(fp, now)
+	if cs == nil || cs.permit != permitRequested || cs.permitSince != asked {
 		return
 	}
-	f.permit = permitNone
+	cs.permit = permitNone
 	if granted {
-		f.permit, f.asked = permitHeld, now
+		cs.permit, cs.permitSince = permitHeld, now
 	}
 }
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -34,21 +34,21 @@
 	// Lifetime is how long a quarantine lasts. A caller that repeats a request
 	// automatically goes on for hours; a fix of the target takes about as long.
 	Lifetime = 4 * time.Hour
-	// suspicion is how long a suspect is remembered that never comes again.
-	suspicion = time.Hour
+	// suspectTTL is how long a suspect is remembered that never comes again.
+	suspectTTL = time.Hour
 	// maxCases bounds suspects and quarantines; the oldest suspect goes first.
 	maxCases = 4096
 	// maxProven bounds the fingerprints that were answered; in excess they are
 	// forgotten half at a time, which makes some unproven again.
 	maxProven = 1 << 17
-	// permitLife bounds a permit that was asked for and not used: a round of
+	// permitTimeout bounds a permit that was asked for and not used: a round of
 	// questions, and the wait for a target that is kept free.
-	permitLife = reservation + time.Second
-	// reservation bounds how long a target is kept free for a suspect.
-	reservation = 2 * time.Second
-	// unusedPermit is how long a permit may wait for its target before another
+	permitTimeout = reservationTimeout + time.Second
+	// reservationTimeout bounds how long a target is kept free for a suspect.
+	reservationTimeout = 2 * time.Second
+	// heldPermitTimeout is how long a permit may wait for its target before another
 	// dispatcher that asks gets it: far longer than most requests run.
-	unusedPermit = 100 * time.Millisecond
+	heldPermitTimeout = 100 * time.Millisecond
 )
 
 // Fingerprint names a request's content.
@@ -72,32 +72,32 @@
 // Tracker is one dispatcher's part. It belongs to one goroutine at a time.
 type Tracker struct {
 	vm      string
-	cases   map[Fingerprint]*permitFile
+	cases   map[Fingerprint]*caseState
 	proven  map[Fingerprint]struct{}
 	running map[Fingerprint]int
-	targets map[string]*targetRuns
-	// suspects counts suspects in flight, by pool.
-	suspects map[string]Fingerprint
+	targets map[string]*targetState
+	// runningSuspect holds the suspects in flight, by pool.
+	runningSuspect map[string]Fingerprint
 }
 
 // New returns a tracker that suspects nothing.
 func New(vm string) *Tracker {
 	return &Tracker{
-		vm: vm, cases: make(map[Fingerprint]*permitFile), proven: make(map[Fingerprint]struct{}),
-		running: make(map[Fingerprint]int), targets: make(map[string]*targetRuns), suspects: make(map[string]Fingerprint),
+		vm: vm, cases: make(map[Fingerprint]*caseState), proven: make(map[Fingerprint]struct{}),
+		running: make(map[Fingerprint]int), targets: make(map[string]*targetState), runningSuspect: make(map[string]Fingerprint),
 	}
 }
 
 // Admit decides on a request for a free slot of the target.
 func (t *Tracker) Admit(fp Fingerprint, pool, target string, now time.Duration) Verdict {
-	l := t.load(pool, target)
-	f := t.current(fp, now)
+	ts := t.targetState(pool, target)
+	cs := t.current(fp, now)
 	switch {
-	case f != nil && f.Quarantined():
+	case cs != nil && cs.Quarantined():
 		return Refuse
-	case f != nil && f.Suspect():
-		return t.admitSuspect(f, l, pool, now)
-	case t.kept(l, now):
+	case cs != nil && cs.Suspect():
+		return t.admitSuspect(cs, ts, pool, now)
+	case t.isReserved(ts, now):
 		return Hold
 	case !t.isProven(fp) && t.running[fp] > 0:
 		return Hold
@@ -108,11 +108,11 @@
 // Started says that an admitted request is in flight.
 func (t *Tracker) Started(fp Fingerprint, pool, target string, now time.Duration) {
 	t.running[fp]++
-	l := t.load(pool, target)
-	l.running++
-	if f := t.current(fp, now); f != nil && f.Suspect() {
-		t.suspects[pool] = fp
-		l.suspect, l.reserved, l.alone = fp, now, true
+	ts := t.targetState(pool, target)
+	ts.running++
+	if cs := t.current(fp, now); cs != nil && cs.Suspect() {
+		t.runningSuspect[pool] = fp
+		ts.suspect, ts.reservedAt, ts.alone = fp, now, true
 	}
 }
 
@@ -120,35 +120,35 @@
 // where the end says nothing of the request, as when it was shed or given up. It
 // returns the case to report to others, or nil.
 func (t *Tracker) Finished(fp Fingerprint, pool, target string, answered bool, now time.Duration) *Case {
-	t.ended(fp, pool, target)
+	t.removeRun(fp, pool, target)
 	if !answered {
-		t.giveBack(fp)
+		t.releasePermit(fp)
 		return nil
 	}
-	t.prove(fp)
-	f := t.current(fp, now)
-	if f == nil || !f.Suspect() || f.permit != permitHeld {
+	t.markProven(fp)
+	cs := t.current(fp, now)
+	if cs == nil || !cs.Suspect() || cs.permit != permitHeld {
 		return nil
 	}
-	for _, d := range f.Deaths {
-		f.Cleared = union(f.Cleared, []string{d.Name})
+	for _, d := range cs.Deaths {
+		cs.Cleared = union(cs.Cleared, []string{d.Name})
 	}
-	f.changed, f.permit = now, permitNone
-	c := f.Case
+	cs.changed, cs.permit = now, permitNone
+	c := cs.Case
 	return &c
 }
 
-func (t *Tracker) ended(fp Fingerprint, pool, target string) {
+func (t *Tracker) removeRun(fp Fingerprint, pool, target string) {
 	if t.running[fp]--; t.running[fp] <= 0 {
 		delete(t.running, fp)
 	}
-	l := t.load(pool, target)
-	l.running = max(l.running-1, 0)
-	if l.suspect == fp {
-		l.suspect, l.alone = 0, false
+	ts := t.targetState(pool, target)
+	ts.running = max(ts.running-1, 0)
+	if ts.suspect == fp {
+		ts.suspect, ts.alone = 0, false
 	}
-	if t.suspects[pool] == fp {
-		delete(t.suspects, pool)
+	if t.runningSuspect[pool] == fp {
+		delete(t.runningSuspect, pool)
 	}
 }
 
@@ -157,19 +157,19 @@
 // returns the cases to report to others.
 func (t *Tracker) Died(running []Fingerprint, pool, target string, now time.Duration) []Case {
 	d := Death{Name: t.vm + "/" + target + "/" + now.String(), Alone: len(running) == 1}
-	if l := t.load(pool, target); l.alone && slices.Contains(running, l.suspect) {
+	if ts := t.targetState(pool, target); ts.alone && slices.Contains(running, ts.suspect) {
 		d.Proof = true
 	}
 	var out []Case
 	for _, fp := range slices.Compact(slices.Sorted(slices.Values(running))) {
-		f := t.open(fp, now)
-		f.Deaths = union(f.Deaths, []Death{d})
-		f.changed, f.permit = now, permitNone
+		cs := t.openCase(fp, now)
+		cs.Deaths = union(cs.Deaths, []Death{d})
+		cs.changed, cs.permit = now, permitNone
 		delete(t.proven, fp)
-		out = append(out, f.Case)
+		out = append(out, cs.Case)
 	}
 	for _, fp := range running {
-		t.ended(fp, pool, target)
+		t.removeRun(fp, pool, target)
 	}
 	return out
 }
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -12,7 +12,7 @@
 const testPool = "booth"
 
 // killer and the fingerprints above it; all others are innocent.
-const killers = 2
+const lastCrashing = 2
 
 // run is a request on a target.
 type run struct {
@@ -45,9 +45,9 @@
 	return f
 }
 
-func name(target int) string { return fmt.Sprintf("target%d", target) }
+func targetName(target int) string { return fmt.Sprintf("target%d", target) }
 
-func (f *fleet) tell(from int, c *Case) {
+func (f *fleet) notify(from int, c *Case) {
 	for i, tr := range f.trackers {
 		if i != from && c != nil && !(f.lossy && rapid.Bool().Draw(f.t, "lost")) {
 			tr.MergeCase(*c, f.now)
@@ -55,8 +55,8 @@
 	}
 }
 
-// permit asks all others at once, as the wiring does.
-func (f *fleet) permit(d int, fp Fingerprint) {
+// requestPermit asks all others at once, as the wiring does.
+func (f *fleet) requestPermit(d int, fp Fingerprint) {
 	granted := true
 	c := f.trackers[d].Case(fp, f.now)
 	for i, tr := range f.trackers {
@@ -77,14 +77,14 @@
 	}
 	fp := f.waiting[d][0]
 	f.waiting[d] = f.waiting[d][1:]
-	switch f.trackers[d].Admit(fp, testPool, name(target), f.now) {
+	switch f.trackers[d].Admit(fp, testPool, targetName(target), f.now) {
 	case Run:
-		f.trackers[d].Started(fp, testPool, name(target), f.now)
+		f.trackers[d].Started(fp, testPool, targetName(target), f.now)
 		f.targets[target] = append(f.targets[target], run{fp, d})
 	case Refuse:
 		f.refused[fp]++
 	case NeedsPermit:
-		f.permit(d, fp)
+		f.requestPermit(d, fp)
 		f.waiting[d] = append(f.waiting[d], fp)
 	default:
 		f.waiting[d] = append(f.waiting[d], fp)
@@ -98,10 +98,10 @@
 		return
 	}
 	r := f.targets[target][0]
-	if r.fp > killers {
+	if r.fp > lastCrashing {
 		f.targets[target] = f.targets[target][1:]
 		f.served[r.fp]++
-		f.tell(r.dispatcher, f.trackers[r.dispatcher].Finished(r.fp, testPool, name(target), true, f.now))
+		f.notify(r.dispatcher, f.trackers[r.dispatcher].Finished(r.fp, testPool, targetName(target), true, f.now))
 		return
 	}
 	f.kills[r.fp]++
@@ -118,8 +118,8 @@
 		if len(running) == 0 {
 			continue
 		}
-		for _, c := range tr.Died(running, testPool, name(target), f.now) {
-			f.tell(d, &c)
+		for _, c := range tr.Died(running, testPool, targetName(target), f.now) {
+			f.notify(d, &c)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 }
 
 func (f *fleet) check(bound int) {
-	for fp := Fingerprint(1); fp <= killers; fp++ {
+	for fp := Fingerprint(1); fp <= lastCrashing; fp++ {
 		require.LessOrEqual(f.t, f.kills[fp], bound, "targets killed by %d", fp)
 	}
 	for fp := range f.refused {
@@ -148,7 +148,7 @@
 			// Stated in the package comment: "alone" is not known then.
 			break
 		}
-		require.LessOrEqual(f.t, fp, Fingerprint(killers), "an innocent request is quarantined")
+		require.LessOrEqual(f.t, fp, Fingerprint(lastCrashing), "an innocent request is quarantined")
 	}
 }
 
@@ -171,7 +171,7 @@
 // A caller sends a request that kills its target again and again, among innocent
 // ones, through all entries; they all lead to one queue. It kills two targets at
 // most, and each innocent request is served, though it ran beside the killer.
-func TestKillerTakesTwoTargetsAndInnocentsAreServed(t *testing.T) {
+func TestCrashingRequestKillsAtMostTwoTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 1)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
@@ -186,7 +186,7 @@
 // Members views differ and several dispatchers hold the pool's queue; notices
 // between them are lost. Each may have the killer in flight before any target
 // died, no more.
-func TestKillerIsBoundedWhileViewsDiffer(t *testing.T) {
+func TestCrashingRequestIsBoundedWhileViewsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "dispatchers")
 		f := newFleet(t, n)
@@ -198,11 +198,11 @@
 	})
 }
 
-// Found by TestKillerTakesTwoTargetsAndInnocentsAreServed. Many identical
+// Found by TestCrashingRequestKillsAtMostTwoTargets. Many identical
 // innocent requests are in flight; one of them runs beside a killer, another
 // beside a second killer. Two deaths were counted, and an ordinary request was
 // refused for hours.
-func TestInnocentBesideTwoKillersIsNotQuarantined(t *testing.T) {
+func TestHarmlessRequestBesideTwoCrashingOnesIsNotQuarantined(t *testing.T) {
 	tr := New("vm1")
 	tr.Started(3, testPool, "a", 0)
 	tr.Finished(3, testPool, "a", true, 0)
@@ -235,7 +235,7 @@
 // but finds the dead target, and its key moves to another dispatcher. Callers of
 // that key got nothing for 3 s. Cause: the first dispatcher kept the permit of a
 // run that had ended, or that never began, and denied it to the second.
-func TestPermitGoesWithTheKey(t *testing.T) {
+func TestPermitFollowsKeyToAnotherDispatcher(t *testing.T) {
 	const fp, second = Fingerprint(7), time.Second
 	suspect := func() (old, next *Tracker) {
 		old, next = New("vm1"), New("vm2")
@@ -258,7 +258,7 @@
 
 	old, _ = suspect()
 	require.False(t, old.MayPermit(fp, testPool, "vm2", second))
-	later := second + unusedPermit + time.Millisecond
+	later := second + heldPermitTimeout + time.Millisecond
 	require.True(t, old.MayPermit(fp, testPool, "vm2", later), "no run began")
 	require.NotEqual(t, Run, old.Admit(fp, testPool, "target1", later), "two would run it at once")
 }
--- a/internal/decide/quarantine/scenario_test.go
+++ b/internal/decide/quarantine/scenario_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// suspects makes fingerprints suspect at a tracker: they ran together on a target
+// makeSuspects makes fingerprints suspect at a tracker: they ran together on a target
 // that died.
-func suspects(tr *Tracker, now time.Duration, fps ...Fingerprint) []Case {
+func makeSuspects(tr *Tracker, now time.Duration, fps ...Fingerprint) []Case {
 	for _, fp := range fps {
 		tr.Started(fp, testPool, "lost", now)
 	}
@@ -20,9 +20,9 @@
 // target to itself at once, three targets of a small pool would take no other
 // work, and several killers would take them all down together. One suspect at a
 // time is on trial; the next one has its turn when the first is over.
-func TestOneSuspectInAPoolAtATime(t *testing.T) {
+func TestOneSuspectPerPoolRunsAtATime(t *testing.T) {
 	tr := New("vm1")
-	suspects(tr, 0, 1, 2)
+	makeSuspects(tr, 0, 1, 2)
 	for _, fp := range []Fingerprint{1, 2} {
 		require.Equal(t, NeedsPermit, tr.Admit(fp, testPool, "a", 0))
 		tr.PermitDecided(fp, 0, true, 0)
@@ -38,9 +38,9 @@
 // Two dispatchers hold the queue of one pool, and each has another suspect. One
 // suspect is on trial; the second dispatcher asks for a permit for the other one.
 // Both targets could die at once, and an order for each pool would mean nothing.
-func TestNoPermitWhileAnotherSuspectIsOnTrial(t *testing.T) {
+func TestNoPermitWhileAnotherSuspectRuns(t *testing.T) {
 	tr := New("vm2")
-	cases := suspects(tr, 0, 1, 2)
+	cases := makeSuspects(tr, 0, 1, 2)
 	require.Len(t, cases, 2)
 	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
 	tr.PermitDecided(1, 0, true, 0)
@@ -54,9 +54,9 @@
 // A killer runs at two dispatchers at once and takes two targets as a suspect,
 // three in all. vm1 agreed to vm2's question, then asked itself, and vm2 gave way
 // while its own round was still under way. The round ends, with every word granted.
-func TestPermitThatWasGivenUpIsNotHeld(t *testing.T) {
+func TestReleasedPermitIsNotHeldAfterItsRound(t *testing.T) {
 	vm1, vm2 := New("vm1"), New("vm2")
-	for _, c := range suspects(vm1, 0, 1) {
+	for _, c := range makeSuspects(vm1, 0, 1) {
 		vm2.MergeCase(c, 0)
 	}
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", 0))
@@ -72,13 +72,13 @@
 }
 
 // As above, but vm2 asks first and vm1 has the permit already, not yet used.
-func TestHeldPermitIsNotGivenTwice(t *testing.T) {
+func TestHeldPermitIsNotGrantedTwice(t *testing.T) {
 	vm2 := New("vm2")
-	suspects(vm2, 0, 1)
+	makeSuspects(vm2, 0, 1)
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", 0))
 	vm2.PermitDecided(1, 0, true, 0)
 	require.False(t, vm2.MayPermit(1, testPool, "vm1", 0))
-	late := permitLife + time.Millisecond
+	late := permitTimeout + time.Millisecond
 	require.True(t, vm2.MayPermit(1, testPool, "vm1", late), "given back when nobody used it")
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", late))
 }
@@ -86,11 +86,11 @@
 // A killer runs at two dispatchers at once. The round of vm2's first question took
 // so long that its permit ran out; vm1 asked meanwhile and was granted it. vm2 asks
 // again, and the last words of its first round come in.
-func TestRoundOfAnEarlierAskDoesNotCount(t *testing.T) {
+func TestRoundOfEarlierPermitRequestIsIgnored(t *testing.T) {
 	vm2 := New("vm2")
-	suspects(vm2, 0, 1)
+	makeSuspects(vm2, 0, 1)
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", 0))
-	late := permitLife + time.Millisecond
+	late := permitTimeout + time.Millisecond
 	require.True(t, vm2.MayPermit(1, testPool, "vm1", late))
 	require.Equal(t, NeedsPermit, vm2.Admit(1, testPool, "b", late))
 	vm2.PermitDecided(1, 0, true, late)
@@ -103,7 +103,7 @@
 func TestNoPermitWhileAFirstRunIsInFlight(t *testing.T) {
 	vm1, vm2 := New("vm1"), New("vm2")
 	vm2.Started(1, testPool, "b", 0)
-	for _, c := range suspects(vm1, 0, 1) {
+	for _, c := range makeSuspects(vm1, 0, 1) {
 		vm2.MergeCase(c, 0)
 	}
 	require.False(t, vm2.MayPermit(1, testPool, "vm1", 0))
@@ -117,9 +117,9 @@
 // A suspect waits for a busy target, which is kept free for it. A second suspect
 // that may run too would keep it for itself, and the two by turns for ever: the
 // target would take no ordinary work.
-func TestTargetKeptForASuspectIsNotKeptAnewByAnother(t *testing.T) {
+func TestReservationIsNotExtendedByAnotherSuspect(t *testing.T) {
 	tr := New("vm1")
-	suspects(tr, 0, 1, 2)
+	makeSuspects(tr, 0, 1, 2)
 	tr.Started(8, testPool, "a", 0)
 	for _, fp := range []Fingerprint{1, 2} {
 		require.Equal(t, NeedsPermit, tr.Admit(fp, testPool, "a", 0))
@@ -128,15 +128,15 @@
 	require.Equal(t, Hold, tr.Admit(1, testPool, "a", 0))
 	require.Equal(t, Hold, tr.Admit(9, testPool, "a", time.Second), "kept")
 	require.Equal(t, Hold, tr.Admit(2, testPool, "a", time.Second))
-	require.Equal(t, Run, tr.Admit(9, testPool, "a", reservation), "no longer")
+	require.Equal(t, Run, tr.Admit(9, testPool, "a", reservationTimeout), "no longer")
 }
 
 // A dispatcher holds a permit; the suspect is cleared elsewhere, and then a target
 // dies under it again. The old permit would let it run here while another
 // dispatcher, which asked after the new death, runs it too.
-func TestPermitEndsWithItsSuspicion(t *testing.T) {
+func TestPermitEndsWhenCaseIsCleared(t *testing.T) {
 	tr := New("vm1")
-	c := suspects(tr, 0, 1)[0]
+	c := makeSuspects(tr, 0, 1)[0]
 	require.Equal(t, NeedsPermit, tr.Admit(1, testPool, "a", 0))
 	tr.PermitDecided(1, 0, true, 0)
 	c.Cleared = []string{c.Deaths[0].Name}
