--- a/internal/decide/quarantine/cases.go
+++ b/internal/decide/quarantine/cases.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// MergeCase merges a case that another dispatcher reports.
+// MergeCase merges a case reported by another dispatcher.
 func (t *Tracker) MergeCase(c Case, now time.Duration) {
 	cs := t.openCase(c.Fingerprint, now)
 	cs.Deaths = union(cs.Deaths, c.Deaths)
@@ -15,10 +15,11 @@
 		delete(t.proven, c.Fingerprint)
 		return
 	}
-	// A permit for deaths that are cleared is none for the next death.
+	// A permit granted for deaths that are now cleared is not valid for the next death.
 	cs.permit = permitNone
 }
 
+// union appends to a the elements of b that it lacks.
 func union[T comparable](a, b []T) []T {
 	for _, s := range b {
 		if !slices.Contains(a, s) {
@@ -28,7 +29,7 @@
 	return a
 }
 
-// Case returns what is known of a fingerprint.
+// Case returns the case of a fingerprint, which is empty if none is known.
 func (t *Tracker) Case(fp Fingerprint, now time.Duration) Case {
 	cs := t.current(fp, now)
 	if cs == nil {
@@ -39,7 +40,7 @@
 	return c
 }
 
-// Cases returns all cases in force, for a dispatcher that has just started.
+// Cases returns all current cases, for a dispatcher that has just started.
 func (t *Tracker) Cases(now time.Duration) []Case {
 	var out []Case
 	for fp := range t.cases {
@@ -50,8 +51,8 @@
 	return out
 }
 
-// current returns the case of a fingerprint, nil once it is over. A permit that
-// nobody used is given back.
+// current returns the case of a fingerprint, or nil if there is none or it has expired. It
+// releases a permit that was not used within permitTimeout.
 func (t *Tracker) current(fp Fingerprint, now time.Duration) *caseState {
 	cs := t.cases[fp]
 	if cs == nil {
@@ -71,6 +72,7 @@
 	return cs
 }
 
+// openCase returns the case of a fingerprint and creates it if there is none.
 func (t *Tracker) openCase(fp Fingerprint, now time.Duration) *caseState {
 	if cs := t.current(fp, now); cs != nil {
 		return cs
@@ -83,7 +85,7 @@
 	return cs
 }
 
-// dropOldest forgets the oldest suspect, or the oldest case of all.
+// dropOldest evicts the oldest suspect or, if all cases are quarantined, the oldest case.
 func (t *Tracker) dropOldest() {
 	var oldest *caseState
 	for _, cs := range t.cases {
@@ -103,6 +105,8 @@
 	return ok
 }
 
+// markProven records that a fingerprint was answered, and first drops half of the proven
+// fingerprints if there are maxProven.
 func (t *Tracker) markProven(fp Fingerprint) {
 	if len(t.proven) >= maxProven {
 		n := 0
@@ -116,6 +120,7 @@
 	t.proven[fp] = struct{}{}
 }
 
+// targetState returns the state of a target and creates it if there is none.
 func (t *Tracker) targetState(pool, target string) *targetState {
 	name := pool + "/" + target
 	ts := t.targets[name]
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -1,27 +1,27 @@
 // Package quarantine stops requests that crash the targets that run them.
 //
-// Load pattern and failure: one request kills each target that runs it, and its
-// caller, or a retry, sends it again, through several entries at once. Without
-// the tracker one request takes down a whole pool, and every request that ran
-// beside it is lost with it, again and again.
+// Load pattern and failure: one request crashes each target that runs it, and its caller or a
+// retry sends it again, through several entries at once. Without the quarantine, one such
+// request takes down a whole pool, and with each target all requests that run beside it fail.
 //
-// A request is known by its fingerprint. Until a fingerprint was once answered it
-// is unproven, and one such request at most is in flight: identical requests that
-// come at once wait for the first, which costs nothing that a hot key would
-// notice. When a target dies, all that it ran is suspect. A suspect runs alone on
-// its target, one at a time in a pool, and only with a permit, which every
-// dispatcher that is reached must agree to. If a target dies under it again it is
-// quarantined, everywhere, for Lifetime; if not, it is cleared.
+// A request is identified by its fingerprint, a hash of its content. A fingerprint is unproven
+// until a request with it was answered, and at most one request with an unproven fingerprint is
+// in flight: identical requests wait for the first, a delay too short to matter even for a hot
+// key. When a target dies, all requests that it ran become suspects. A suspect runs alone on
+// its target, one suspect at a time per pool, and only with a permit that every reachable
+// dispatcher has granted. If a target dies again while running it, the fingerprint is
+// quarantined at all dispatchers for Lifetime; otherwise it is cleared.
 //
-// So a fingerprint kills one target before it is suspect and one as a suspect: two.
-// The bound is for fingerprints that were never answered and for dispatchers that
-// reach each other. While members views differ and n dispatchers hold a queue, it
-// holds for requests that are sent again after their answer, which waits for the
-// notices. Copies sent at one moment may have a first run at each dispatcher, beside
-// others, and one more run as a suspect: n + 1. Nor can a dispatcher know then whether
-// a request ran alone on a target that another sends to: an innocent one may be
-// quarantined. A request that was answered before and kills later takes down the
-// targets that run it just then.
+// A fingerprint therefore kills at most two targets: one before it is a suspect and one as a
+// suspect. This bound holds for fingerprints that were never answered, and while the
+// dispatchers reach each other. While the views of the members differ and n dispatchers hold
+// the queue of a pool, it holds for requests that are sent again after their answer, since the
+// answer waits for the notices to the other dispatchers. Copies sent at the same moment may
+// have a first run at each dispatcher, beside other requests, and one more run as a suspect,
+// which makes n + 1. A dispatcher then cannot know either whether a request ran alone on a
+// target that another dispatcher uses too, so a harmless request may be quarantined. A request
+// that was answered before and crashes targets later takes down all targets that run it at
+// that moment.
 package quarantine
 
 import (
@@ -29,58 +29,60 @@
 	"time"
 )
 
-// Figures.
+// Durations and limits.
 const (
-	// Lifetime is how long a quarantine lasts. A caller that repeats a request
-	// automatically goes on for hours; a fix of the target takes about as long.
+	// Lifetime is how long a quarantine lasts. A caller that repeats a request automatically
+	// does so for hours, and a fix of the target takes about as long.
 	Lifetime = 4 * time.Hour
-	// suspectTTL is how long a suspect is remembered that never comes again.
+	// suspectTTL is how long a suspect is remembered if no such request arrives again.
 	suspectTTL = time.Hour
-	// maxCases bounds suspects and quarantines; the oldest suspect goes first.
+	// maxCases limits the number of suspects and quarantines; the oldest suspect is evicted
+	// first.
 	maxCases = 4096
-	// maxProven bounds the fingerprints that were answered; in excess they are
-	// forgotten half at a time, which makes some unproven again.
+	// maxProven limits the number of proven fingerprints. When it is reached, half of them are
+	// dropped and become unproven again.
 	maxProven = 1 << 17
-	// permitTimeout bounds a permit that was asked for and not used: a round of
-	// questions, and the wait for a target that is kept free.
+	// permitTimeout is how long a permit may be requested or held without a run. It covers the
+	// round of calls to the other dispatchers and the wait for a reserved target.
 	permitTimeout = reservationTimeout + time.Second
-	// reservationTimeout bounds how long a target is kept free for a suspect.
+	// reservationTimeout limits how long a target is reserved for a waiting suspect.
 	reservationTimeout = 2 * time.Second
-	// heldPermitTimeout is how long a permit may wait for its target before another
-	// dispatcher that asks gets it: far longer than most requests run.
+	// heldPermitTimeout is how long a held permit may stay unused before another dispatcher
+	// that requests it gets it. It is far longer than most requests run.
 	heldPermitTimeout = 100 * time.Millisecond
 )
 
-// Fingerprint names a request's content.
+// Fingerprint is a hash of a request's content.
 type Fingerprint uint64
 
-// Verdict is the word on a request that is about to be sent.
+// Verdict is the decision on a request that is about to be sent.
 type Verdict int
 
-// The verdicts.
 const (
-	// Run it now.
+	// Run means that the request may be sent now.
 	Run Verdict = iota
-	// Hold it; ask again later.
+	// Hold means that the request must wait; the caller asks again later.
 	Hold
-	// NeedsPermit holds a suspect for which no permit was asked yet.
+	// NeedsPermit means that the request must wait and that the caller must request a permit
+	// from the other dispatchers.
 	NeedsPermit
-	// Refuse it: it is quarantined.
+	// Refuse means that the request is quarantined.
 	Refuse
 )
 
-// Tracker is one dispatcher's part. It belongs to one goroutine at a time.
+// Tracker tracks the requests in flight at one dispatcher and the known cases. It is not safe
+// for concurrent use.
 type Tracker struct {
 	vm      string
 	cases   map[Fingerprint]*caseState
 	proven  map[Fingerprint]struct{}
 	running map[Fingerprint]int
 	targets map[string]*targetState
-	// runningSuspect holds the suspects in flight, by pool.
+	// runningSuspect holds the suspect in flight in each pool.
 	runningSuspect map[string]Fingerprint
 }
 
-// New returns a tracker that suspects nothing.
+// New returns a tracker without cases.
 func New(vm string) *Tracker {
 	return &Tracker{
 		vm: vm, cases: make(map[Fingerprint]*caseState), proven: make(map[Fingerprint]struct{}),
@@ -88,7 +90,7 @@
 	}
 }
 
-// Admit decides on a request for a free slot of the target.
+// Admit decides whether a request may be sent to a target with a free slot.
 func (t *Tracker) Admit(fp Fingerprint, pool, target string, now time.Duration) Verdict {
 	ts := t.targetState(pool, target)
 	cs := t.current(fp, now)
@@ -105,7 +107,7 @@
 	return Run
 }
 
-// Started says that an admitted request is in flight.
+// Started records that an admitted request was sent.
 func (t *Tracker) Started(fp Fingerprint, pool, target string, now time.Duration) {
 	t.running[fp]++
 	ts := t.targetState(pool, target)
@@ -116,9 +118,9 @@
 	}
 }
 
-// Finished says that an attempt ended and the target lives. answered is false
-// where the end says nothing of the request, as when it was shed or given up. It
-// returns the case to report to others, or nil.
+// Finished records that an attempt ended and the target is still up. answered is false if the
+// end says nothing about the request, for example if it was shed or abandoned. If a suspect was
+// cleared, Finished returns its case, to be reported to the other dispatchers, and else nil.
 func (t *Tracker) Finished(fp Fingerprint, pool, target string, answered bool, now time.Duration) *Case {
 	t.removeRun(fp, pool, target)
 	if !answered {
@@ -138,6 +140,7 @@
 	return &c
 }
 
+// removeRun removes a request from those in flight and ends the reservation of its target.
 func (t *Tracker) removeRun(fp Fingerprint, pool, target string) {
 	if t.running[fp]--; t.running[fp] <= 0 {
 		delete(t.running, fp)
@@ -152,9 +155,9 @@
 	}
 }
 
-// Died says that a target ended with these requests running. The death counts
-// against a suspect that ran there, which was alone, and else against all. It
-// returns the cases to report to others.
+// Died records that a target died while it ran the given requests. If one of them was a
+// suspect, it ran alone and the death proves its fault; otherwise all of them become suspects.
+// Died returns the cases to be reported to the other dispatchers.
 func (t *Tracker) Died(running []Fingerprint, pool, target string, now time.Duration) []Case {
 	d := Death{Name: t.vm + "/" + target + "/" + now.String(), Alone: len(running) == 1}
 	if ts := t.targetState(pool, target); ts.alone && slices.Contains(running, ts.suspect) {
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -11,16 +11,17 @@
 
 const testPool = "booth"
 
-// killer and the fingerprints above it; all others are innocent.
+// lastCrashing is the highest fingerprint whose requests crash their target; all above it are
+// harmless.
 const lastCrashing = 2
 
-// run is a request on a target.
+// run is a request that a dispatcher sent to a target.
 type run struct {
 	fp         Fingerprint
 	dispatcher int
 }
 
-// fleet is some dispatchers that share a pool of targets.
+// fleet simulates dispatchers that share a pool of targets.
 type fleet struct {
 	t        *rapid.T
 	now      time.Duration
@@ -31,7 +32,7 @@
 	kills    map[Fingerprint]int
 	served   map[Fingerprint]int
 	refused  map[Fingerprint]int
-	// lossy loses notices between dispatchers.
+	// lossy makes notices between dispatchers get lost at random.
 	lossy bool
 }
 
@@ -55,7 +56,8 @@
 	}
 }
 
-// requestPermit asks all others at once, as the wiring does.
+// requestPermit requests a permit from all other dispatchers in one step, as package dispatch
+// does.
 func (f *fleet) requestPermit(d int, fp Fingerprint) {
 	granted := true
 	c := f.trackers[d].Case(fp, f.now)
@@ -70,7 +72,7 @@
 	f.trackers[d].PermitDecided(fp, f.now, granted, f.now)
 }
 
-// send offers one waiting request of a dispatcher to a target.
+// send sends the first waiting request of a dispatcher to a target if it is admitted.
 func (f *fleet) send(d, target int) {
 	if len(f.waiting[d]) == 0 || len(f.targets[target]) >= f.slots {
 		return
@@ -91,8 +93,8 @@
 	}
 }
 
-// finish ends the oldest request on a target: a killer takes the target along,
-// and what ran beside it is sent again.
+// finish ends the oldest request on a target. A crashing request kills the target, and all
+// requests that ran on it are sent again.
 func (f *fleet) finish(target int) {
 	if len(f.targets[target]) == 0 {
 		return
@@ -145,14 +147,15 @@
 	}
 	for fp := range f.refused {
 		if len(f.trackers) > 1 {
-			// Stated in the package comment: "alone" is not known then.
+			// As the package comment states, a dispatcher cannot know then whether a request ran
+			// alone.
 			break
 		}
-		require.LessOrEqual(f.t, fp, Fingerprint(lastCrashing), "an innocent request is quarantined")
+		require.LessOrEqual(f.t, fp, Fingerprint(lastCrashing), "a harmless request is quarantined")
 	}
 }
 
-// drain serves all that waits.
+// drain runs the fleet until all waiting requests are served or refused.
 func (f *fleet) drain() {
 	for range 400 {
 		f.now += 50 * time.Millisecond
@@ -164,13 +167,13 @@
 		}
 	}
 	for d := range f.waiting {
-		require.Empty(f.t, f.waiting[d], "requests that wait for ever")
+		require.Empty(f.t, f.waiting[d], "requests still waiting after the drain")
 	}
 }
 
-// A caller sends a request that kills its target again and again, among innocent
-// ones, through all entries; they all lead to one queue. It kills two targets at
-// most, and each innocent request is served, though it ran beside the killer.
+// Guards against a request that crashes target after target while its caller repeats it among
+// harmless ones, through all entries, which lead to one queue. It may kill two targets at most,
+// and every harmless request is served although it ran beside the crashing one.
 func TestCrashingRequestKillsAtMostTwoTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 1)
@@ -183,9 +186,9 @@
 	})
 }
 
-// Members views differ and several dispatchers hold the pool's queue; notices
-// between them are lost. Each may have the killer in flight before any target
-// died, no more.
+// Guards against more than n + 1 lost targets while views of the members differ, n dispatchers
+// hold the pool's queue, and notices between them may be lost. Each dispatcher may have the
+// crashing request in flight before the first target dies.
 func TestCrashingRequestIsBoundedWhileViewsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "dispatchers")
@@ -198,10 +201,9 @@
 	})
 }
 
-// Found by TestCrashingRequestKillsAtMostTwoTargets. Many identical
-// innocent requests are in flight; one of them runs beside a killer, another
-// beside a second killer. Two deaths were counted, and an ordinary request was
-// refused for hours.
+// Guards against a harmless request that is refused for hours. Many copies of it are in flight;
+// one runs beside a crashing request and another beside a second crashing one, and both deaths
+// counted against it. Found by TestCrashingRequestKillsAtMostTwoTargets.
 func TestHarmlessRequestBesideTwoCrashingOnesIsNotQuarantined(t *testing.T) {
 	tr := New("vm1")
 	tr.Started(3, testPool, "a", 0)
@@ -216,10 +218,11 @@
 	tr.PermitDecided(3, 3, true, 3)
 	require.Equal(t, Run, tr.Admit(3, testPool, "c", 3))
 	tr.Started(3, testPool, "c", 3)
-	require.NotNil(t, tr.Finished(3, testPool, "c", true, 4), "cleared")
+	require.NotNil(t, tr.Finished(3, testPool, "c", true, 4), "the suspect is cleared")
 	require.Equal(t, Run, tr.Admit(3, testPool, "c", 5))
 }
 
+// Guards against quarantines that never expire and against unbounded memory for cases.
 func TestQuarantineEndsAndCasesAreBounded(t *testing.T) {
 	tr := New("vm1")
 	for i := range 2 * maxCases {
@@ -231,10 +234,10 @@
 	require.Equal(t, Run, tr.Admit(1, testPool, "t", Lifetime+time.Hour))
 }
 
-// A target dies. The request that ran there is suspect; its repeat gets a permit
-// but finds the dead target, and its key moves to another dispatcher. Callers of
-// that key got nothing for 3 s. Cause: the first dispatcher kept the permit of a
-// run that had ended, or that never began, and denied it to the second.
+// Guards against a key without service for 3 s after its target died. The request that ran there
+// is a suspect; its repeat gets a permit but reaches only the dead target, and the key moves to
+// another dispatcher. The first dispatcher kept the permit of a run that had ended or never
+// started, and denied it to the second.
 func TestPermitFollowsKeyToAnotherDispatcher(t *testing.T) {
 	const fp, second = Fingerprint(7), time.Second
 	suspect := func() (old, next *Tracker) {
@@ -251,7 +254,7 @@
 	}
 	old, next := suspect()
 	old.Started(fp, testPool, "target1", second)
-	require.False(t, old.MayPermit(fp, testPool, "vm2", second), "it may be running")
+	require.False(t, old.MayPermit(fp, testPool, "vm2", second), "the run is in flight")
 	require.Nil(t, old.Finished(fp, testPool, "target1", false, second))
 	require.Equal(t, NeedsPermit, next.Admit(fp, testPool, "target2", second))
 	require.True(t, old.MayPermit(fp, testPool, "vm2", second), "the run has ended")
@@ -259,6 +262,6 @@
 	old, _ = suspect()
 	require.False(t, old.MayPermit(fp, testPool, "vm2", second))
 	later := second + heldPermitTimeout + time.Millisecond
-	require.True(t, old.MayPermit(fp, testPool, "vm2", later), "no run began")
-	require.NotEqual(t, Run, old.Admit(fp, testPool, "target1", later), "two would run it at once")
+	require.True(t, old.MayPermit(fp, testPool, "vm2", later), "no run started")
+	require.NotEqual(t, Run, old.Admit(fp, testPool, "target1", later), "both dispatchers would run it at once")
 }
--- a/internal/decide/quarantine/slope_test.go
+++ b/internal/decide/quarantine/slope_test.go
@@ -19,7 +19,7 @@
 	return tr
 }
 
-// BenchmarkSlopeProven is one request beside n fingerprints that were answered.
+// BenchmarkSlopeProven measures one request with n proven fingerprints in memory.
 func BenchmarkSlopeProven(b *testing.B) {
 	for _, n := range []int{1 << 12, 1 << 14, 1 << 16} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
