--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -62,8 +62,8 @@
 // Decision is whether a repeat may be sent, and what that was decided on.
 type Decision struct {
 	Granted bool
-	// Saved is how many repeats could be sent, Most how many can be saved.
-	Saved, Most float64
+	// Saved is how many repeats could be sent, MaxSaved how many can be saved.
+	Saved, MaxSaved float64
 	// Requests are those of the last window.
 	Requests float64
 	// VMs is over how many VMs the constant is divided; 0: not known.
@@ -74,7 +74,7 @@
 
 // String describes the decision in logs.
 func (d Decision) String() string {
-	return fmt.Sprintf("saved %.1f most %.1f requests %.0f vms %d age %dms", d.Saved, d.Most, d.Requests, d.VMs, d.Age.Milliseconds())
+	return fmt.Sprintf("saved %.1f most %.1f requests %.0f vms %d age %dms", d.Saved, d.MaxSaved, d.Requests, d.VMs, d.Age.Milliseconds())
 }
 
 // Request notes a request for the service.
@@ -98,14 +98,14 @@
 func (b *Budget) State(l Limit, vms int, now time.Duration) Decision {
 	b.advance(l, now)
 	d := Decision{Requests: sum(b.requests[:]), VMs: vms, Age: now - b.since}
-	d.Most = savedWindows * ratioUsed * l.Ratio * d.Requests
+	d.MaxSaved = savedWindows * ratioUsed * l.Ratio * d.Requests
 	if vms > 0 {
 		part := l.Slack / float64(vms)
-		d.Most += slackSaved * part
+		d.MaxSaved += slackSaved * part
 		b.saved += slackEarned * part * float64(now-b.settled) / float64(l.Window)
 	}
-	d.Most = max(d.Most, leastSaved)
-	b.settled, b.saved = now, min(b.saved, d.Most)
+	d.MaxSaved = max(d.MaxSaved, leastSaved)
+	b.settled, b.saved = now, min(b.saved, d.MaxSaved)
 	d.Saved = b.saved
 	d.Granted = d.Saved >= 1
 	return d
--- a/internal/gateway/repeating.go
+++ b/internal/gateway/repeating.go
@@ -86,7 +86,7 @@
 	for pause.For(ctx, reportEvery) {
 		for service, d := range g.budgetStates() {
 			metrics.GetOrRegisterGaugeFloat64("repeats."+service+".saved", g.registry).Update(d.Saved)
-			metrics.GetOrRegisterGaugeFloat64("repeats."+service+".most", g.registry).Update(d.Most)
+			metrics.GetOrRegisterGaugeFloat64("repeats."+service+".most", g.registry).Update(d.MaxSaved)
 			if total := g.repeatsOf(service); total != logged[service] {
 				logged[service] = total
 				g.logRepeats(service, d)
