--- a/internal/decide/repeats/bound_test.go
+++ b/internal/decide/repeats/bound_test.go
@@ -62,7 +62,7 @@
 			n++
 		}
 		for range n {
-			f.budgets[i].Request(f.limit, now)
+			f.budgets[i].AddRequest(f.limit, now)
 		}
 		seen += float64(n)
 		for fails && f.budgets[i].Repeat(f.limit, len(f.budgets), now).Granted {
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -77,8 +77,8 @@
 	return fmt.Sprintf("saved %.1f most %.1f requests %.0f vms %d age %dms", d.Saved, d.MaxSaved, d.Requests, d.VMs, d.Age.Milliseconds())
 }
 
-// Request notes a request for the service.
-func (b *Budget) Request(l Limit, now time.Duration) {
+// AddRequest notes a request for the service.
+func (b *Budget) AddRequest(l Limit, now time.Duration) {
 	b.advance(l, now)
 	b.requests[b.at%buckets]++
 	b.saved += ratioUsed * l.Ratio
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -22,7 +22,7 @@
 			now := time.Duration(i) * step
 			for vm := range budgets {
 				for range rapid.IntRange(0, 3).Draw(t, "requests") {
-					budgets[vm].Request(limit, now)
+					budgets[vm].AddRequest(limit, now)
 					requests[i]++
 				}
 				for range 4 {
@@ -63,7 +63,7 @@
 	require.False(t, b.Repeat(limit, 0, time.Hour).Granted)
 	require.False(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
 	for range 6 {
-		b.Request(limit, 2*time.Hour)
+		b.AddRequest(limit, 2*time.Hour)
 	}
 	require.True(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
 	require.False(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
@@ -73,13 +73,13 @@
 func TestBudgetSurvivesAChangeOfTheWindow(t *testing.T) {
 	var b Budget
 	for range 100 {
-		b.Request(limit, time.Hour)
+		b.AddRequest(limit, time.Hour)
 	}
 	for _, window := range []time.Duration{time.Second, 100 * time.Second} {
 		other := limit
 		other.Window = window
 		require.Zero(t, b.State(other, 8, time.Hour).Requests)
-		b.Request(other, time.Hour)
+		b.AddRequest(other, time.Hour)
 		require.EqualValues(t, 1, b.State(other, 8, time.Hour+window/2).Requests)
 		require.Zero(t, b.State(other, 8, time.Hour+2*window).Requests)
 	}
@@ -90,7 +90,7 @@
 	var b Budget
 	requests, repeats := 0, 0
 	for now := time.Duration(0); now < limit.Window; now += 10 * time.Millisecond {
-		b.Request(limit, now)
+		b.AddRequest(limit, now)
 		requests++
 		if b.Repeat(limit, 8, now).Granted {
 			repeats++
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -54,7 +54,7 @@
 func (g *Gateway) earnRepeats(services ...string) {
 	for _, service := range services {
 		for range 100 {
-			g.state.budgetLocked(service).Request(g.state.limit, g.clock.Now())
+			g.state.budgetLocked(service).AddRequest(g.state.limit, g.clock.Now())
 		}
 	}
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -11,7 +11,7 @@
 func (s *routingState) request(service string, priority int, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgetLocked(service).Request(s.limit, now)
+	s.budgetLocked(service).AddRequest(s.limit, now)
 	m := s.urgency[service]
 	if m == nil {
 		m = new(urgency.Meter)
