--- a/internal/decide/repeats/bound_test.go
+++ b/internal/decide/repeats/bound_test.go
@@ -65,7 +65,7 @@
 			f.budgets[i].AddRequest(f.limit, now)
 		}
 		seen += float64(n)
-		for fails && f.budgets[i].Repeat(f.limit, len(f.budgets), now).Granted {
+		for fails && f.budgets[i].TakeRepeat(f.limit, len(f.budgets), now).Granted {
 			again++
 		}
 	}
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -84,9 +84,9 @@
 	b.saved += ratioUsed * l.Ratio
 }
 
-// Repeat takes one repeat from the budget of a VM that is one of so many, if there is one.
+// TakeRepeat takes one repeat from the budget of a VM that is one of so many, if there is one.
 // A VM that does not know how many there are has no part of the constant.
-func (b *Budget) Repeat(l Limit, vms int, now time.Duration) Decision {
+func (b *Budget) TakeRepeat(l Limit, vms int, now time.Duration) Decision {
 	d := b.State(l, vms, now)
 	if d.Granted {
 		b.saved--
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -26,7 +26,7 @@
 					requests[i]++
 				}
 				for range 4 {
-					if budgets[vm].Repeat(limit, vms, now).Granted {
+					if budgets[vm].TakeRepeat(limit, vms, now).Granted {
 						repeats[i]++
 					}
 				}
@@ -44,7 +44,7 @@
 func TestTheConstantIsEarnedOverTheWindow(t *testing.T) {
 	var b Budget
 	repeats := func(now time.Duration) (n int) {
-		for b.Repeat(limit, 8, now).Granted {
+		for b.TakeRepeat(limit, 8, now).Granted {
 			n++
 		}
 		return n
@@ -60,13 +60,13 @@
 // Guards against VMs that each take the whole constant while they know no other.
 func TestAVMThatDoesNotKnowHowManyThereAreEarnsByRequestsOnly(t *testing.T) {
 	var b Budget
-	require.False(t, b.Repeat(limit, 0, time.Hour).Granted)
-	require.False(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
+	require.False(t, b.TakeRepeat(limit, 0, time.Hour).Granted)
+	require.False(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
 	for range 6 {
 		b.AddRequest(limit, 2*time.Hour)
 	}
-	require.True(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
-	require.False(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
+	require.True(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
+	require.False(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
 }
 
 // Guards against a change of the window that leaves requests of long ago in the count.
@@ -92,7 +92,7 @@
 	for now := time.Duration(0); now < limit.Window; now += 10 * time.Millisecond {
 		b.AddRequest(limit, now)
 		requests++
-		if b.Repeat(limit, 8, now).Granted {
+		if b.TakeRepeat(limit, 8, now).Granted {
 			repeats++
 		}
 	}
--- a/internal/gateway/repeating.go
+++ b/internal/gateway/repeating.go
@@ -36,7 +36,7 @@
 func (g *Gateway) repeat(c *call) repeats.Decision {
 	now, vms := g.clock.Now(), g.fleetSize()
 	g.state.mu.Lock()
-	d := g.state.budgetLocked(c.service).Repeat(g.state.limit, vms, now)
+	d := g.state.budgetLocked(c.service).TakeRepeat(g.state.limit, vms, now)
 	g.state.mu.Unlock()
 	if d.Granted {
 		g.repeatCounter(c.service, g.causeOf(c)).Inc(1)
