--- a/internal/decide/repeats/bound_test.go
+++ b/internal/decide/repeats/bound_test.go
@@ -26,12 +26,12 @@
 		limit: Limit{Ratio: 0.2, Slack: slack, Window: 10 * time.Second}, budgets: make([]Budget, vms),
 		weights: make([]float64, vms), random: rand.New(rand.NewPCG(seed, 1)),
 	}
-	f.move()
+	f.moveCallers()
 	return f
 }
 
-// move lets callers move to other VMs.
-func (f *fleet) move() {
+// moveCallers lets callers move to other VMs.
+func (f *fleet) moveCallers() {
 	total := 0.0
 	for i := range f.weights {
 		f.weights[i] = f.random.ExpFloat64()
@@ -51,8 +51,8 @@
 	}
 }
 
-// play lets so many requests come in a step; where they fail, each VM repeats all that it may.
-func (f *fleet) play(requests float64, fails bool) {
+// run lets so many requests come in a step; where they fail, each VM repeats all that it may.
+func (f *fleet) run(requests float64, fails bool) {
 	now := time.Duration(len(f.requests)+1) * step
 	seen, again := 0.0, 0.0
 	for i := range f.budgets {
@@ -87,10 +87,10 @@
 	return worst
 }
 
-// requireBoundInAStorm plays twelve calm seconds and a storm in which all requests fail, into
+// requireBoundDuringOverload plays twelve calm seconds and a storm in which all requests fail, into
 // which an event comes after a second, at three sizes of the fleet.
-func requireBoundInAStorm(t *testing.T, event func(f *fleet)) {
-	const stormAt, eventAt, steps = 120, 130, 250
+func requireBoundDuringOverload(t *testing.T, event func(f *fleet)) {
+	const overloadAt, eventAt, steps = 120, 130, 250
 	for _, vms := range []int{10, 100, 300} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			f := newFleet(vms, 2*float64(vms), 1)
@@ -98,7 +98,7 @@
 				if i == eventAt {
 					event(f)
 				}
-				f.play(10*float64(vms), i >= stormAt)
+				f.run(10*float64(vms), i >= overloadAt)
 			}
 			require.LessOrEqual(t, f.excess(), 0.0)
 		})
@@ -107,12 +107,12 @@
 
 // Guards against a restart that renews a budget whose savings are spent.
 func TestRepeatsStayWithinTheBoundWhenAllVMsRestart(t *testing.T) {
-	requireBoundInAStorm(t, func(f *fleet) { f.restart(1) })
+	requireBoundDuringOverload(t, func(f *fleet) { f.restart(1) })
 }
 
 // Guards against the same where callers move away from VMs that have spent what they saved.
 func TestRepeatsStayWithinTheBoundWhenCallersMove(t *testing.T) {
-	requireBoundInAStorm(t, func(f *fleet) {
+	requireBoundDuringOverload(t, func(f *fleet) {
 		vms := len(f.weights)
 		for i := range f.weights {
 			f.weights[i] = 0
@@ -142,9 +142,9 @@
 			case 0:
 				f.restart(rapid.SampledFrom([]float64{0.1, 0.5, 1}).Draw(t, "share"))
 			case 1:
-				f.move()
+				f.moveCallers()
 			}
-			f.play(rate, fails)
+			f.run(rate, fails)
 		}
 		require.LessOrEqual(t, f.excess(), 0.0)
 	})
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -28,20 +28,20 @@
 }
 
 const (
-	// ratioUsed is the part of the ratio that a request earns. The rest covers what is saved
+	// ratioEarned is the part of the ratio that a request earns. The rest covers what is saved
 	// of it, and requests near the edge of a window, which are counted in one by us and in
 	// the next by others.
-	ratioUsed = 0.9
-	// savedWindows is how much of a window's requests may be saved, as repeats.
-	savedWindows = 1.0 / buckets
-	// slackSaved and slackEarned are the parts of the constant that all VMs together may
+	ratioEarned = 0.9
+	// capacityWindows is how much of a window's requests may be saved, as repeats.
+	capacityWindows = 1.0 / bucketCount
+	// slackCapacity and slackRefill are the parts of the constant that all VMs together may
 	// save, and earn in each window without a request.
-	slackSaved, slackEarned = 0.7, 0.2
-	// leastSaved lets a VM save one repeat where its part of the constant is less. The sum
+	slackCapacity, slackRefill = 0.7, 0.2
+	// minCapacity lets a VM save one repeat where its part of the constant is less. The sum
 	// stays within the constant while there are at most 1-slackEarned VMs for each of it.
-	leastSaved = 1
-	// buckets divide the window over which requests are counted.
-	buckets = 20
+	minCapacity = 1
+	// bucketCount divide the window over which requests are counted.
+	bucketCount = 20
 )
 
 // Budget is that of one service at one VM, in one life of its process. It is not safe for
@@ -49,14 +49,14 @@
 type Budget struct {
 	// saved is how many repeats may be sent.
 	saved float64
-	// settled is until when the part of the constant was earned.
-	settled time.Duration
-	// requests counts those within the window by buckets of this width, the last of which is at.
-	requests [buckets]float64
-	width    time.Duration
-	at       int64
-	// since is when this VM first counted a request.
-	since time.Duration
+	// refilledAt is until when the part of the constant was earned.
+	refilledAt time.Duration
+	// requests counts those within the window by buckets of this width, the last of which is current.
+	requests    [bucketCount]float64
+	bucketWidth time.Duration
+	current     int64
+	// startedAt is when this VM first counted a request.
+	startedAt time.Duration
 }
 
 // Decision is whether a repeat may be sent, and what that was decided on.
@@ -80,8 +80,8 @@
 // AddRequest notes a request for the service.
 func (b *Budget) AddRequest(l Limit, now time.Duration) {
 	b.advance(l, now)
-	b.requests[b.at%buckets]++
-	b.saved += ratioUsed * l.Ratio
+	b.requests[b.current%bucketCount]++
+	b.saved += ratioEarned * l.Ratio
 }
 
 // TakeRepeat takes one repeat from the budget of a VM that is one of so many, if there is one.
@@ -97,15 +97,15 @@
 // State returns what a repeat would be decided on now.
 func (b *Budget) State(l Limit, vms int, now time.Duration) Decision {
 	b.advance(l, now)
-	d := Decision{Requests: sum(b.requests[:]), VMs: vms, Age: now - b.since}
-	d.MaxSaved = savedWindows * ratioUsed * l.Ratio * d.Requests
+	d := Decision{Requests: sum(b.requests[:]), VMs: vms, Age: now - b.startedAt}
+	d.MaxSaved = capacityWindows * ratioEarned * l.Ratio * d.Requests
 	if vms > 0 {
 		part := l.Slack / float64(vms)
-		d.MaxSaved += slackSaved * part
-		b.saved += slackEarned * part * float64(now-b.settled) / float64(l.Window)
+		d.MaxSaved += slackCapacity * part
+		b.saved += slackRefill * part * float64(now-b.refilledAt) / float64(l.Window)
 	}
-	d.MaxSaved = max(d.MaxSaved, leastSaved)
-	b.settled, b.saved = now, min(b.saved, d.MaxSaved)
+	d.MaxSaved = max(d.MaxSaved, minCapacity)
+	b.refilledAt, b.saved = now, min(b.saved, d.MaxSaved)
 	d.Saved = b.saved
 	d.Granted = d.Saved >= 1
 	return d
@@ -113,19 +113,19 @@
 
 // advance drops the requests that are out of the window.
 func (b *Budget) advance(l Limit, now time.Duration) {
-	width := l.Window / buckets
+	width := l.Window / bucketCount
 	at := int64(now / width)
 	switch {
-	case b.width == 0:
-		b.since, b.settled, b.width, b.at = now, now, width, at
-	case b.width != width:
-		b.requests, b.width, b.at = [buckets]float64{}, width, at
-	case at-b.at >= buckets:
-		b.requests, b.at = [buckets]float64{}, at
+	case b.bucketWidth == 0:
+		b.startedAt, b.refilledAt, b.bucketWidth, b.current = now, now, width, at
+	case b.bucketWidth != width:
+		b.requests, b.bucketWidth, b.current = [bucketCount]float64{}, width, at
+	case at-b.current >= bucketCount:
+		b.requests, b.current = [bucketCount]float64{}, at
 	}
-	for b.at < at {
-		b.at++
-		b.requests[b.at%buckets] = 0
+	for b.current < at {
+		b.current++
+		b.requests[b.current%bucketCount] = 0
 	}
 }
 
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against a constant that each new process gets anew: it is earned, and little of it saved.
-func TestTheConstantIsEarnedOverTheWindow(t *testing.T) {
+func TestSlackIsEarnedOverTheWindow(t *testing.T) {
 	var b Budget
 	repeats := func(now time.Duration) (n int) {
 		for b.TakeRepeat(limit, 8, now).Granted {
@@ -58,7 +58,7 @@
 }
 
 // Guards against VMs that each take the whole constant while they know no other.
-func TestAVMThatDoesNotKnowHowManyThereAreEarnsByRequestsOnly(t *testing.T) {
+func TestVMWithoutFleetSizeEarnsByRequestsOnly(t *testing.T) {
 	var b Budget
 	require.False(t, b.TakeRepeat(limit, 0, time.Hour).Granted)
 	require.False(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
@@ -70,7 +70,7 @@
 }
 
 // Guards against a change of the window that leaves requests of long ago in the count.
-func TestBudgetSurvivesAChangeOfTheWindow(t *testing.T) {
+func TestBudgetDropsOldRequestsWhenTheWindowChanges(t *testing.T) {
 	var b Budget
 	for range 100 {
 		b.AddRequest(limit, time.Hour)
