--- a/internal/decide/repeats/bound_test.go
+++ b/internal/decide/repeats/bound_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays the VMs that serve one service, in steps, and counts what the service sees.
+// fleet simulates, in steps, the VMs that forward requests to one service, and counts the
+// requests and repeats that the service receives.
 type fleet struct {
 	limit             Limit
 	budgets           []Budget
@@ -30,7 +31,7 @@
 	return f
 }
 
-// moveCallers lets callers move to other VMs.
+// moveCallers moves callers to other VMs.
 func (f *fleet) moveCallers() {
 	total := 0.0
 	for i := range f.weights {
@@ -42,7 +43,7 @@
 	}
 }
 
-// restart ends the processes of a share of the VMs and begins new ones.
+// restart restarts the processes of a share of the VMs.
 func (f *fleet) restart(share float64) {
 	for i := range f.budgets {
 		if f.random.Float64() < share {
@@ -51,7 +52,8 @@
 	}
 }
 
-// run lets so many requests come in a step; where they fail, each VM repeats all that it may.
+// run simulates one step in which the given number of requests arrive. If they fail, each VM
+// sends all repeats that its budget grants.
 func (f *fleet) run(requests float64, fails bool) {
 	now := time.Duration(len(f.requests)+1) * step
 	seen, again := 0.0, 0.0
@@ -72,8 +74,9 @@
 	f.requests, f.repeats = append(f.requests, seen), append(f.repeats, again)
 }
 
-// excess returns by how much the worst window is over the bound. Its requests are those of
-// the window, of the one before or of the one half a window before, whichever has most.
+// excess returns by how much the worst window exceeds the bound. The requests of a window are
+// those of the window itself, of the window before it, or of the window that starts half a window
+// earlier, whichever has the most.
 func (f *fleet) excess() float64 {
 	width := int(f.limit.Window / step)
 	in := func(counts []float64, from int) float64 {
@@ -87,8 +90,8 @@
 	return worst
 }
 
-// requireBoundDuringOverload plays twelve calm seconds and a storm in which all requests fail, into
-// which an event comes after a second, at three sizes of the fleet.
+// requireBoundDuringOverload simulates 12 s of normal operation, then 13 s in which all requests
+// fail, with an event 1 s after the failures begin, for three fleet sizes.
 func requireBoundDuringOverload(t *testing.T, event func(f *fleet)) {
 	const overloadAt, eventAt, steps = 120, 130, 250
 	for _, vms := range []int{10, 100, 300} {
@@ -105,12 +108,13 @@
 	}
 }
 
-// Guards against a restart that renews a budget whose savings are spent.
+// Guards against a restart that refills a budget whose saved repeats are spent.
 func TestRepeatsStayWithinTheBoundWhenAllVMsRestart(t *testing.T) {
 	requireBoundDuringOverload(t, func(f *fleet) { f.restart(1) })
 }
 
-// Guards against the same where callers move away from VMs that have spent what they saved.
+// Guards against repeats over the bound when callers move away from VMs that have spent their
+// saved repeats.
 func TestRepeatsStayWithinTheBoundWhenCallersMove(t *testing.T) {
 	requireBoundDuringOverload(t, func(f *fleet) {
 		vms := len(f.weights)
@@ -123,7 +127,8 @@
 	})
 }
 
-// Guards against any order of restarts, moves and surges with a window over the bound.
+// Guards against any sequence of restarts, moves of callers and surges in which a window exceeds
+// the bound.
 func TestNoOrderOfRestartsMovesAndSurgesExceedsTheBound(t *testing.T) {
 	const steps = 300
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/decide/repeats/repeats.go
+++ b/internal/decide/repeats/repeats.go
@@ -1,17 +1,16 @@
-// Package repeats bounds how often a service sees a request more than once.
+// Package repeats limits how many requests to a service are sent again.
 //
-// Load pattern: a third of a service's targets lose their answers, or all of them
-// are full and answer nothing. Each VM repeats what failed; without a bound that
-// all VMs keep together, the service gets a multiple of its load when it can do
-// least. The operators state the bound as a share of the requests and a constant,
-// over any window and over all VMs.
+// Load pattern: a third of a service's targets lose their answers, or all of them are full and
+// answer nothing. Each VM repeats what failed. Without a bound on all VMs together, the service
+// gets a multiple of its load when its capacity is lowest. Operators set the bound as a ratio of
+// the requests plus a constant (the slack), over any window and over all VMs.
 //
-// Each VM keeps a token bucket: a request earns a share of a repeat, and few repeats
-// can be saved. What a VM sends in a window is then at most what the window's own
-// requests have earned, and what was saved before. The sum over all VMs is within the
-// bound without a message, whichever processes end or start, and wherever callers move:
-// a new process has saved nothing, and one that ended cannot have spent more than it
-// earned and had saved.
+// Each VM keeps a token bucket: each request earns a fraction of a repeat, and the bucket's
+// capacity is small. In any window, a VM therefore sends at most the repeats that the requests
+// of the window have earned plus those saved before it. The sum over all VMs stays within the
+// bound without any messages between them, whichever processes stop or start and wherever
+// callers move: a new process has saved nothing, and a stopped one cannot have spent more than
+// it had earned and saved.
 package repeats
 
 import (
@@ -19,73 +18,74 @@
 	"time"
 )
 
-// Limit is what operators allow for one service over all VMs.
+// Limit is the bound that operators set on the repeats of one service over all VMs.
 type Limit struct {
-	// Ratio is the repeats allowed for each request, Slack those on top.
+	// Ratio is the number of repeats allowed per request, Slack the number allowed in addition.
 	Ratio, Slack float64
-	// Window is the span over which both are counted.
+	// Window is the time over which requests and repeats are counted.
 	Window time.Duration
 }
 
 const (
-	// ratioEarned is the part of the ratio that a request earns. The rest covers what is saved
-	// of it, and requests near the edge of a window, which are counted in one by us and in
-	// the next by others.
+	// ratioEarned is the fraction of Limit.Ratio that a request earns. The rest covers repeats
+	// that are saved for a later window, and requests near the edge of a window, which this VM
+	// may count in one window and an observer in the next.
 	ratioEarned = 0.9
-	// capacityWindows is how much of a window's requests may be saved, as repeats.
+	// capacityWindows is the fraction of a window whose earned repeats may be saved.
 	capacityWindows = 1.0 / bucketCount
-	// slackCapacity and slackRefill are the parts of the constant that all VMs together may
-	// save, and earn in each window without a request.
+	// slackCapacity and slackRefill are the fractions of Limit.Slack that all VMs together may
+	// save, and earn in each window independently of requests.
 	slackCapacity, slackRefill = 0.7, 0.2
-	// minCapacity lets a VM save one repeat where its part of the constant is less. The sum
-	// stays within the constant while there are at most 1-slackEarned VMs for each of it.
+	// minCapacity lets a VM save one repeat even if its capacity would be less. The sum over all
+	// VMs stays within the slack while there are at most (1-slackRefill)*Slack VMs.
 	minCapacity = 1
-	// bucketCount divide the window over which requests are counted.
+	// bucketCount is the number of buckets into which the window is divided to count requests.
 	bucketCount = 20
 )
 
-// Budget is that of one service at one VM, in one life of its process. It is not safe for
-// concurrent use.
+// Budget limits the repeats that one VM sends to one service. It starts empty with the process.
+// It is not safe for concurrent use.
 type Budget struct {
-	// saved is how many repeats may be sent.
+	// saved is the number of repeats that may be sent.
 	saved float64
-	// refilledAt is until when the part of the constant was earned.
+	// refilledAt is the time up to which this VM's part of the slack was added to saved.
 	refilledAt time.Duration
-	// requests counts those within the window by buckets of this width, the last of which is current.
+	// requests counts the requests of the window in buckets of bucketWidth; current is the number
+	// of the latest bucket, counted from time 0.
 	requests    [bucketCount]float64
 	bucketWidth time.Duration
 	current     int64
-	// startedAt is when this VM first counted a request.
+	// startedAt is when the budget was first used.
 	startedAt time.Duration
 }
 
-// Decision is whether a repeat may be sent, and what that was decided on.
+// Decision reports whether a repeat may be sent, and the state that the decision is based on.
 type Decision struct {
 	Granted bool
-	// Saved is how many repeats could be sent, MaxSaved how many can be saved.
+	// Saved is the number of saved repeats before this one, MaxSaved the capacity.
 	Saved, MaxSaved float64
-	// Requests are those of the last window.
+	// Requests is the number of requests in the last window.
 	Requests float64
-	// VMs is over how many VMs the constant is divided; 0: not known.
+	// VMs is the number of VMs that share the slack, or 0 if it is not known.
 	VMs int
-	// Age is for how long the budget has counted.
+	// Age is the time since the budget was first used.
 	Age time.Duration
 }
 
-// String describes the decision in logs.
+// String formats the decision for logs.
 func (d Decision) String() string {
 	return fmt.Sprintf("saved %.1f most %.1f requests %.0f vms %d age %dms", d.Saved, d.MaxSaved, d.Requests, d.VMs, d.Age.Milliseconds())
 }
 
-// AddRequest notes a request for the service.
+// AddRequest counts a request to the service.
 func (b *Budget) AddRequest(l Limit, now time.Duration) {
 	b.advance(l, now)
 	b.requests[b.current%bucketCount]++
 	b.saved += ratioEarned * l.Ratio
 }
 
-// TakeRepeat takes one repeat from the budget of a VM that is one of so many, if there is one.
-// A VM that does not know how many there are has no part of the constant.
+// TakeRepeat takes one repeat from the budget if one is saved. vms is the number of VMs that
+// share the slack. If it is 0, the number is not known and this VM gets no part of the slack.
 func (b *Budget) TakeRepeat(l Limit, vms int, now time.Duration) Decision {
 	d := b.State(l, vms, now)
 	if d.Granted {
@@ -94,7 +94,7 @@
 	return d
 }
 
-// State returns what a repeat would be decided on now.
+// State returns the decision that TakeRepeat would make now, without taking a repeat.
 func (b *Budget) State(l Limit, vms int, now time.Duration) Decision {
 	b.advance(l, now)
 	d := Decision{Requests: sum(b.requests[:]), VMs: vms, Age: now - b.startedAt}
@@ -111,7 +111,7 @@
 	return d
 }
 
-// advance drops the requests that are out of the window.
+// advance drops the requests that have left the window, and all of them if the window changed.
 func (b *Budget) advance(l Limit, now time.Duration) {
 	width := l.Window / bucketCount
 	at := int64(now / width)
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -12,7 +12,7 @@
 
 var limit = Limit{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 
-// Guards against VMs that together repeat more than operators allow for all.
+// Guards against VMs that together send more repeats than the operators' limit for all VMs.
 func TestNoWindowExceedsTheLimitOfAllVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const vms, steps, step = 8, 400, 100 * time.Millisecond
@@ -40,7 +40,8 @@
 	})
 }
 
-// Guards against a constant that each new process gets anew: it is earned, and little of it saved.
+// Guards against a new process that gets its part of the slack at once: the slack must be earned
+// over the window, and little of it may be saved.
 func TestSlackIsEarnedOverTheWindow(t *testing.T) {
 	var b Budget
 	repeats := func(now time.Duration) (n int) {
@@ -57,7 +58,7 @@
 	require.Zero(t, repeats(2*time.Hour))
 }
 
-// Guards against VMs that each take the whole constant while they know no other.
+// Guards against VMs that each use the whole slack while they do not know the number of VMs.
 func TestVMWithoutFleetSizeEarnsByRequestsOnly(t *testing.T) {
 	var b Budget
 	require.False(t, b.TakeRepeat(limit, 0, time.Hour).Granted)
@@ -69,7 +70,7 @@
 	require.False(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
 }
 
-// Guards against a change of the window that leaves requests of long ago in the count.
+// Guards against old requests that stay in the count after the window was changed.
 func TestBudgetDropsOldRequestsWhenTheWindowChanges(t *testing.T) {
 	var b Budget
 	for range 100 {
@@ -85,7 +86,7 @@
 	}
 }
 
-// Guards against callers that are refused though the bound leaves room for their repeat.
+// Guards against refused repeats for which the bound still leaves room.
 func TestNearlyAllOfTheRatioIsUsed(t *testing.T) {
 	var b Budget
 	requests, repeats := 0, 0
