--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -50,8 +50,8 @@
 	Again Verdict = iota
 	// Refuse: answer that it was not run.
 	Refuse
-	// Lose: answer that it may have run.
-	Lose
+	// AnswerUnknown: answer that it may have run.
+	AnswerUnknown
 )
 
 const (
@@ -90,7 +90,7 @@
 		return Again
 	}
 	if mayHaveRun {
-		return Lose
+		return AnswerUnknown
 	}
 	return Refuse
 }
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -28,7 +28,7 @@
 				ran = ran || out == Lost || out == Abandoned
 				require.False(t, ran && v == Refuse, "refused and may have run")
 				require.False(t, ran && !idempotent && v == Again, "repeated and may have run")
-				require.False(t, !ran && v == Lose, "unknown and did not run")
+				require.False(t, !ran && v == AnswerUnknown, "unknown and did not run")
 				if v != Again {
 					break
 				}
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -282,7 +282,7 @@
 		Outcome: out, Idempotent: j.request.Idempotent, Count: j.attempts,
 		Left: j.deadline.Sub(now), Service: q.patience(j), Ran: j.lostBefore,
 	})
-	if verdict == retry.Lose {
+	if verdict == retry.AnswerUnknown {
 		q.lose(j, out, err)
 		return
 	}
