--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -67,8 +67,8 @@
 // NewBudget returns a full budget.
 func NewBudget() *Budget { return &Budget{tokens: reserve} }
 
-// Fresh notes a request that is sent for the first time.
-func (b *Budget) Fresh() { b.tokens = min(b.tokens+share, reserve) }
+// AddRequest notes a request that is sent for the first time.
+func (b *Budget) AddRequest() { b.tokens = min(b.tokens+share, reserve) }
 
 // Attempt describes the failed attempt.
 type Attempt struct {
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -16,7 +16,7 @@
 		b := NewBudget()
 		fresh, paid := 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
-			b.Fresh()
+			b.AddRequest()
 			fresh++
 			idempotent, ran := rapid.Bool().Draw(t, "idempotent"), false
 			for count := 1; ; count++ {
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -139,7 +139,7 @@
 	j.attempts++
 	q.counts.sent.Inc(1)
 	if j.attempts == 1 {
-		q.budget.Fresh()
+		q.budget.AddRequest()
 	} else {
 		q.counts.repeated.Inc(1)
 	}
