--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -74,8 +74,8 @@
 type Attempt struct {
 	Outcome    Outcome
 	Idempotent bool
-	// Count is how often the request was sent, this attempt included.
-	Count int
+	// Attempts is how often the request was sent, this attempt included.
+	Attempts int
 	// Left is the time to the deadline, Service the expected service time.
 	Left, Service time.Duration
 	// Ran says that an earlier attempt may have run.
@@ -99,7 +99,7 @@
 	switch {
 	case mayHaveRun && !a.Idempotent, a.Outcome == Abandoned:
 		return false
-	case a.Count >= maxAttempts, a.Left < a.Service:
+	case a.Attempts >= maxAttempts, a.Left < a.Service:
 		return false
 	case a.Outcome == Unsent || a.Outcome == NotServing:
 		return true
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -22,7 +22,7 @@
 			for count := 1; ; count++ {
 				out := Outcome(rapid.IntRange(int(Shed), int(Abandoned)).Draw(t, "outcome"))
 				v := b.Decide(Attempt{
-					Outcome: out, Idempotent: idempotent, Count: count, Ran: ran,
+					Outcome: out, Idempotent: idempotent, Attempts: count, Ran: ran,
 					Left: time.Second, Service: 10 * time.Millisecond,
 				})
 				ran = ran || out == Lost || out == Abandoned
@@ -43,7 +43,7 @@
 }
 
 func TestNoRepeatPastTheDeadline(t *testing.T) {
-	a := Attempt{Outcome: Unsent, Count: 1, Left: 9 * time.Millisecond, Service: 10 * time.Millisecond}
+	a := Attempt{Outcome: Unsent, Attempts: 1, Left: 9 * time.Millisecond, Service: 10 * time.Millisecond}
 	require.Equal(t, Refuse, NewBudget().Decide(a))
 	a.Left = 11 * time.Millisecond
 	require.Equal(t, Again, NewBudget().Decide(a))
