--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -76,8 +76,8 @@
 	Idempotent bool
 	// Attempts is how often the request was sent, this attempt included.
 	Attempts int
-	// Remaining is the time to the deadline, Service the expected service time.
-	Remaining, Service time.Duration
+	// Remaining is the time to the deadline, ServiceTime the expected service time.
+	Remaining, ServiceTime time.Duration
 	// Ran says that an earlier attempt may have run.
 	Ran bool
 }
@@ -99,7 +99,7 @@
 	switch {
 	case mayHaveRun && !a.Idempotent, a.Outcome == Abandoned:
 		return false
-	case a.Attempts >= maxAttempts, a.Remaining < a.Service:
+	case a.Attempts >= maxAttempts, a.Remaining < a.ServiceTime:
 		return false
 	case a.Outcome == Unsent || a.Outcome == NotServing:
 		return true
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -23,7 +23,7 @@
 				out := Outcome(rapid.IntRange(int(Shed), int(Abandoned)).Draw(t, "outcome"))
 				v := b.Decide(Attempt{
 					Outcome: out, Idempotent: idempotent, Attempts: count, Ran: ran,
-					Remaining: time.Second, Service: 10 * time.Millisecond,
+					Remaining: time.Second, ServiceTime: 10 * time.Millisecond,
 				})
 				ran = ran || out == Lost || out == Abandoned
 				require.False(t, ran && v == Refuse, "refused and may have run")
@@ -43,7 +43,7 @@
 }
 
 func TestNoRepeatPastTheDeadline(t *testing.T) {
-	a := Attempt{Outcome: Unsent, Attempts: 1, Remaining: 9 * time.Millisecond, Service: 10 * time.Millisecond}
+	a := Attempt{Outcome: Unsent, Attempts: 1, Remaining: 9 * time.Millisecond, ServiceTime: 10 * time.Millisecond}
 	require.Equal(t, Refuse, NewBudget().Decide(a))
 	a.Remaining = 11 * time.Millisecond
 	require.Equal(t, Again, NewBudget().Decide(a))
