--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -78,14 +78,14 @@
 	Attempts int
 	// Remaining is the time to the deadline, ServiceTime the expected service time.
 	Remaining, ServiceTime time.Duration
-	// Ran says that an earlier attempt may have run.
-	Ran bool
+	// MayHaveRun says that an earlier attempt may have run.
+	MayHaveRun bool
 }
 
 // Decide returns the verdict and takes a token where a repeat costs one.
 // Ran is carried over all attempts: the last one may not have run while the first has.
 func (b *Budget) Decide(a Attempt) Verdict {
-	mayHaveRun := a.Ran || a.Outcome.ran()
+	mayHaveRun := a.MayHaveRun || a.Outcome.ran()
 	if b.again(a, mayHaveRun) {
 		return Again
 	}
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -22,7 +22,7 @@
 			for count := 1; ; count++ {
 				out := Outcome(rapid.IntRange(int(Shed), int(Abandoned)).Draw(t, "outcome"))
 				v := b.Decide(Attempt{
-					Outcome: out, Idempotent: idempotent, Attempts: count, Ran: ran,
+					Outcome: out, Idempotent: idempotent, Attempts: count, MayHaveRun: ran,
 					Remaining: time.Second, ServiceTime: 10 * time.Millisecond,
 				})
 				ran = ran || out == Lost || out == Abandoned
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -280,7 +280,7 @@
 func (q *queue) again(j *job, out retry.Outcome, err error, now time.Time) {
 	verdict := q.budget.Decide(retry.Attempt{
 		Outcome: out, Idempotent: j.request.Idempotent, Attempts: j.attempts,
-		Remaining: j.deadline.Sub(now), ServiceTime: q.patience(j), Ran: j.lostBefore,
+		Remaining: j.deadline.Sub(now), ServiceTime: q.patience(j), MayHaveRun: j.lostBefore,
 	})
 	if verdict == retry.AnswerUnknown {
 		q.lose(j, out, err)
