--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -38,16 +38,16 @@
 	Abandoned
 )
 
-// ran reports whether the request may have run.
-func (o Outcome) ran() bool { return o == Lost || o == Abandoned }
+// mayHaveRun reports whether the request may have run.
+func (o Outcome) mayHaveRun() bool { return o == Lost || o == Abandoned }
 
 // Verdict is what to do.
 type Verdict int
 
 // The verdicts.
 const (
-	// Again: send it again.
-	Again Verdict = iota
+	// Repeat: send it again.
+	Repeat Verdict = iota
 	// Refuse: answer that it was not run.
 	Refuse
 	// AnswerUnknown: answer that it may have run.
@@ -55,9 +55,9 @@
 )
 
 const (
-	share       = 0.09
-	reserve     = 10
-	maxAttempts = 8
+	tokensPerRequest = 0.09
+	maxTokens        = 10
+	maxAttempts      = 8
 )
 
 // Budget is the account of repeats of one queue. It is not safe for concurrent
@@ -65,10 +65,10 @@
 type Budget struct{ tokens float64 }
 
 // NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{tokens: reserve} }
+func NewBudget() *Budget { return &Budget{tokens: maxTokens} }
 
 // AddRequest notes a request that is sent for the first time.
-func (b *Budget) AddRequest() { b.tokens = min(b.tokens+share, reserve) }
+func (b *Budget) AddRequest() { b.tokens = min(b.tokens+tokensPerRequest, maxTokens) }
 
 // Attempt describes the failed attempt.
 type Attempt struct {
@@ -85,9 +85,9 @@
 // Decide returns the verdict and takes a token where a repeat costs one.
 // Ran is carried over all attempts: the last one may not have run while the first has.
 func (b *Budget) Decide(a Attempt) Verdict {
-	mayHaveRun := a.MayHaveRun || a.Outcome.ran()
-	if b.again(a, mayHaveRun) {
-		return Again
+	mayHaveRun := a.MayHaveRun || a.Outcome.mayHaveRun()
+	if b.takeRepeat(a, mayHaveRun) {
+		return Repeat
 	}
 	if mayHaveRun {
 		return AnswerUnknown
@@ -95,7 +95,7 @@
 	return Refuse
 }
 
-func (b *Budget) again(a Attempt, mayHaveRun bool) bool {
+func (b *Budget) takeRepeat(a Attempt, mayHaveRun bool) bool {
 	switch {
 	case mayHaveRun && !a.Idempotent, a.Outcome == Abandoned:
 		return false
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -11,7 +11,7 @@
 // Over any sequence of outcomes: a request that may have run is never refused as
 // not run and never repeated unless it is idempotent, and paid repeats stay under a
 // tenth of the fresh requests plus the reserve.
-func TestVerdictsKeepThePromises(t *testing.T) {
+func TestVerdictsMatchWhetherTheRequestMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget()
 		fresh, paid := 0, 0
@@ -27,9 +27,9 @@
 				})
 				ran = ran || out == Lost || out == Abandoned
 				require.False(t, ran && v == Refuse, "refused and may have run")
-				require.False(t, ran && !idempotent && v == Again, "repeated and may have run")
+				require.False(t, ran && !idempotent && v == Repeat, "repeated and may have run")
 				require.False(t, !ran && v == AnswerUnknown, "unknown and did not run")
-				if v != Again {
+				if v != Repeat {
 					break
 				}
 				require.Less(t, count, maxAttempts)
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		require.LessOrEqual(t, float64(paid), share*float64(fresh)+reserve)
+		require.LessOrEqual(t, float64(paid), tokensPerRequest*float64(fresh)+maxTokens)
 	})
 }
 
@@ -46,5 +46,5 @@
 	a := Attempt{Outcome: Unsent, Attempts: 1, Remaining: 9 * time.Millisecond, ServiceTime: 10 * time.Millisecond}
 	require.Equal(t, Refuse, NewBudget().Decide(a))
 	a.Remaining = 11 * time.Millisecond
-	require.Equal(t, Again, NewBudget().Decide(a))
+	require.Equal(t, Repeat, NewBudget().Decide(a))
 }
