--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Over any sequence of outcomes: a request that may have run is never refused as
-// not run and never repeated unless it is idempotent, and paid repeats stay under a
-// tenth of the fresh requests plus the reserve.
+// Guards against wrong answers and second runs over any sequence of outcomes: a request that may
+// have run is never refused as not run, and is repeated only if it is idempotent. Repeats that
+// take a token stay within tokensPerRequest for each new request plus maxTokens.
 func TestVerdictsMatchWhetherTheRequestMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget()
@@ -26,9 +26,9 @@
 					Remaining: time.Second, ServiceTime: 10 * time.Millisecond,
 				})
 				ran = ran || out == Lost || out == Abandoned
-				require.False(t, ran && v == Refuse, "refused and may have run")
-				require.False(t, ran && !idempotent && v == Repeat, "repeated and may have run")
-				require.False(t, !ran && v == AnswerUnknown, "unknown and did not run")
+				require.False(t, ran && v == Refuse, "refused as not run, but may have run")
+				require.False(t, ran && !idempotent && v == Repeat, "not idempotent and repeated, but may have run")
+				require.False(t, !ran && v == AnswerUnknown, "answered as unknown, but did not run")
 				if v != Repeat {
 					break
 				}
@@ -42,6 +42,7 @@
 	})
 }
 
+// Guards against repeats that cannot end before the deadline.
 func TestNoRepeatPastTheDeadline(t *testing.T) {
 	a := Attempt{Outcome: Unsent, Attempts: 1, Remaining: 9 * time.Millisecond, ServiceTime: 10 * time.Millisecond}
 	require.Equal(t, Refuse, NewBudget().Decide(a))
