--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -34,7 +34,7 @@
 	}
 	same := p.known && p.member == sender && m.alive(p)
 	p.member, p.known = sender, true
-	p.heard.Heard(m.clock.Now())
+	p.heard.RecordHeartbeat(m.clock.Now())
 	m.mu.Unlock()
 	if !same {
 		m.changed()
--- a/internal/decide/suspicion/suspicion.go
+++ b/internal/decide/suspicion/suspicion.go
@@ -40,8 +40,8 @@
 	current, previous time.Duration
 }
 
-// Heard notes a sign of life.
-func (p *Peer) Heard(now time.Duration) {
+// RecordHeartbeat notes a sign of life.
+func (p *Peer) RecordHeartbeat(now time.Duration) {
 	p.turn(now)
 	if gap := now - p.heard; p.spoke && gap <= Ceiling {
 		p.current = max(p.current, gap)
--- a/internal/decide/suspicion/suspicion_test.go
+++ b/internal/decide/suspicion/suspicion_test.go
@@ -14,7 +14,7 @@
 
 func beat(p *Peer, from, every time.Duration, n int) time.Duration {
 	for i := range n {
-		p.Heard(from + time.Duration(i)*every)
+		p.RecordHeartbeat(from + time.Duration(i)*every)
 	}
 	return from + time.Duration(n-1)*every
 }
