--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -68,7 +68,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
-		p.heard.Forgive(after)
+		p.heard.ExcludePause(after)
 	}
 }
 
--- a/internal/decide/suspicion/suspicion.go
+++ b/internal/decide/suspicion/suspicion.go
@@ -61,8 +61,8 @@
 	p.turned = now
 }
 
-// Forgive moves the last sign of life: nobody listened meanwhile.
-func (p *Peer) Forgive(pause time.Duration) { p.heard += pause }
+// ExcludePause moves the last sign of life: nobody listened meanwhile.
+func (p *Peer) ExcludePause(pause time.Duration) { p.heard += pause }
 
 // Bound returns how long the peer may be silent, at least the setting.
 func (p *Peer) Bound(setting time.Duration) time.Duration {
--- a/internal/decide/suspicion/suspicion_test.go
+++ b/internal/decide/suspicion/suspicion_test.go
@@ -57,7 +57,7 @@
 func TestOwnPauseIsNotSilence(t *testing.T) {
 	var p Peer
 	last := beat(&p, time.Second, 95*ms, 10)
-	p.Forgive(5 * time.Second)
+	p.ExcludePause(5 * time.Second)
 	require.True(t, p.Alive(last+5*time.Second+50*ms, setting))
 }
 
