--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -14,7 +14,7 @@
 type peerState struct {
 	listed platform.VM
 	member wire.Member
-	heard  suspicion.Peer
+	heard  suspicion.Detector
 	known  bool
 	// source and state name the grants received from the peer.
 	source string
--- a/internal/decide/suspicion/suspicion.go
+++ b/internal/decide/suspicion/suspicion.go
@@ -30,9 +30,9 @@
 	Ceiling = 600 * time.Millisecond
 )
 
-// Peer is what is known of one peer's heartbeats. The zero value has heard
+// Detector is what is known of one peer's heartbeats. The zero value has heard
 // nothing. It is not safe for concurrent use.
-type Peer struct {
+type Detector struct {
 	heard  time.Duration
 	spoke  bool
 	turned time.Duration
@@ -41,36 +41,36 @@
 }
 
 // RecordHeartbeat notes a sign of life.
-func (p *Peer) RecordHeartbeat(now time.Duration) {
-	p.turn(now)
-	if gap := now - p.heard; p.spoke && gap <= Ceiling {
-		p.current = max(p.current, gap)
+func (d *Detector) RecordHeartbeat(now time.Duration) {
+	d.turn(now)
+	if gap := now - d.heard; d.spoke && gap <= Ceiling {
+		d.current = max(d.current, gap)
 	}
-	p.heard, p.spoke = now, true
+	d.heard, d.spoke = now, true
 }
 
-func (p *Peer) turn(now time.Duration) {
-	passed := now - p.turned
+func (d *Detector) turn(now time.Duration) {
+	passed := now - d.turned
 	if passed < window {
 		return
 	}
-	p.previous, p.current = p.current, 0
+	d.previous, d.current = d.current, 0
 	if passed >= 2*window {
-		p.previous = 0
+		d.previous = 0
 	}
-	p.turned = now
+	d.turned = now
 }
 
 // ExcludePause moves the last sign of life: nobody listened meanwhile.
-func (p *Peer) ExcludePause(pause time.Duration) { p.heard += pause }
+func (d *Detector) ExcludePause(pause time.Duration) { d.heard += pause }
 
 // Bound returns how long the peer may be silent, at least the setting.
-func (p *Peer) Bound(setting time.Duration) time.Duration {
-	longest := max(p.current, p.previous)
+func (d *Detector) Bound(setting time.Duration) time.Duration {
+	longest := max(d.current, d.previous)
 	return max(setting, min(slack*longest, Ceiling))
 }
 
 // Alive reports whether the peer's silence is within its bound.
-func (p *Peer) Alive(now, setting time.Duration) bool {
-	return p.spoke && now-p.heard < p.Bound(setting)
+func (d *Detector) Alive(now, setting time.Duration) bool {
+	return d.spoke && now-d.heard < d.Bound(setting)
 }
--- a/internal/decide/suspicion/suspicion_test.go
+++ b/internal/decide/suspicion/suspicion_test.go
@@ -12,9 +12,9 @@
 	setting = 190 * ms
 )
 
-func beat(p *Peer, from, every time.Duration, n int) time.Duration {
+func beat(d *Detector, from, every time.Duration, n int) time.Duration {
 	for i := range n {
-		p.RecordHeartbeat(from + time.Duration(i)*every)
+		d.RecordHeartbeat(from + time.Duration(i)*every)
 	}
 	return from + time.Duration(n-1)*every
 }
@@ -23,45 +23,45 @@
 // was taken for a loss, the next grantor took over, and the records were rewritten
 // five times a second. Only the first gap may count as a loss.
 func TestGapsUnderLoadAreLearned(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 95*ms, 20)
-	require.False(t, p.Alive(last+200*ms, setting), "the first gap is a loss for all that is known")
-	last = beat(&p, last+250*ms, 250*ms, 10)
-	require.True(t, p.Alive(last+450*ms, setting))
-	require.False(t, p.Alive(last+500*ms, setting), "a true loss is still noticed")
+	var d Detector
+	last := beat(&d, time.Second, 95*ms, 20)
+	require.False(t, d.Alive(last+200*ms, setting), "the first gap is a loss for all that is known")
+	last = beat(&d, last+250*ms, 250*ms, 10)
+	require.True(t, d.Alive(last+450*ms, setting))
+	require.False(t, d.Alive(last+500*ms, setting), "a true loss is still noticed")
 }
 
 func TestGapsAreForgotten(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 250*ms, 10)
-	last = beat(&p, last+95*ms, 95*ms, 330)
-	require.Equal(t, setting, p.Bound(setting))
-	require.False(t, p.Alive(last+setting, setting))
+	var d Detector
+	last := beat(&d, time.Second, 250*ms, 10)
+	last = beat(&d, last+95*ms, 95*ms, 330)
+	require.Equal(t, setting, d.Bound(setting))
+	require.False(t, d.Alive(last+setting, setting))
 }
 
 // A VM was cut off for a minute. Its return must not make its next loss take a
 // minute to notice.
 func TestTrueLossesTeachNothing(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 95*ms, 10)
-	beat(&p, last+time.Minute, 95*ms, 10)
-	require.Equal(t, setting, p.Bound(setting))
+	var d Detector
+	last := beat(&d, time.Second, 95*ms, 10)
+	beat(&d, last+time.Minute, 95*ms, 10)
+	require.Equal(t, setting, d.Bound(setting))
 }
 
 func TestBoundStaysBelowCeiling(t *testing.T) {
-	var p Peer
-	beat(&p, time.Second, 590*ms, 10)
-	require.Equal(t, Ceiling, p.Bound(setting))
+	var d Detector
+	beat(&d, time.Second, 590*ms, 10)
+	require.Equal(t, Ceiling, d.Bound(setting))
 }
 
 func TestOwnPauseIsNotSilence(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 95*ms, 10)
-	p.ExcludePause(5 * time.Second)
-	require.True(t, p.Alive(last+5*time.Second+50*ms, setting))
+	var d Detector
+	last := beat(&d, time.Second, 95*ms, 10)
+	d.ExcludePause(5 * time.Second)
+	require.True(t, d.Alive(last+5*time.Second+50*ms, setting))
 }
 
 func TestPeerNeverHeardIsNotAlive(t *testing.T) {
-	var p Peer
-	require.False(t, p.Alive(0, setting))
+	var d Detector
+	require.False(t, d.Alive(0, setting))
 }
