--- a/internal/decide/suspicion/suspicion.go
+++ b/internal/decide/suspicion/suspicion.go
@@ -22,35 +22,35 @@
 import "time"
 
 const (
-	// slack multiplies the longest gap.
-	slack = 2
+	// gapFactor multiplies the longest gap.
+	gapFactor = 2
 	// window is half of the memory for gaps.
 	window = 15 * time.Second
-	// Ceiling is the longest silence that is forgiven.
-	Ceiling = 600 * time.Millisecond
+	// MaxTimeout is the longest silence that is forgiven.
+	MaxTimeout = 600 * time.Millisecond
 )
 
 // Detector is what is known of one peer's heartbeats. The zero value has heard
 // nothing. It is not safe for concurrent use.
 type Detector struct {
-	heard  time.Duration
-	spoke  bool
-	turned time.Duration
+	lastHeartbeat time.Duration
+	seen          bool
+	windowStart   time.Duration
 	// current and previous are the longest gaps of two windows.
 	current, previous time.Duration
 }
 
 // RecordHeartbeat notes a sign of life.
 func (d *Detector) RecordHeartbeat(now time.Duration) {
-	d.turn(now)
-	if gap := now - d.heard; d.spoke && gap <= Ceiling {
+	d.rotateWindows(now)
+	if gap := now - d.lastHeartbeat; d.seen && gap <= MaxTimeout {
 		d.current = max(d.current, gap)
 	}
-	d.heard, d.spoke = now, true
+	d.lastHeartbeat, d.seen = now, true
 }
 
-func (d *Detector) turn(now time.Duration) {
-	passed := now - d.turned
+func (d *Detector) rotateWindows(now time.Duration) {
+	passed := now - d.windowStart
 	if passed < window {
 		return
 	}
@@ -58,19 +58,19 @@
 	if passed >= 2*window {
 		d.previous = 0
 	}
-	d.turned = now
+	d.windowStart = now
 }
 
 // ExcludePause moves the last sign of life: nobody listened meanwhile.
-func (d *Detector) ExcludePause(pause time.Duration) { d.heard += pause }
+func (d *Detector) ExcludePause(pause time.Duration) { d.lastHeartbeat += pause }
 
-// Bound returns how long the peer may be silent, at least the setting.
-func (d *Detector) Bound(setting time.Duration) time.Duration {
+// Timeout returns how long the peer may be silent, at least the setting.
+func (d *Detector) Timeout(setting time.Duration) time.Duration {
 	longest := max(d.current, d.previous)
-	return max(setting, min(slack*longest, Ceiling))
+	return max(setting, min(gapFactor*longest, MaxTimeout))
 }
 
 // Alive reports whether the peer's silence is within its bound.
 func (d *Detector) Alive(now, setting time.Duration) bool {
-	return d.spoke && now-d.heard < d.Bound(setting)
+	return d.seen && now-d.lastHeartbeat < d.Timeout(setting)
 }
