--- a/internal/decide/suspicion/suspicion_test.go
+++ b/internal/decide/suspicion/suspicion_test.go
@@ -12,6 +12,7 @@
 	setting = 190 * ms
 )
 
+// sendHeartbeats records n heartbeats and returns the time of the last one.
 func sendHeartbeats(d *Detector, from, every time.Duration, n int) time.Duration {
 	for i := range n {
 		d.RecordHeartbeat(from + time.Duration(i)*every)
@@ -19,18 +20,19 @@
 	return from + time.Duration(n-1)*every
 }
 
-// Keys are served late on a busy evening. Heartbeats come with gaps of 250 ms; each
-// was taken for a loss, the next grantor took over, and the records were rewritten
-// five times a second. Only the first gap may count as a loss.
+// Guards against a takeover at each gap under load, which serves keys late: heartbeats arrived
+// with gaps of 250 ms, each gap was taken for a failure, the next grantor took over, and the
+// records were rewritten five times a second. Only the first gap may count as a failure.
 func TestGapsUnderLoadRaiseTheTimeout(t *testing.T) {
 	var d Detector
 	last := sendHeartbeats(&d, time.Second, 95*ms, 20)
-	require.False(t, d.Alive(last+200*ms, setting), "the first gap is a loss for all that is known")
+	require.False(t, d.Alive(last+200*ms, setting), "the first gap cannot be told from a failure")
 	last = sendHeartbeats(&d, last+250*ms, 250*ms, 10)
 	require.True(t, d.Alive(last+450*ms, setting))
-	require.False(t, d.Alive(last+500*ms, setting), "a true loss is still noticed")
+	require.False(t, d.Alive(last+500*ms, setting), "a real failure is still detected")
 }
 
+// Guards against a timeout that stays raised after the load has ended.
 func TestGapsExpire(t *testing.T) {
 	var d Detector
 	last := sendHeartbeats(&d, time.Second, 250*ms, 10)
@@ -39,8 +41,8 @@
 	require.False(t, d.Alive(last+setting, setting))
 }
 
-// A VM was cut off for a minute. Its return must not make its next loss take a
-// minute to notice.
+// Guards against a slow detection after a real failure: a VM was partitioned for a minute, and
+// its next failure would then take a minute or longer to detect.
 func TestTrueLossDoesNotRaiseTheTimeout(t *testing.T) {
 	var d Detector
 	last := sendHeartbeats(&d, time.Second, 95*ms, 10)
@@ -48,12 +50,14 @@
 	require.Equal(t, setting, d.Timeout(setting))
 }
 
+// Guards against long gaps that raise the timeout beyond MaxTimeout.
 func TestTimeoutStaysBelowMaximum(t *testing.T) {
 	var d Detector
 	sendHeartbeats(&d, time.Second, 590*ms, 10)
 	require.Equal(t, MaxTimeout, d.Timeout(setting))
 }
 
+// Guards against a resumed process that considers all its peers failed.
 func TestOwnPauseDoesNotCountAsSilence(t *testing.T) {
 	var d Detector
 	last := sendHeartbeats(&d, time.Second, 95*ms, 10)
@@ -61,6 +65,7 @@
 	require.True(t, d.Alive(last+5*time.Second+50*ms, setting))
 }
 
+// Guards against a peer that counts as alive before its first heartbeat.
 func TestPeerWithoutHeartbeatIsNotAlive(t *testing.T) {
 	var d Detector
 	require.False(t, d.Alive(0, setting))
