--- a/internal/decide/idempotency/idempotency.go
+++ b/internal/decide/idempotency/idempotency.go
@@ -28,7 +28,7 @@
 // fleet; a repeat after Retention; a VM that returns under its name with old state (VMs of this
 // system keep none).
 //
-// Sizing: repeats come within the caller's time-out (60 s by default) or from a retry of its
+// Sizing: repeats come within the caller's timeout (60 s by default) or from a retry of its
 // job, within minutes. A record takes about 300 bytes without its answer, so the limits below
 // keep the memory of a VM under 90 MB.
 package idempotency
