--- a/internal/decide/sources/sources.go
+++ b/internal/decide/sources/sources.go
@@ -10,13 +10,13 @@
 
 // Sources are the VMs that are known to have a version. They are not safe for concurrent use.
 type Sources struct {
-	names []string
-	tries map[string]int
+	vms      []string
+	attempts map[string]int
 }
 
 // New returns sources that begin with the given VM.
 func New(first string) *Sources {
-	s := &Sources{tries: make(map[string]int)}
+	s := &Sources{attempts: make(map[string]int)}
 	s.Add(first)
 	return s
 }
@@ -24,25 +24,25 @@
 // Add adds VMs that have the version.
 func (s *Sources) Add(vms ...string) {
 	for _, vm := range vms {
-		if !slices.Contains(s.names, vm) {
-			s.names = append(s.names, vm)
+		if !slices.Contains(s.vms, vm) {
+			s.vms = append(s.vms, vm)
 		}
 	}
 }
 
 // Next returns one of the VMs that were tried least, and counts the try. draw returns a
 // number from 0 to n-1: VMs that know the same sources must not all choose the same.
-func (s *Sources) Next(draw func(n int) int) string {
+func (s *Sources) Next(randIntN func(n int) int) string {
 	var least []string
-	for _, vm := range s.names {
+	for _, vm := range s.vms {
 		switch {
-		case len(least) == 0 || s.tries[vm] < s.tries[least[0]]:
+		case len(least) == 0 || s.attempts[vm] < s.attempts[least[0]]:
 			least = []string{vm}
-		case s.tries[vm] == s.tries[least[0]]:
+		case s.attempts[vm] == s.attempts[least[0]]:
 			least = append(least, vm)
 		}
 	}
-	vm := least[draw(len(least))]
-	s.tries[vm]++
+	vm := least[randIntN(len(least))]
+	s.attempts[vm]++
 	return vm
 }
--- a/internal/decide/sources/sources_test.go
+++ b/internal/decide/sources/sources_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSourceThatWasTriedLeastComesNext(t *testing.T) {
+func TestLeastTriedSourceComesNext(t *testing.T) {
 	s := New("a")
 	first := func(int) int { return 0 }
 	require.Equal(t, "a", s.Next(first))
@@ -22,8 +22,8 @@
 
 // Guards against VMs that all wait for the few that had a version first.
 func TestSourcesMultiplyWithEachRound(t *testing.T) {
-	const vms, servedInARound = 89, 7
-	draw := rand.New(rand.NewPCG(1, 2)).IntN
+	const vms, transfersPerRound = 89, 7
+	randIntN := rand.New(rand.NewPCG(1, 2)).IntN
 	fetching := make([]*Sources, vms)
 	for i := range fetching {
 		fetching[i] = New("0")
@@ -33,14 +33,14 @@
 	for ; len(served) < vms; rounds++ {
 		left := make(map[string]int)
 		for vm := range served {
-			left[vm] = servedInARound
+			left[vm] = transfersPerRound
 		}
 		for i, s := range fetching {
 			name := string(rune('0' + i))
 			if _, has := served[name]; has {
 				continue
 			}
-			source := s.Next(draw)
+			source := s.Next(randIntN)
 			if left[source] == 0 {
 				s.Add(served[source]...)
 				continue
