--- a/internal/decide/sources/sources_test.go
+++ b/internal/decide/sources/sources_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against a fetch that asks the same VM again while others were tried less often.
 func TestLeastTriedSourceComesNext(t *testing.T) {
 	s := New("a")
 	first := func(int) int { return 0 }
 	require.Equal(t, "a", s.Next(first))
-	require.Equal(t, "a", s.Next(first), "the only one")
+	require.Equal(t, "a", s.Next(first), "the only source")
 	s.Add("b", "a", "c")
 	require.Equal(t, "b", s.Next(first))
 	require.Equal(t, "c", s.Next(first))
@@ -20,7 +21,8 @@
 	require.Equal(t, "a", s.Next(first))
 }
 
-// Guards against VMs that all wait for the few that had a version first.
+// Guards against VMs that all wait for the few that had a version first: with seven transfers per
+// VM and round, all 89 VMs must have the version after five rounds.
 func TestSourcesMultiplyWithEachRound(t *testing.T) {
 	const vms, transfersPerRound = 89, 7
 	randIntN := rand.New(rand.NewPCG(1, 2)).IntN
