--- a/internal/decide/idempotency/recordstore.go
+++ b/internal/decide/idempotency/recordstore.go
@@ -105,7 +105,7 @@
 }
 
 // askedAllVMs reports whether this VM has recovered its records or has merged a copy from
-// every other listed VM since it started.
+// every other listed VM since its list of VMs last changed.
 //
 // No claim is stored before that. A VM may hand over its records and restart under the same
 // name. If it then stored a claim and was lost, a VM that still has the old handoff would
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -2,7 +2,7 @@
 //
 // Load pattern and failure: one request crashes each target that runs it, and its caller or a
 // retry sends it again, through several entries at once. Without the quarantine, one such
-// request takes down a whole pool, and with each target all requests that run beside it fail.
+// request takes down a whole pool, and all requests that run beside it are lost each time.
 //
 // A request is identified by its fingerprint, a hash of its content. A fingerprint is unproven
 // until a request with it was answered, and at most one request with an unproven fingerprint is
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -11,12 +11,12 @@
 // a token. A request is not repeated if the remaining time is shorter than its service time.
 //
 // Reasons for the values: 0.09 tokens per request and a bucket of 10 limit the extra load to a
-// tenth whatever fails (with 0.1 and the same bucket, the load was 1.102 times the requests over
-// 9 s), and still repair nearly all failures if one in ten targets fails. 10 tokens repair the
-// loss of a target with 3 slots under little traffic too. Refusals that cost the target nothing
-// (no connection, leaving, not the owner of the key) take no token: the target is not chosen
-// again afterwards, so they cannot repeat endlessly. The limit of 8 attempts applies to them
-// as well.
+// tenth whatever fails (with 0.1 and the same bucket, the load was 1.102 times the normal load
+// over 9 s), and still repair nearly all failures if one in ten targets fails. 10 tokens repair
+// the loss of a target with 3 slots under little traffic too. Refusals that cost the target
+// nothing (no connection, leaving, not the owner of the key) take no token: the target is not
+// chosen again afterwards, so they cannot repeat endlessly. The limit of 8 attempts applies to
+// them as well.
 package retry
 
 import "time"
