--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -14,7 +14,7 @@
 type peerState struct {
 	listed platform.VM
 	member wire.Member
-	heard  suspicion.Peer
+	heard  suspicion.Detector
 	known  bool
 	// source and state name the grants received from the peer.
 	source string
@@ -34,7 +34,7 @@
 	}
 	same := p.known && p.member == sender && m.alive(p)
 	p.member, p.known = sender, true
-	p.heard.Heard(m.clock.Now())
+	p.heard.RecordHeartbeat(m.clock.Now())
 	m.mu.Unlock()
 	if !same {
 		m.changed()
@@ -68,7 +68,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
-		p.heard.Forgive(after)
+		p.heard.ExcludePause(after)
 	}
 }
 
--- a/internal/decide/quarantine/cases.go
+++ b/internal/decide/quarantine/cases.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Notice merges a case that another dispatcher reports.
-func (w *Watch) Notice(c Case, now time.Duration) {
-	f := w.open(c.Fingerprint, now)
-	f.Deaths = union(f.Deaths, c.Deaths)
-	f.Cleared = union(f.Cleared, c.Cleared)
-	f.changed = max(f.changed, now-c.Age)
-	if f.Suspect() {
-		delete(w.proven, c.Fingerprint)
+// MergeCase merges a case reported by another dispatcher.
+func (t *Tracker) MergeCase(c Case, now time.Duration) {
+	cs := t.openCase(c.Fingerprint, now)
+	cs.Deaths = union(cs.Deaths, c.Deaths)
+	cs.Cleared = union(cs.Cleared, c.Cleared)
+	cs.changed = max(cs.changed, now-c.Age)
+	if cs.Suspect() {
+		delete(t.proven, c.Fingerprint)
 		return
 	}
-	// A permit for deaths that are cleared is none for the next death.
-	f.permit = permitNone
+	// A permit granted for deaths that are now cleared is not valid for the next death.
+	cs.permit = permitNone
 }
 
+// union appends to a the elements of b that it lacks.
 func union[T comparable](a, b []T) []T {
 	for _, s := range b {
 		if !slices.Contains(a, s) {
@@ -28,100 +29,104 @@
 	return a
 }
 
-// Case returns what is known of a fingerprint.
-func (w *Watch) Case(fp Fingerprint, now time.Duration) Case {
-	f := w.current(fp, now)
-	if f == nil {
+// Case returns the case of a fingerprint, which is empty if none is known.
+func (t *Tracker) Case(fp Fingerprint, now time.Duration) Case {
+	cs := t.current(fp, now)
+	if cs == nil {
 		return Case{Fingerprint: fp}
 	}
-	c := f.Case
-	c.Age = now - f.changed
+	c := cs.Case
+	c.Age = now - cs.changed
 	return c
 }
 
-// Cases returns all cases in force, for a dispatcher that has just started.
-func (w *Watch) Cases(now time.Duration) []Case {
+// Cases returns all current cases, for a dispatcher that has just started.
+func (t *Tracker) Cases(now time.Duration) []Case {
 	var out []Case
-	for fp := range w.cases {
-		if w.current(fp, now) != nil {
-			out = append(out, w.Case(fp, now))
+	for fp := range t.cases {
+		if t.current(fp, now) != nil {
+			out = append(out, t.Case(fp, now))
 		}
 	}
 	return out
 }
 
-// current returns the case of a fingerprint, nil once it is over. A permit that
-// nobody used is given back.
-func (w *Watch) current(fp Fingerprint, now time.Duration) *permitFile {
-	f := w.cases[fp]
-	if f == nil {
+// current returns the case of a fingerprint, or nil if there is none or it has expired. It
+// releases a permit that was not used within permitTimeout.
+func (t *Tracker) current(fp Fingerprint, now time.Duration) *caseState {
+	cs := t.cases[fp]
+	if cs == nil {
 		return nil
 	}
-	life := suspicion
-	if f.Quarantined() {
-		life = Lifetime
+	ttl := suspectTTL
+	if cs.Quarantined() {
+		ttl = Lifetime
 	}
-	if now-f.changed > life {
-		delete(w.cases, fp)
+	if now-cs.changed > ttl {
+		delete(t.cases, fp)
 		return nil
 	}
-	if f.permit != permitNone && w.running[fp] == 0 && now-f.asked > permitLife {
-		f.permit = permitNone
+	if cs.permit != permitNone && t.running[fp] == 0 && now-cs.permitSince > permitTimeout {
+		cs.permit = permitNone
 	}
-	return f
+	return cs
 }
 
-func (w *Watch) open(fp Fingerprint, now time.Duration) *permitFile {
-	if f := w.current(fp, now); f != nil {
-		return f
+// openCase returns the case of a fingerprint and creates it if there is none.
+func (t *Tracker) openCase(fp Fingerprint, now time.Duration) *caseState {
+	if cs := t.current(fp, now); cs != nil {
+		return cs
 	}
-	if len(w.cases) >= maxCases {
-		w.dropOldest()
+	if len(t.cases) >= maxCases {
+		t.dropOldest()
 	}
-	f := &permitFile{Case: Case{Fingerprint: fp}, changed: now}
-	w.cases[fp] = f
-	return f
+	cs := &caseState{Case: Case{Fingerprint: fp}, changed: now}
+	t.cases[fp] = cs
+	return cs
 }
 
-// dropOldest forgets the oldest suspect, or the oldest case of all.
-func (w *Watch) dropOldest() {
-	var victim *permitFile
-	for _, f := range w.cases {
-		quarantined := f.Quarantined()
+// dropOldest evicts the oldest suspect or, if all cases are quarantined, the oldest case.
+func (t *Tracker) dropOldest() {
+	var oldest *caseState
+	for _, cs := range t.cases {
+		quarantined := cs.Quarantined()
 		switch {
-		case victim == nil, !quarantined && victim.Quarantined():
-			victim = f
-		case quarantined == victim.Quarantined() && f.changed < victim.changed:
-			victim = f
+		case oldest == nil, !quarantined && oldest.Quarantined():
+			oldest = cs
+		case quarantined == oldest.Quarantined() && cs.changed < oldest.changed:
+			oldest = cs
 		}
 	}
-	delete(w.cases, victim.Fingerprint)
+	delete(t.cases, oldest.Fingerprint)
 }
 
-func (w *Watch) isProven(fp Fingerprint) bool {
-	_, ok := w.proven[fp]
+func (t *Tracker) isProven(fp Fingerprint) bool {
+	_, ok := t.proven[fp]
 	return ok
 }
 
-func (w *Watch) prove(fp Fingerprint) {
-	if len(w.proven) >= maxProven {
+// markProven records that a fingerprint was answered, and first drops half of the proven
+// fingerprints if there are maxProven.
+func (t *Tracker) markProven(fp Fingerprint) {
+	if len(t.proven) >= maxProven {
 		n := 0
-		for old := range w.proven {
+		for old := range t.proven {
 			if n++; n > maxProven/2 {
 				break
 			}
-			delete(w.proven, old)
+			delete(t.proven, old)
 		}
 	}
-	w.proven[fp] = struct{}{}
+	t.proven[fp] = struct{}{}
 }
 
-func (w *Watch) load(pool, target string) *targetRuns {
+// targetState returns the state of a target and creates it if there is none.
+func (t *Tracker) targetState(pool, target string) *targetState {
 	name := pool + "/" + target
-	l := w.targets[name]
-	if l == nil {
-		l = &targetRuns{}
-		w.targets[name] = l
+	ts := t.targets[name]
+	if ts == nil {
+		ts = &targetState{}
+		t.targets[name] = ts
 	}
-	return l
+	return ts
 }
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -11,103 +11,105 @@
 
 const testPool = "booth"
 
-// killer and the fingerprints above it; all others are innocent.
-const killers = 2
+// lastCrashing is the highest fingerprint whose requests crash their target; all above it are
+// harmless.
+const lastCrashing = 2
 
-// run is a request on a target.
+// run is a request that a dispatcher sent to a target.
 type run struct {
 	fp         Fingerprint
 	dispatcher int
 }
 
-// fleet is some dispatchers that share a pool of targets.
+// fleet simulates dispatchers that share a pool of targets.
 type fleet struct {
-	t       *rapid.T
-	now     time.Duration
-	watches []*Watch
-	waiting [][]Fingerprint
-	targets [][]run
-	slots   int
-	kills   map[Fingerprint]int
-	served  map[Fingerprint]int
-	refused map[Fingerprint]int
-	// lossy loses notices between dispatchers.
+	t        *rapid.T
+	now      time.Duration
+	trackers []*Tracker
+	waiting  [][]Fingerprint
+	targets  [][]run
+	slots    int
+	kills    map[Fingerprint]int
+	served   map[Fingerprint]int
+	refused  map[Fingerprint]int
+	// lossy makes notices between dispatchers get lost at random.
 	lossy bool
 }
 
 func newFleet(t *rapid.T, dispatchers int) *fleet {
 	f := &fleet{t: t, slots: 3, kills: make(map[Fingerprint]int), served: make(map[Fingerprint]int), refused: make(map[Fingerprint]int)}
 	for i := range dispatchers {
-		f.watches = append(f.watches, New(fmt.Sprintf("vm%d", i)))
+		f.trackers = append(f.trackers, New(fmt.Sprintf("vm%d", i)))
 		f.waiting = append(f.waiting, nil)
 	}
 	f.targets = make([][]run, 4)
 	return f
 }
 
-func name(target int) string { return fmt.Sprintf("target%d", target) }
+func targetName(target int) string { return fmt.Sprintf("target%d", target) }
 
-func (f *fleet) tell(from int, c *Case) {
-	for i, w := range f.watches {
+func (f *fleet) notify(from int, c *Case) {
+	for i, tr := range f.trackers {
 		if i != from && c != nil && !(f.lossy && rapid.Bool().Draw(f.t, "lost")) {
-			w.Notice(*c, f.now)
+			tr.MergeCase(*c, f.now)
 		}
 	}
 }
 
-// permit asks all others at once, as the wiring does.
-func (f *fleet) permit(d int, fp Fingerprint) {
+// requestPermit requests a permit from all other dispatchers in one step, as package dispatch
+// does.
+func (f *fleet) requestPermit(d int, fp Fingerprint) {
 	granted := true
-	c := f.watches[d].Case(fp, f.now)
-	for i, w := range f.watches {
+	c := f.trackers[d].Case(fp, f.now)
+	for i, tr := range f.trackers {
 		if i == d {
 			continue
 		}
-		w.Notice(c, f.now)
-		granted = w.MayPermit(fp, testPool, f.watches[d].vm, f.now) && granted
-		f.watches[d].Notice(w.Case(fp, f.now), f.now)
+		tr.MergeCase(c, f.now)
+		granted = tr.MayPermit(fp, testPool, f.trackers[d].vm, f.now) && granted
+		f.trackers[d].MergeCase(tr.Case(fp, f.now), f.now)
 	}
-	f.watches[d].Permit(fp, f.now, granted, f.now)
+	f.trackers[d].PermitDecided(fp, f.now, granted, f.now)
 }
 
-// send offers one waiting request of a dispatcher to a target.
+// send sends the first waiting request of a dispatcher to a target if it is admitted.
 func (f *fleet) send(d, target int) {
 	if len(f.waiting[d]) == 0 || len(f.targets[target]) >= f.slots {
 		return
 	}
 	fp := f.waiting[d][0]
 	f.waiting[d] = f.waiting[d][1:]
-	switch f.watches[d].Admit(fp, testPool, name(target), f.now) {
+	switch f.trackers[d].Admit(fp, testPool, targetName(target), f.now) {
 	case Run:
-		f.watches[d].Started(fp, testPool, name(target), f.now)
+		f.trackers[d].Started(fp, testPool, targetName(target), f.now)
 		f.targets[target] = append(f.targets[target], run{fp, d})
 	case Refuse:
 		f.refused[fp]++
 	case NeedsPermit:
-		f.permit(d, fp)
+		f.requestPermit(d, fp)
 		f.waiting[d] = append(f.waiting[d], fp)
 	default:
 		f.waiting[d] = append(f.waiting[d], fp)
 	}
 }
 
-// finish ends the oldest request on a target: a killer takes the target along,
-// and what ran beside it is sent again.
+// finish ends the oldest request on a target. A crashing request kills the target, and all
+// requests that ran on it are sent again.
 func (f *fleet) finish(target int) {
 	if len(f.targets[target]) == 0 {
 		return
 	}
 	r := f.targets[target][0]
-	if r.fp > killers {
+	if r.fp > lastCrashing {
 		f.targets[target] = f.targets[target][1:]
 		f.served[r.fp]++
-		f.tell(r.dispatcher, f.watches[r.dispatcher].Finished(r.fp, testPool, name(target), true, f.now))
+		f.notify(r.dispatcher, f.trackers[r.dispatcher].Finished(r.fp, testPool, targetName(target), true, f.now))
 		return
 	}
 	f.kills[r.fp]++
 	lost := f.targets[target]
 	f.targets[target] = nil
-	for d, w := range f.watches {
+	for d, tr := range f.trackers {
 		var running []Fingerprint
 		for _, x := range lost {
 			if x.dispatcher == d {
@@ -118,14 +120,14 @@
 		if len(running) == 0 {
 			continue
 		}
-		for _, c := range w.Died(running, testPool, name(target), f.now) {
-			f.tell(d, &c)
+		for _, c := range tr.Died(running, testPool, targetName(target), f.now) {
+			f.notify(d, &c)
 		}
 	}
 }
 
 func (f *fleet) step() {
-	d := rapid.IntRange(0, len(f.watches)-1).Draw(f.t, "dispatcher")
+	d := rapid.IntRange(0, len(f.trackers)-1).Draw(f.t, "dispatcher")
 	target := rapid.IntRange(0, len(f.targets)-1).Draw(f.t, "target")
 	switch rapid.IntRange(0, 5).Draw(f.t, "action") {
 	case 0:
@@ -140,38 +142,39 @@
 }
 
 func (f *fleet) check(bound int) {
-	for fp := Fingerprint(1); fp <= killers; fp++ {
+	for fp := Fingerprint(1); fp <= lastCrashing; fp++ {
 		require.LessOrEqual(f.t, f.kills[fp], bound, "targets killed by %d", fp)
 	}
 	for fp := range f.refused {
-		if len(f.watches) > 1 {
-			// Stated in the package comment: "alone" is not known then.
+		if len(f.trackers) > 1 {
+			// As the package comment states, a dispatcher cannot know then whether a request ran
+			// alone.
 			break
 		}
-		require.LessOrEqual(f.t, fp, Fingerprint(killers), "an innocent request is quarantined")
+		require.LessOrEqual(f.t, fp, Fingerprint(lastCrashing), "a harmless request is quarantined")
 	}
 }
 
-// drain serves all that waits.
+// drain runs the fleet until all waiting requests are served or refused.
 func (f *fleet) drain() {
 	for range 400 {
 		f.now += 50 * time.Millisecond
 		for target := range f.targets {
-			for d := range f.watches {
+			for d := range f.trackers {
 				f.send(d, target)
 			}
 			f.finish(target)
 		}
 	}
 	for d := range f.waiting {
-		require.Empty(f.t, f.waiting[d], "requests that wait for ever")
+		require.Empty(f.t, f.waiting[d], "requests still waiting after the drain")
 	}
 }
 
-// A caller sends a request that kills its target again and again, among innocent
-// ones, through all entries; they all lead to one queue. It kills two targets at
-// most, and each innocent request is served, though it ran beside the killer.
-func TestKillerTakesTwoTargetsAndInnocentsAreServed(t *testing.T) {
+// Guards against a request that crashes target after target while its caller repeats it among
+// harmless ones, through all entries, which lead to one queue. It may kill two targets at most,
+// and every harmless request is served although it ran beside the crashing one.
+func TestCrashingRequestKillsAtMostTwoTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 1)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
@@ -183,10 +186,10 @@
 	})
 }
 
-// Members views differ and several dispatchers hold the pool's queue; notices
-// between them are lost. Each may have the killer in flight before any target
-// died, no more.
-func TestKillerIsBoundedWhileViewsDiffer(t *testing.T) {
+// Guards against more than n + 1 lost targets while views of the members differ, n dispatchers
+// hold the pool's queue, and notices between them may be lost. Each dispatcher may have the
+// crashing request in flight before the first target dies.
+func TestCrashingRequestIsBoundedWhileViewsDiffer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "dispatchers")
 		f := newFleet(t, n)
@@ -198,67 +201,67 @@
 	})
 }
 
-// Found by TestKillerTakesTwoTargetsAndInnocentsAreServed. Many identical
-// innocent requests are in flight; one of them runs beside a killer, another
-// beside a second killer. Two deaths were counted, and an ordinary request was
-// refused for hours.
-func TestInnocentBesideTwoKillersIsNotQuarantined(t *testing.T) {
-	w := New("vm1")
-	w.Started(3, testPool, "a", 0)
-	w.Finished(3, testPool, "a", true, 0)
+// Guards against a harmless request that is refused for hours. Many copies of it are in flight;
+// one runs beside a crashing request and another beside a second crashing one, and both deaths
+// counted against it. Found by TestCrashingRequestKillsAtMostTwoTargets.
+func TestHarmlessRequestBesideTwoCrashingOnesIsNotQuarantined(t *testing.T) {
+	tr := New("vm1")
+	tr.Started(3, testPool, "a", 0)
+	tr.Finished(3, testPool, "a", true, 0)
 	for i, target := range []string{"a", "b"} {
-		w.Started(Fingerprint(i+1), testPool, target, 0)
-		w.Started(3, testPool, target, 0)
+		tr.Started(Fingerprint(i+1), testPool, target, 0)
+		tr.Started(3, testPool, target, 0)
 	}
-	w.Died([]Fingerprint{1, 3}, testPool, "a", 1)
-	w.Died([]Fingerprint{2, 3}, testPool, "b", 2)
-	require.Equal(t, NeedsPermit, w.Admit(3, testPool, "c", 3))
-	w.Permit(3, 3, true, 3)
-	require.Equal(t, Run, w.Admit(3, testPool, "c", 3))
-	w.Started(3, testPool, "c", 3)
-	require.NotNil(t, w.Finished(3, testPool, "c", true, 4), "cleared")
-	require.Equal(t, Run, w.Admit(3, testPool, "c", 5))
+	tr.Died([]Fingerprint{1, 3}, testPool, "a", 1)
+	tr.Died([]Fingerprint{2, 3}, testPool, "b", 2)
+	require.Equal(t, NeedsPermit, tr.Admit(3, testPool, "c", 3))
+	tr.PermitDecided(3, 3, true, 3)
+	require.Equal(t, Run, tr.Admit(3, testPool, "c", 3))
+	tr.Started(3, testPool, "c", 3)
+	require.NotNil(t, tr.Finished(3, testPool, "c", true, 4), "the suspect is cleared")
+	require.Equal(t, Run, tr.Admit(3, testPool, "c", 5))
 }
 
+// Guards against quarantines that never expire and against unbounded memory for cases.
 func TestQuarantineEndsAndCasesAreBounded(t *testing.T) {
-	w := New("vm1")
+	tr := New("vm1")
 	for i := range 2 * maxCases {
-		w.Notice(Case{Fingerprint: Fingerprint(i + 10), Deaths: []Death{{Name: "a"}}}, time.Duration(i))
+		tr.MergeCase(Case{Fingerprint: Fingerprint(i + 10), Deaths: []Death{{Name: "a"}}}, time.Duration(i))
 	}
-	require.LessOrEqual(t, len(w.cases), maxCases)
-	w.Notice(Case{Fingerprint: 1, Deaths: []Death{{Name: "a"}, {Name: "b", Alone: true, Proof: true}}}, 0)
-	require.Equal(t, Refuse, w.Admit(1, testPool, "t", time.Hour))
-	require.Equal(t, Run, w.Admit(1, testPool, "t", Lifetime+time.Hour))
+	require.LessOrEqual(t, len(tr.cases), maxCases)
+	tr.MergeCase(Case{Fingerprint: 1, Deaths: []Death{{Name: "a"}, {Name: "b", Alone: true, Proof: true}}}, 0)
+	require.Equal(t, Refuse, tr.Admit(1, testPool, "t", time.Hour))
+	require.Equal(t, Run, tr.Admit(1, testPool, "t", Lifetime+time.Hour))
 }
 
-// A target dies. The request that ran there is suspect; its repeat gets a permit
-// but finds the dead target, and its key moves to another dispatcher. Callers of
-// that key got nothing for 3 s. Cause: the first dispatcher kept the permit of a
-// run that had ended, or that never began, and denied it to the second.
-func TestPermitGoesWithTheKey(t *testing.T) {
+// Guards against a key without service for 3 s after its target died. The request that ran there
+// is a suspect; its repeat gets a permit but reaches only the dead target, and the key moves to
+// another dispatcher. The first dispatcher kept the permit of a run that had ended or never
+// started, and denied it to the second.
+func TestPermitFollowsKeyToAnotherDispatcher(t *testing.T) {
 	const fp, second = Fingerprint(7), time.Second
-	suspect := func() (old, next *Watch) {
+	suspect := func() (old, next *Tracker) {
 		old, next = New("vm1"), New("vm2")
 		old.Started(fp, testPool, "target1", second)
 		for _, c := range old.Died([]Fingerprint{fp}, testPool, "target1", second) {
-			next.Notice(c, second)
+			next.MergeCase(c, second)
 		}
 		require.Equal(t, NeedsPermit, old.Admit(fp, testPool, "target1", second))
 		require.True(t, next.MayPermit(fp, testPool, "vm1", second))
-		old.Permit(fp, second, true, second)
+		old.PermitDecided(fp, second, true, second)
 		require.Equal(t, Run, old.Admit(fp, testPool, "target1", second))
 		return old, next
 	}
 	old, next := suspect()
 	old.Started(fp, testPool, "target1", second)
-	require.False(t, old.MayPermit(fp, testPool, "vm2", second), "it may be running")
+	require.False(t, old.MayPermit(fp, testPool, "vm2", second), "the run is in flight")
 	require.Nil(t, old.Finished(fp, testPool, "target1", false, second))
 	require.Equal(t, NeedsPermit, next.Admit(fp, testPool, "target2", second))
 	require.True(t, old.MayPermit(fp, testPool, "vm2", second), "the run has ended")
 
 	old, _ = suspect()
 	require.False(t, old.MayPermit(fp, testPool, "vm2", second))
-	later := second + unusedPermit + time.Millisecond
-	require.True(t, old.MayPermit(fp, testPool, "vm2", later), "no run began")
-	require.NotEqual(t, Run, old.Admit(fp, testPool, "target1", later), "two would run it at once")
+	later := second + heldPermitTimeout + time.Millisecond
+	require.True(t, old.MayPermit(fp, testPool, "vm2", later), "no run started")
+	require.NotEqual(t, Run, old.Admit(fp, testPool, "target1", later), "both dispatchers would run it at once")
 }
--- a/internal/decide/repeats/bound_test.go
+++ b/internal/decide/repeats/bound_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays the VMs that serve one service, in steps, and counts what the service sees.
+// fleet simulates, in steps, the VMs that forward requests to one service, and counts the
+// requests and repeats that the service receives.
 type fleet struct {
 	limit             Limit
 	budgets           []Budget
@@ -26,12 +27,12 @@
 		limit: Limit{Ratio: 0.2, Slack: slack, Window: 10 * time.Second}, budgets: make([]Budget, vms),
 		weights: make([]float64, vms), random: rand.New(rand.NewPCG(seed, 1)),
 	}
-	f.move()
+	f.moveCallers()
 	return f
 }
 
-// move lets callers move to other VMs.
-func (f *fleet) move() {
+// moveCallers moves callers to other VMs.
+func (f *fleet) moveCallers() {
 	total := 0.0
 	for i := range f.weights {
 		f.weights[i] = f.random.ExpFloat64()
@@ -42,7 +43,7 @@
 	}
 }
 
-// restart ends the processes of a share of the VMs and begins new ones.
+// restart restarts the processes of a share of the VMs.
 func (f *fleet) restart(share float64) {
 	for i := range f.budgets {
 		if f.random.Float64() < share {
@@ -51,8 +52,9 @@
 	}
 }
 
-// play lets so many requests come in a step; where they fail, each VM repeats all that it may.
-func (f *fleet) play(requests float64, fails bool) {
+// run simulates one step in which the given number of requests arrive. If they fail, each VM
+// sends all repeats that its budget grants.
+func (f *fleet) run(requests float64, fails bool) {
 	now := time.Duration(len(f.requests)+1) * step
 	seen, again := 0.0, 0.0
 	for i := range f.budgets {
@@ -62,18 +64,19 @@
 			n++
 		}
 		for range n {
-			f.budgets[i].Request(f.limit, now)
+			f.budgets[i].AddRequest(f.limit, now)
 		}
 		seen += float64(n)
-		for fails && f.budgets[i].Repeat(f.limit, len(f.budgets), now).Granted {
+		for fails && f.budgets[i].TakeRepeat(f.limit, len(f.budgets), now).Granted {
 			again++
 		}
 	}
 	f.requests, f.repeats = append(f.requests, seen), append(f.repeats, again)
 }
 
-// excess returns by how much the worst window is over the bound. Its requests are those of
-// the window, of the one before or of the one half a window before, whichever has most.
+// excess returns by how much the worst window exceeds the bound. The requests of a window are
+// those of the window itself, of the window before it, or of the window that starts half a window
+// earlier, whichever has the most.
 func (f *fleet) excess() float64 {
 	width := int(f.limit.Window / step)
 	in := func(counts []float64, from int) float64 {
@@ -87,10 +90,10 @@
 	return worst
 }
 
-// requireBoundInAStorm plays twelve calm seconds and a storm in which all requests fail, into
-// which an event comes after a second, at three sizes of the fleet.
-func requireBoundInAStorm(t *testing.T, event func(f *fleet)) {
-	const stormAt, eventAt, steps = 120, 130, 250
+// requireBoundDuringOverload simulates 12 s of normal operation, then 13 s in which all requests
+// fail, with an event 1 s after the failures begin, for three fleet sizes.
+func requireBoundDuringOverload(t *testing.T, event func(f *fleet)) {
+	const overloadAt, eventAt, steps = 120, 130, 250
 	for _, vms := range []int{10, 100, 300} {
 		t.Run(fmt.Sprint(vms, " VMs"), func(t *testing.T) {
 			f := newFleet(vms, 2*float64(vms), 1)
@@ -98,21 +101,22 @@
 				if i == eventAt {
 					event(f)
 				}
-				f.play(10*float64(vms), i >= stormAt)
+				f.run(10*float64(vms), i >= overloadAt)
 			}
 			require.LessOrEqual(t, f.excess(), 0.0)
 		})
 	}
 }
 
-// Guards against a restart that renews a budget whose savings are spent.
+// Guards against a restart that refills a budget whose saved repeats are spent.
 func TestRepeatsStayWithinTheBoundWhenAllVMsRestart(t *testing.T) {
-	requireBoundInAStorm(t, func(f *fleet) { f.restart(1) })
+	requireBoundDuringOverload(t, func(f *fleet) { f.restart(1) })
 }
 
-// Guards against the same where callers move away from VMs that have spent what they saved.
+// Guards against repeats over the bound when callers move away from VMs that have spent their
+// saved repeats.
 func TestRepeatsStayWithinTheBoundWhenCallersMove(t *testing.T) {
-	requireBoundInAStorm(t, func(f *fleet) {
+	requireBoundDuringOverload(t, func(f *fleet) {
 		vms := len(f.weights)
 		for i := range f.weights {
 			f.weights[i] = 0
@@ -123,7 +127,8 @@
 	})
 }
 
-// Guards against any order of restarts, moves and surges with a window over the bound.
+// Guards against any sequence of restarts, moves of callers and surges in which a window exceeds
+// the bound.
 func TestNoOrderOfRestartsMovesAndSurgesExceedsTheBound(t *testing.T) {
 	const steps = 300
 	rapid.Check(t, func(t *rapid.T) {
@@ -142,9 +147,9 @@
 			case 0:
 				f.restart(rapid.SampledFrom([]float64{0.1, 0.5, 1}).Draw(t, "share"))
 			case 1:
-				f.move()
+				f.moveCallers()
 			}
-			f.play(rate, fails)
+			f.run(rate, fails)
 		}
 		require.LessOrEqual(t, f.excess(), 0.0)
 	})
--- a/internal/decide/repeats/repeats_test.go
+++ b/internal/decide/repeats/repeats_test.go
@@ -12,7 +12,7 @@
 
 var limit = Limit{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 
-// Guards against VMs that together repeat more than operators allow for all.
+// Guards against VMs that together send more repeats than the operators' limit for all VMs.
 func TestNoWindowExceedsTheLimitOfAllVMs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const vms, steps, step = 8, 400, 100 * time.Millisecond
@@ -22,11 +22,11 @@
 			now := time.Duration(i) * step
 			for vm := range budgets {
 				for range rapid.IntRange(0, 3).Draw(t, "requests") {
-					budgets[vm].Request(limit, now)
+					budgets[vm].AddRequest(limit, now)
 					requests[i]++
 				}
 				for range 4 {
-					if budgets[vm].Repeat(limit, vms, now).Granted {
+					if budgets[vm].TakeRepeat(limit, vms, now).Granted {
 						repeats[i]++
 					}
 				}
@@ -40,11 +40,12 @@
 	})
 }
 
-// Guards against a constant that each new process gets anew: it is earned, and little of it saved.
-func TestTheConstantIsEarnedOverTheWindow(t *testing.T) {
+// Guards against a new process that gets its part of the slack at once: the slack must be earned
+// over the window, and little of it may be saved.
+func TestSlackIsEarnedOverTheWindow(t *testing.T) {
 	var b Budget
 	repeats := func(now time.Duration) (n int) {
-		for b.Repeat(limit, 8, now).Granted {
+		for b.TakeRepeat(limit, 8, now).Granted {
 			n++
 		}
 		return n
@@ -57,42 +58,42 @@
 	require.Zero(t, repeats(2*time.Hour))
 }
 
-// Guards against VMs that each take the whole constant while they know no other.
-func TestAVMThatDoesNotKnowHowManyThereAreEarnsByRequestsOnly(t *testing.T) {
+// Guards against VMs that each use the whole slack while they do not know the number of VMs.
+func TestVMWithoutFleetSizeEarnsByRequestsOnly(t *testing.T) {
 	var b Budget
-	require.False(t, b.Repeat(limit, 0, time.Hour).Granted)
-	require.False(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
+	require.False(t, b.TakeRepeat(limit, 0, time.Hour).Granted)
+	require.False(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
 	for range 6 {
-		b.Request(limit, 2*time.Hour)
+		b.AddRequest(limit, 2*time.Hour)
 	}
-	require.True(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
-	require.False(t, b.Repeat(limit, 0, 2*time.Hour).Granted)
+	require.True(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
+	require.False(t, b.TakeRepeat(limit, 0, 2*time.Hour).Granted)
 }
 
-// Guards against a change of the window that leaves requests of long ago in the count.
-func TestBudgetSurvivesAChangeOfTheWindow(t *testing.T) {
+// Guards against old requests that stay in the count after the window was changed.
+func TestBudgetDropsOldRequestsWhenTheWindowChanges(t *testing.T) {
 	var b Budget
 	for range 100 {
-		b.Request(limit, time.Hour)
+		b.AddRequest(limit, time.Hour)
 	}
 	for _, window := range []time.Duration{time.Second, 100 * time.Second} {
 		other := limit
 		other.Window = window
 		require.Zero(t, b.State(other, 8, time.Hour).Requests)
-		b.Request(other, time.Hour)
+		b.AddRequest(other, time.Hour)
 		require.EqualValues(t, 1, b.State(other, 8, time.Hour+window/2).Requests)
 		require.Zero(t, b.State(other, 8, time.Hour+2*window).Requests)
 	}
 }
 
-// Guards against callers that are refused though the bound leaves room for their repeat.
+// Guards against refused repeats for which the bound still leaves room.
 func TestNearlyAllOfTheRatioIsUsed(t *testing.T) {
 	var b Budget
 	requests, repeats := 0, 0
 	for now := time.Duration(0); now < limit.Window; now += 10 * time.Millisecond {
-		b.Request(limit, now)
+		b.AddRequest(limit, now)
 		requests++
-		if b.Repeat(limit, 8, now).Granted {
+		if b.TakeRepeat(limit, 8, now).Granted {
 			repeats++
 		}
 	}
--- a/internal/decide/suspicion/suspicion_test.go
+++ b/internal/decide/suspicion/suspicion_test.go
@@ -12,56 +12,61 @@
 	setting = 190 * ms
 )
 
-func beat(p *Peer, from, every time.Duration, n int) time.Duration {
+// sendHeartbeats records n heartbeats and returns the time of the last one.
+func sendHeartbeats(d *Detector, from, every time.Duration, n int) time.Duration {
 	for i := range n {
-		p.Heard(from + time.Duration(i)*every)
+		d.RecordHeartbeat(from + time.Duration(i)*every)
 	}
 	return from + time.Duration(n-1)*every
 }
 
-// Keys are served late on a busy evening. Heartbeats come with gaps of 250 ms; each
-// was taken for a loss, the next grantor took over, and the records were rewritten
-// five times a second. Only the first gap may count as a loss.
-func TestGapsUnderLoadAreLearned(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 95*ms, 20)
-	require.False(t, p.Alive(last+200*ms, setting), "the first gap is a loss for all that is known")
-	last = beat(&p, last+250*ms, 250*ms, 10)
-	require.True(t, p.Alive(last+450*ms, setting))
-	require.False(t, p.Alive(last+500*ms, setting), "a true loss is still noticed")
+// Guards against a takeover at each gap under load, which serves keys late: heartbeats arrived
+// with gaps of 250 ms, each gap was taken for a failure, the next grantor took over, and the
+// records were rewritten five times a second. Only the first gap may count as a failure.
+func TestGapsUnderLoadRaiseTheTimeout(t *testing.T) {
+	var d Detector
+	last := sendHeartbeats(&d, time.Second, 95*ms, 20)
+	require.False(t, d.Alive(last+200*ms, setting), "the first gap cannot be told from a failure")
+	last = sendHeartbeats(&d, last+250*ms, 250*ms, 10)
+	require.True(t, d.Alive(last+450*ms, setting))
+	require.False(t, d.Alive(last+500*ms, setting), "a real failure is still detected")
 }
 
-func TestGapsAreForgotten(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 250*ms, 10)
-	last = beat(&p, last+95*ms, 95*ms, 330)
-	require.Equal(t, setting, p.Bound(setting))
-	require.False(t, p.Alive(last+setting, setting))
+// Guards against a timeout that stays raised after the load has ended.
+func TestGapsExpire(t *testing.T) {
+	var d Detector
+	last := sendHeartbeats(&d, time.Second, 250*ms, 10)
+	last = sendHeartbeats(&d, last+95*ms, 95*ms, 330)
+	require.Equal(t, setting, d.Timeout(setting))
+	require.False(t, d.Alive(last+setting, setting))
 }
 
-// A VM was cut off for a minute. Its return must not make its next loss take a
-// minute to notice.
-func TestTrueLossesTeachNothing(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 95*ms, 10)
-	beat(&p, last+time.Minute, 95*ms, 10)
-	require.Equal(t, setting, p.Bound(setting))
+// Guards against a slow detection after a real failure: a VM was partitioned for a minute, and
+// its next failure would then take a minute or longer to detect.
+func TestTrueLossDoesNotRaiseTheTimeout(t *testing.T) {
+	var d Detector
+	last := sendHeartbeats(&d, time.Second, 95*ms, 10)
+	sendHeartbeats(&d, last+time.Minute, 95*ms, 10)
+	require.Equal(t, setting, d.Timeout(setting))
 }
 
-func TestBoundStaysBelowCeiling(t *testing.T) {
-	var p Peer
-	beat(&p, time.Second, 590*ms, 10)
-	require.Equal(t, Ceiling, p.Bound(setting))
+// Guards against long gaps that raise the timeout beyond MaxTimeout.
+func TestTimeoutStaysBelowMaximum(t *testing.T) {
+	var d Detector
+	sendHeartbeats(&d, time.Second, 590*ms, 10)
+	require.Equal(t, MaxTimeout, d.Timeout(setting))
 }
 
-func TestOwnPauseIsNotSilence(t *testing.T) {
-	var p Peer
-	last := beat(&p, time.Second, 95*ms, 10)
-	p.Forgive(5 * time.Second)
-	require.True(t, p.Alive(last+5*time.Second+50*ms, setting))
+// Guards against a resumed process that considers all its peers failed.
+func TestOwnPauseDoesNotCountAsSilence(t *testing.T) {
+	var d Detector
+	last := sendHeartbeats(&d, time.Second, 95*ms, 10)
+	d.ExcludePause(5 * time.Second)
+	require.True(t, d.Alive(last+5*time.Second+50*ms, setting))
 }
 
-func TestPeerNeverHeardIsNotAlive(t *testing.T) {
-	var p Peer
-	require.False(t, p.Alive(0, setting))
+// Guards against a peer that counts as alive before its first heartbeat.
+func TestPeerWithoutHeartbeatIsNotAlive(t *testing.T) {
+	var d Detector
+	require.False(t, d.Alive(0, setting))
 }
--- a/internal/dispatch/crashgossip.go
+++ b/internal/dispatch/crashgossip.go
@@ -69,7 +69,7 @@
 	if len(c.Deaths) == 0 {
 		return
 	}
-	w.watch.Notice(c, now)
+	w.watch.MergeCase(c, now)
 	merged := w.watch.Case(c.Fingerprint, now)
 	w.noteQuarantine(&merged)
 }
@@ -166,7 +166,7 @@
 	if g.pool == "" {
 		return
 	}
-	w.watch.Permit(g.notice.Fingerprint, g.asked, granted, now)
+	w.watch.PermitDecided(g.notice.Fingerprint, g.asked, granted, now)
 	if granted {
 		w.counts.permits.Inc(1)
 		return
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -139,7 +139,7 @@
 	j.attempts++
 	q.counts.sent.Inc(1)
 	if j.attempts == 1 {
-		q.budget.Fresh()
+		q.budget.AddRequest()
 	} else {
 		q.counts.repeated.Inc(1)
 	}
@@ -279,10 +279,10 @@
 // again repeats a failed job or ends it.
 func (q *queue) again(j *job, out retry.Outcome, err error, now time.Time) {
 	verdict := q.budget.Decide(retry.Attempt{
-		Outcome: out, Idempotent: j.request.Idempotent, Count: j.attempts,
-		Left: j.deadline.Sub(now), Service: q.patience(j), Ran: j.lostBefore,
+		Outcome: out, Idempotent: j.request.Idempotent, Attempts: j.attempts,
+		Remaining: j.deadline.Sub(now), ServiceTime: q.patience(j), MayHaveRun: j.lostBefore,
 	})
-	if verdict == retry.Lose {
+	if verdict == retry.AnswerUnknown {
 		q.lose(j, out, err)
 		return
 	}
