--- a/internal/ownership/assigner.go
+++ b/internal/ownership/assigner.go
@@ -15,13 +15,13 @@
 // the record: grants and takeovers go on without it. So the times are long, and
 // the writes few: one in two seconds for each keyed service.
 const (
-	// AssignerLife is how long an assigner holds its service after a renewal.
-	AssignerLife = 6 * time.Second
-	// AssignerRenewal is the pause between renewals: two may be lost.
-	AssignerRenewal = 2 * time.Second
-	// claimStep spreads the followers' claims by their rank, so that one write
+	// AssignerTTL is how long an assigner holds its service after a renewal.
+	AssignerTTL = 6 * time.Second
+	// AssignerRenewInterval is the pause between renewals: two may be lost.
+	AssignerRenewInterval = 2 * time.Second
+	// claimStagger spreads the followers' claims by their rank, so that one write
 	// and not nine are made when a holder is lost.
-	claimStep = 300 * time.Millisecond
+	claimStagger = 300 * time.Millisecond
 )
 
 var assignerChart = charts.MustLoad("assigner")
@@ -57,26 +57,26 @@
 // Failure: a holder is suspended for minutes and goes on as if nothing had
 // happened. CLOCK_BOOTTIME counted on, so Holds is false at its first question.
 type Election struct {
-	me      model.Assigner
+	self    model.Assigner
 	machine *statechart.Machine
-	// seen is the object of the highest version, seenAt when its renewal was
-	// first seen here.
-	seen    model.Assigner
-	version uint64
-	seenAt  time.Duration
-	// sentAt is when the write under way was sent, heldFrom when the last one
+	// latest is the object of the highest version, seenAt when its renewal was
+	// first latest here.
+	latest       model.Assigner
+	version      uint64
+	waitingSince time.Duration
+	// sentAt is when the write under way was sent, heldSince when the last one
 	// that succeeded was. A hold is dated from the send: the store may have
 	// taken it at any time after.
-	sentAt, heldFrom time.Duration
-	writing          bool
+	sentAt, heldSince time.Duration
+	writePending      bool
 }
 
 // NewElection returns the part of the agent on a VM in one incarnation.
 func NewElection(service, vm, incarnation string, now time.Duration) *Election {
 	return &Election{
-		me:      model.Assigner{Service: service, Holder: vm, Incarnation: incarnation},
-		machine: assignerChart.Start(),
-		seenAt:  now,
+		self:         model.Assigner{Service: service, Holder: vm, Incarnation: incarnation},
+		machine:      assignerChart.Start(),
+		waitingSince: now,
 	}
 }
 
@@ -85,14 +85,14 @@
 	if version <= e.version {
 		return
 	}
-	e.seen, e.version, e.seenAt = a, version, now
-	if !e.mine(a) {
+	e.latest, e.version, e.waitingSince = a, version, now
+	if !e.isOwn(a) {
 		_ = e.machine.Fire(eventSeen)
 	}
 }
 
-func (e *Election) mine(a model.Assigner) bool {
-	return a.Holder == e.me.Holder && a.Incarnation == e.me.Incarnation
+func (e *Election) isOwn(a model.Assigner) bool {
+	return a.Holder == e.self.Holder && a.Incarnation == e.self.Incarnation
 }
 
 // Step returns the write that is due, or nil. rank is the agent's place among
@@ -101,56 +101,56 @@
 	if e.machine.State() == holding && !e.Holds(now) {
 		_ = e.machine.Fire(eventLapse)
 		// The lapsed holder waits like the others: one of them may be ahead.
-		e.seenAt = now
+		e.waitingSince = now
 	}
-	if e.writing {
+	if e.writePending {
 		return nil
 	}
 	switch e.machine.State() {
 	case holding:
-		if now-e.heldFrom < AssignerRenewal {
+		if now-e.heldSince < AssignerRenewInterval {
 			return nil
 		}
 	case following:
-		if !e.silent(now, rank) || e.machine.Fire(eventSilent) != nil {
+		if !e.holderExpired(now, rank) || e.machine.Fire(eventSilent) != nil {
 			return nil
 		}
 	}
-	return e.claim(now)
+	return e.newClaim(now)
 }
 
-// silent reports whether the same renewal was seen for the time to live. A service
+// holderExpired reports whether the same renewal was seen for the time to live. A service
 // without an object is claimed at once, by rank.
-func (e *Election) silent(now time.Duration, rank int) bool {
-	wait := time.Duration(rank) * claimStep
+func (e *Election) holderExpired(now time.Duration, rank int) bool {
+	wait := time.Duration(rank) * claimStagger
 	if e.version != 0 {
-		wait += AssignerLife
+		wait += AssignerTTL
 	}
-	return now-e.seenAt >= wait
+	return now-e.waitingSince >= wait
 }
 
-func (e *Election) claim(now time.Duration) *Claim {
-	next := e.me
-	next.Epoch, next.Renewal = e.seen.Epoch, e.seen.Renewal+1
-	if !e.mine(e.seen) {
+func (e *Election) newClaim(now time.Duration) *Claim {
+	next := e.self
+	next.Epoch, next.Renewal = e.latest.Epoch, e.latest.Renewal+1
+	if !e.isOwn(e.latest) {
 		next.Epoch++
 	}
-	e.sentAt, e.writing = now, true
+	e.sentAt, e.writePending = now, true
 	return &Claim{Object: next, Version: e.version}
 }
 
 // Done takes the outcome of a write: the version it made, or won false where it
 // conflicted.
 func (e *Election) Done(now time.Duration, c *Claim, version uint64, won bool) {
-	e.writing = false
-	if !won || version <= e.version && !e.mine(e.seen) {
+	e.writePending = false
+	if !won || version <= e.version && !e.isOwn(e.latest) {
 		_ = e.machine.Fire(eventLost)
-		e.seenAt = now
+		e.waitingSince = now
 		return
 	}
-	e.heldFrom = e.sentAt
+	e.heldSince = e.sentAt
 	if version > e.version {
-		e.seen, e.version, e.seenAt = c.Object, version, now
+		e.latest, e.version, e.waitingSince = c.Object, version, now
 	}
 	_ = e.machine.Fire(eventWon)
 }
@@ -163,17 +163,17 @@
 // Why it may go on: the hold is dated from the last renewal that is known to have
 // succeeded, and the others wait for AssignerLife after they saw that one or a later.
 func (e *Election) Unknown(now time.Duration) {
-	e.writing = false
+	e.writePending = false
 	_ = e.machine.Fire(eventUnknown)
 	if e.machine.State() == following {
-		e.seenAt = now
+		e.waitingSince = now
 	}
 }
 
 // Holds reports whether the agent may plan at the time now.
 func (e *Election) Holds(now time.Duration) bool {
-	return e.machine.State() == holding && now-e.heldFrom < AssignerLife
+	return e.machine.State() == holding && now-e.heldSince < AssignerTTL
 }
 
 // Holder returns the VM that was last seen to hold the service, "" for none.
-func (e *Election) Holder() string { return e.seen.Holder }
+func (e *Election) Holder() string { return e.latest.Holder }
--- a/internal/ownership/faults_test.go
+++ b/internal/ownership/faults_test.go
@@ -13,135 +13,137 @@
 )
 
 const (
-	beat = 100 * time.Millisecond
-	// lookEvery is how often an agent looks at its elections.
-	lookEvery = 500 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
+	// pollInterval is how often an agent looks at its elections.
+	pollInterval = 500 * time.Millisecond
 	// writeTimeout is when an agent gives a write up.
 	writeTimeout = 2 * time.Second
-	playFor      = 60 * time.Second
+	observedTime = 60 * time.Second
 )
 
-// elector is one agent of a play.
-type elector struct {
+// simAgent is one agent of a play.
+type simAgent struct {
 	*Election
-	lives int
-	// deadUntil, pausedUntil and cutUntil end a loss, a pause, and a cut from the store.
-	deadUntil, pausedUntil, cutUntil time.Duration
-	// loseAnswers is how many answers of the store get lost.
-	loseAnswers int
-	write       *write
+	starts int
+	// crashedUntil, pausedUntil and partitionedUntil end a loss, a pause, and a cut from the store.
+	crashedUntil, pausedUntil, partitionedUntil time.Duration
+	// answersToLose is how many answers of the store get lost.
+	answersToLose int
+	write         *pendingWrite
 }
 
-// write is one in flight.
-type write struct {
+// pendingWrite is one in flight.
+type pendingWrite struct {
 	claim               *Claim
 	arrives, answered   time.Duration
 	applied, lost, done bool
 	version             uint64
 }
 
-// play is three agents and one object; the first agent is led to the step.
-type play struct {
-	t        *testing.T
-	now      time.Duration
-	electors [3]*elector
-	object   model.Assigner
-	version  uint64
-	latency  time.Duration
-	downTo   time.Duration
-	step     statechart.Transition
-	inject   func(*play)
-	lead     func(*play, statechart.Transition)
-	taken    bool
-	pending  bool
-	// snatch has another write come in before the first agent's next one.
-	snatch bool
+// simulation is three agents and one object; the first agent is led to the step.
+type simulation struct {
+	t              *testing.T
+	now            time.Duration
+	agents         [3]*simAgent
+	object         model.Assigner
+	version        uint64
+	latency        time.Duration
+	storeDownUntil time.Duration
+	step           statechart.Transition
+	inject         func(*simulation)
+	onStep         func(*simulation, statechart.Transition)
+	reached        bool
+	faultDue       bool
+	// conflictNext has another write come in before the first agent's next one.
+	conflictNext bool
 }
 
-func newPlay(t *testing.T, step statechart.Transition, l lead, inject func(*play)) *play {
-	p := &play{t: t, step: step, inject: inject, lead: l.at, latency: 5 * time.Millisecond}
-	for i := range p.electors {
-		p.electors[i] = &elector{}
-		p.revive(i)
+func newSimulation(t *testing.T, step statechart.Transition, l setup, inject func(*simulation)) *simulation {
+	p := &simulation{t: t, step: step, inject: inject, onStep: l.onTransition, latency: 5 * time.Millisecond}
+	for i := range p.agents {
+		p.agents[i] = &simAgent{}
+		p.restart(i)
 	}
-	if l.begin != nil {
-		l.begin(p)
+	if l.before != nil {
+		l.before(p)
 	}
-	p.taken = step.Event == ""
-	p.pending = p.taken
+	p.reached = step.Event == ""
+	p.faultDue = p.reached
 	return p
 }
 
-func (p *play) revive(i int) {
-	e := p.electors[i]
-	e.lives++
+func (p *simulation) restart(i int) {
+	e := p.agents[i]
+	e.starts++
 	vm := fmt.Sprintf("vm%d", i)
-	e.Election, e.write = NewElection("s", vm, fmt.Sprintf("%s-%d", vm, e.lives), p.now), nil
+	e.Election, e.write = NewElection("s", vm, fmt.Sprintf("%s-%d", vm, e.starts), p.now), nil
 	if i == 0 {
-		e.machine.Watch(p.note)
+		e.machine.Watch(p.onTransition)
 	}
 }
 
-func (p *play) note(s statechart.Transition) {
-	if p.lead != nil {
-		p.lead(p, s)
+func (p *simulation) onTransition(s statechart.Transition) {
+	if p.onStep != nil {
+		p.onStep(p, s)
 	}
-	if s == p.step && !p.taken {
-		p.taken, p.pending = true, true
+	if s == p.step && !p.reached {
+		p.reached, p.faultDue = true, true
 	}
 }
 
 // run plays to the end and returns how long in all nobody planned the service.
-func (p *play) run() string {
-	var vacant, since time.Duration
-	for since < playFor {
-		for i := range p.electors {
-			p.act(i)
-			if p.pending {
-				p.pending = false
+func (p *simulation) run() string {
+	var unassigned, since time.Duration
+	for since < observedTime {
+		for i := range p.agents {
+			p.stepAgent(i)
+			if p.faultDue {
+				p.faultDue = false
 				p.inject(p)
 			}
 		}
 		holders := p.holders()
 		require.LessOrEqual(p.t, len(holders), 1, "two plan at one time: %v", holders)
-		if p.taken {
-			since += beat
+		if p.reached {
+			since += tickInterval
 			if len(holders) == 0 {
-				vacant += beat
+				unassigned += tickInterval
 			}
 		}
-		p.now += beat
-		require.Less(p.t, p.now, 3*playFor, "nothing led to the step")
+		p.now += tickInterval
+		require.Less(p.t, p.now, 3*observedTime, "nothing led to the step")
 	}
 	require.Len(p.t, p.holders(), 1, "nobody plans at the end")
 	require.Equal(p.t, p.object.Holder, p.holders()[0], "the store names the holder")
-	return fmt.Sprintf("%.1f", vacant.Seconds())
+	return fmt.Sprintf("%.1f", unassigned.Seconds())
 }
 
-func (p *play) holders() []string {
+func (p *simulation) holders() []string {
 	var out []string
-	for i, e := range p.electors {
-		if p.runs(i) && e.Holds(p.now) {
-			out = append(out, e.me.Holder)
+	for i, e := range p.agents {
+		if p.isRunning(i) && e.Holds(p.now) {
+			out = append(out, e.self.Holder)
 		}
 	}
 	return out
 }
 
-func (p *play) runs(i int) bool {
-	return p.now >= p.electors[i].deadUntil && p.now >= p.electors[i].pausedUntil
+func (p *simulation) isRunning(i int) bool {
+	return p.now >= p.agents[i].crashedUntil && p.now >= p.agents[i].pausedUntil
 }
 
-func (p *play) reaches(i int) bool { return p.now >= p.downTo && p.now >= p.electors[i].cutUntil }
+func (p *simulation) reachesStore(i int) bool {
+	return p.now >= p.storeDownUntil && p.now >= p.agents[i].partitionedUntil
+}
 
-func (p *play) act(i int) {
-	e := p.electors[i]
-	p.carry(e, p.reaches(i))
-	if e.deadUntil != 0 && p.now >= e.deadUntil {
-		e.deadUntil = 0
-		p.revive(i)
+func (p *simulation) stepAgent(i int) {
+	e := p.agents[i]
+	p.deliverWrite(e, p.reachesStore(i))
+	if e.crashedUntil != 0 && p.now >= e.crashedUntil {
+		e.crashedUntil = 0
+		p.restart(i)
 	}
-	if !p.runs(i) {
+	if !p.isRunning(i) {
 		return
 	}
 	if w := e.write; w != nil {
@@ -155,20 +157,20 @@
 			e.Done(p.now, w.claim, w.version, w.applied)
 		}
 	}
-	if p.now%lookEvery != time.Duration(i)*beat {
+	if p.now%pollInterval != time.Duration(i)*tickInterval {
 		return
 	}
-	if p.reaches(i) {
+	if p.reachesStore(i) {
 		e.Observe(p.now, p.object, p.version)
 	}
 	if c := e.Step(p.now, i); c != nil {
-		e.write = &write{claim: c, arrives: p.now + p.latency, answered: p.now + 2*p.latency}
+		e.write = &pendingWrite{claim: c, arrives: p.now + p.latency, answered: p.now + 2*p.latency}
 	}
 }
 
-// carry lets a write reach the store when it is due, whatever became of its
+// deliverWrite lets a write reach the store when it is due, whatever became of its
 // sender.
-func (p *play) carry(e *elector, reaches bool) {
+func (p *simulation) deliverWrite(e *simAgent, reaches bool) {
 	w := e.write
 	if w == nil || w.done || p.now < w.arrives {
 		return
@@ -178,9 +180,9 @@
 		w.lost = true
 		return
 	}
-	if p.snatch && e == p.electors[0] {
-		p.snatch = false
-		p.foreign()
+	if p.conflictNext && e == p.agents[0] {
+		p.conflictNext = false
+		p.writeAsOther()
 	}
 	if w.claim.Version == p.version {
 		require.Greater(p.t, w.claim.Object.Renewal, p.object.Renewal, "a renewal fell")
@@ -188,33 +190,33 @@
 		p.version++
 		p.object, w.applied, w.version = w.claim.Object, true, p.version
 	}
-	if e.loseAnswers > 0 {
-		e.loseAnswers--
+	if e.answersToLose > 0 {
+		e.answersToLose--
 		w.lost = true
 	}
 }
 
-// foreign is a write of another that dies after it.
-func (p *play) foreign() {
+// writeAsOther is a write of another that dies after it.
+func (p *simulation) writeAsOther() {
 	p.version++
 	p.object = model.Assigner{Service: "s", Holder: "vm1", Incarnation: "vm1-0", Epoch: p.object.Epoch + 1, Renewal: p.object.Renewal + 1}
 }
 
-func (p *play) pause(i int, d time.Duration) { p.electors[i].pausedUntil = p.now + d }
-func (p *play) cut(i int, d time.Duration)   { p.electors[i].cutUntil = p.now + d }
-func (p *play) lose(i int, d time.Duration)  { p.electors[i].deadUntil = p.now + d }
+func (p *simulation) pause(i int, d time.Duration)     { p.agents[i].pausedUntil = p.now + d }
+func (p *simulation) partition(i int, d time.Duration) { p.agents[i].partitionedUntil = p.now + d }
+func (p *simulation) crash(i int, d time.Duration)     { p.agents[i].crashedUntil = p.now + d }
 
-// lead brings the first agent to a step: begin before the play, at on each of its
+// setup brings the first agent to a step: begin before the play, at on each of its
 // steps.
-type lead struct {
-	begin func(*play)
-	at    func(*play, statechart.Transition)
+type setup struct {
+	before       func(*simulation)
+	onTransition func(*simulation, statechart.Transition)
 }
 
-// whenWon does something when the first agent won for the first time.
-func whenWon(do func(*play)) lead {
+// onFirstWin does something when the first agent won for the first time.
+func onFirstWin(do func(*simulation)) setup {
 	done := false
-	return lead{at: func(p *play, s statechart.Transition) {
+	return setup{onTransition: func(p *simulation, s statechart.Transition) {
 		if s.Event == eventWon && !done {
 			done = true
 			do(p)
@@ -226,43 +228,43 @@
 	return statechart.Transition{From: from, Event: e, To: to}
 }
 
-// leads has an entry for each step of charts/assigner.jsonc.
-var leads = map[statechart.Transition]func() lead{
-	{To: following}: func() lead { return lead{} },
-	transition(following, eventSilent, claiming): func() lead { return lead{} },
-	transition(following, eventSeen, following): func() lead {
-		return lead{begin: func(p *play) { p.pause(0, 2*time.Second) }}
+// setups has an entry for each step of charts/assigner.jsonc.
+var setups = map[statechart.Transition]func() setup{
+	{To: following}: func() setup { return setup{} },
+	transition(following, eventSilent, claiming): func() setup { return setup{} },
+	transition(following, eventSeen, following): func() setup {
+		return setup{before: func(p *simulation) { p.pause(0, 2*time.Second) }}
 	},
-	transition(claiming, eventWon, holding): func() lead { return lead{} },
-	transition(claiming, eventLost, following): func() lead {
-		return lead{begin: func(p *play) { p.snatch = true }}
+	transition(claiming, eventWon, holding): func() setup { return setup{} },
+	transition(claiming, eventLost, following): func() setup {
+		return setup{before: func(p *simulation) { p.conflictNext = true }}
 	},
-	transition(claiming, eventUnknown, following): func() lead {
-		return lead{begin: func(p *play) { p.electors[0].loseAnswers = 1 }}
+	transition(claiming, eventUnknown, following): func() setup {
+		return setup{before: func(p *simulation) { p.agents[0].answersToLose = 1 }}
 	},
-	transition(claiming, eventSeen, following): func() lead {
+	transition(claiming, eventSeen, following): func() setup {
 		// Its claim waits in the store's queue while it is looked at again.
-		return lead{at: func(p *play, s statechart.Transition) {
-			if s.Event == eventSilent && !p.taken {
-				p.foreign()
-				p.electors[0].Observe(p.now, p.object, p.version)
+		return setup{onTransition: func(p *simulation, s statechart.Transition) {
+			if s.Event == eventSilent && !p.reached {
+				p.writeAsOther()
+				p.agents[0].Observe(p.now, p.object, p.version)
 			}
 		}}
 	},
-	transition(holding, eventWon, holding): func() lead { return lead{} },
-	transition(holding, eventSeen, following): func() lead {
-		return whenWon(func(p *play) { p.pause(0, 15*time.Second) })
+	transition(holding, eventWon, holding): func() setup { return setup{} },
+	transition(holding, eventSeen, following): func() setup {
+		return onFirstWin(func(p *simulation) { p.pause(0, 15*time.Second) })
 	},
-	transition(holding, eventLost, following): func() lead {
-		return whenWon(func(p *play) { p.snatch = true })
+	transition(holding, eventLost, following): func() setup {
+		return onFirstWin(func(p *simulation) { p.conflictNext = true })
 	},
-	transition(holding, eventUnknown, holding): func() lead {
-		return whenWon(func(p *play) { p.electors[0].loseAnswers = 1 })
+	transition(holding, eventUnknown, holding): func() setup {
+		return onFirstWin(func(p *simulation) { p.agents[0].answersToLose = 1 })
 	},
-	transition(holding, eventLapse, following): func() lead {
-		return whenWon(func(p *play) {
-			for i := range p.electors {
-				p.pause(i, AssignerLife+time.Second)
+	transition(holding, eventLapse, following): func() setup {
+		return onFirstWin(func(p *simulation) {
+			for i := range p.agents {
+				p.pause(i, AssignerTTL+time.Second)
 			}
 		})
 	},
@@ -274,39 +276,39 @@
 	noOperator = "operators write no assigner objects: hqctl has no command for it"
 )
 
-// breakages has an entry for each fault: why it cannot be, or what it does.
-var breakages = map[faults.Fault]struct {
+// faultCases has an entry for each fault: why it cannot be, or what it does.
+var faultCases = map[faults.Fault]struct {
 	impossible string
-	inject     func(*play)
+	inject     func(*simulation)
 }{
-	faults.None:            {inject: func(*play) {}},
-	faults.Partition:       {inject: func(p *play) { p.cut(0, 10*time.Second) }},
-	faults.Pause:           {inject: func(p *play) { p.pause(0, 3*time.Second) }},
+	faults.None:            {inject: func(*simulation) {}},
+	faults.Partition:       {inject: func(p *simulation) { p.partition(0, 10*time.Second) }},
+	faults.Pause:           {inject: func(p *simulation) { p.pause(0, 3*time.Second) }},
 	faults.EntryLost:       {impossible: noData},
 	faults.DispatchLost:    {impossible: noData},
-	faults.AgentLost:       {inject: func(p *play) { p.lose(0, 3*time.Second) }},
+	faults.AgentLost:       {inject: func(p *simulation) { p.crash(0, 3*time.Second) }},
 	faults.TargetFrozen:    {impossible: noTarget},
 	faults.TargetLost:      {impossible: noTarget},
-	faults.StoreDown:       {inject: func(p *play) { p.downTo = p.now + 20*time.Second }},
-	faults.StoreSlow:       {inject: func(p *play) { p.latency = 400 * time.Millisecond }},
-	faults.StoreAnswerLost: {inject: func(p *play) { p.electors[0].loseAnswers = 2 }},
-	faults.LeaseLapsed:     {inject: func(p *play) { p.pause(0, 10*time.Second) }},
+	faults.StoreDown:       {inject: func(p *simulation) { p.storeDownUntil = p.now + 20*time.Second }},
+	faults.StoreSlow:       {inject: func(p *simulation) { p.latency = 400 * time.Millisecond }},
+	faults.StoreAnswerLost: {inject: func(p *simulation) { p.agents[0].answersToLose = 2 }},
+	faults.LeaseLapsed:     {inject: func(p *simulation) { p.pause(0, 10*time.Second) }},
 	faults.OperatorsRace:   {impossible: noOperator},
 	faults.CrashingRequest: {impossible: noTarget},
-	faults.VMLeaves:        {inject: func(p *play) { p.lose(0, time.Hour) }},
+	faults.VMLeaves:        {inject: func(p *simulation) { p.crash(0, time.Hour) }},
 	faults.TargetLeaves:    {impossible: noTarget},
-	faults.DataCentreLost:  {inject: func(p *play) { p.lose(0, 5*time.Second); p.lose(1, time.Hour) }},
+	faults.DataCentreLost:  {inject: func(p *simulation) { p.crash(0, 5*time.Second); p.crash(1, time.Hour) }},
 	faults.TargetLostTwice: {impossible: noTarget},
-	faults.PartitionTwice: {inject: func(p *play) {
-		p.cut(0, 3*time.Second)
-		p.cut(1, 10*time.Second)
+	faults.PartitionTwice: {inject: func(p *simulation) {
+		p.partition(0, 3*time.Second)
+		p.partition(1, 10*time.Second)
 	}},
 	faults.TargetAndStore:   {impossible: noTarget + ": see store down"},
 	faults.AgentAndTarget:   {impossible: noTarget + ": see agent lost"},
-	faults.PauseInPartition: {inject: func(p *play) { p.cut(0, 10*time.Second); p.pause(0, 3*time.Second) }},
+	faults.PauseInPartition: {inject: func(p *simulation) { p.partition(0, 10*time.Second); p.pause(0, 3*time.Second) }},
 }
 
-const assignerAbout = `Three agents elect the assigner of one service over one object of the store, in
+const matrixIntro = `Three agents elect the assigner of one service over one object of the store, in
 steps of 100 ms; the first agent is led to the step. Each cell shows for how many seconds of the
 60 s after the step nobody planned: no move and no repair of the record then,
 while grants and requests go on. In "partition, twice" the first two agents are cut off one for longer than the other.
@@ -318,19 +320,19 @@
 // or lost its answer just when it claimed, renewed or gave up.
 // docs/faults/assigner.md shows each fault at each step.
 func TestFaultsAtStepsOfElection(t *testing.T) {
-	m := faults.New(assignerChart, assignerAbout)
+	m := faults.New(assignerChart, matrixIntro)
 	for _, step := range faults.Steps(assignerChart) {
-		l, ok := leads[step]
+		l, ok := setups[step]
 		require.True(t, ok, "nothing leads to %s", faults.Name(step))
 		for _, f := range faults.All() {
-			b, ok := breakages[f]
+			b, ok := faultCases[f]
 			require.True(t, ok, "no entry for %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
 			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
-				m.Set(f, step, newPlay(t, step, l(), b.inject).run())
+				m.Set(f, step, newSimulation(t, step, l(), b.inject).run())
 			})
 		}
 	}
