--- a/internal/ownership/assigner.go
+++ b/internal/ownership/assigner.go
@@ -1,6 +1,8 @@
-// Package ownership decides who owns keys: who plans a service's assignment,
-// and the grants that carry it out. Its decisions take time and messages as
-// values and return what to do; package agent carries them.
+// Package ownership elects the assigner of a service: the agent that plans which
+// target owns which keys. Package grants, below it, puts the plan into effect.
+//
+// The decisions do no I/O and read no clock. The caller passes in the time and the
+// messages received, and package agent carries out the actions returned.
 package ownership
 
 import (
@@ -11,22 +13,22 @@
 	"hemlockquay/internal/statechart"
 )
 
-// Times of the election. Nothing waits for an assigner but moves and repairs of
-// the record: grants and takeovers go on without it. So the times are long, and
-// the writes few: one in two seconds for each keyed service.
+// Election timings. Only moves and repairs of the record need an assigner; grants
+// and takeovers continue without one. The timings are therefore long and the write
+// rate low: one write every two seconds for each keyed service.
 const (
 	// AssignerTTL is how long an assigner holds its service after a renewal.
 	AssignerTTL = 6 * time.Second
-	// AssignerRenewInterval is the pause between renewals: two may be lost.
+	// AssignerRenewInterval is the time between renewals. Two renewals may be lost.
 	AssignerRenewInterval = 2 * time.Second
-	// claimStagger spreads the followers' claims by their rank, so that one write
-	// and not nine are made when a holder is lost.
+	// claimStagger delays each follower's claim in proportion to its rank, so that
+	// the loss of a holder causes one write and not nine.
 	claimStagger = 300 * time.Millisecond
 )
 
 var assignerChart = charts.MustLoad("assigner")
 
-// Names in charts/assigner.jsonc.
+// States and events of charts/assigner.jsonc.
 const (
 	following = statechart.State("following")
 	claiming  = statechart.State("claiming")
@@ -41,7 +43,8 @@
 	eventUnknown = statechart.Event("unknown")
 )
 
-// Claim is a conditional write of a service's assigner object, expecting Version.
+// Claim is a conditional write of a service's assigner object. It takes effect only
+// if the stored object has version Version.
 type Claim struct {
 	Object  model.Assigner
 	Version uint64
@@ -50,28 +53,30 @@
 // Election is one agent's part in the election of one service's assigner. All
 // times are readings of CLOCK_BOOTTIME. It is not safe for concurrent use.
 //
-// Safety does not rest on clocks: a deposed assigner that does not know it plans
-// on a version of the assignment that its successor has replaced, and its write
-// conflicts. The life only keeps two from planning at the same time for long.
+// Safety does not depend on clocks. An assigner that was replaced without noticing
+// plans on a version of the assignment that its successor has overwritten, so its
+// write conflicts. AssignerTTL only limits how long two agents plan at once.
 //
-// Failure: a holder is suspended for minutes and goes on as if nothing had
-// happened. CLOCK_BOOTTIME counted on, so Holds is false at its first question.
+// Failure: a holder is suspended for minutes and then resumes. CLOCK_BOOTTIME
+// advances during the suspension, so the first call of Holds returns false.
 type Election struct {
 	self    model.Assigner
 	machine *statechart.Machine
-	// latest is the object of the highest version, seenAt when its renewal was
-	// first latest here.
+	// latest is the object of the highest version observed, which is version.
+	// waitingSince starts the wait for the next claim: when latest was first
+	// observed, or when this agent lost its hold or a claim.
 	latest       model.Assigner
 	version      uint64
 	waitingSince time.Duration
-	// sentAt is when the write under way was sent, heldSince when the last one
-	// that succeeded was. A hold is dated from the send: the store may have
-	// taken it at any time after.
+	// sentAt is when the pending write was sent, heldSince when the last successful
+	// one was. A hold counts from the send, because the store may have applied the
+	// write at any time after it.
 	sentAt, heldSince time.Duration
 	writePending      bool
 }
 
-// NewElection returns the part of the agent on a VM in one incarnation.
+// NewElection returns the part that one incarnation of the agent on a VM takes in
+// the election of a service's assigner.
 func NewElection(service, vm, incarnation string, now time.Duration) *Election {
 	return &Election{
 		self:         model.Assigner{Service: service, Holder: vm, Incarnation: incarnation},
@@ -80,7 +85,8 @@
 	}
 }
 
-// Observe takes the object as watched or read; older versions are ignored.
+// Observe records an assigner object that was watched or read. Versions that are
+// not newer than the last one are ignored.
 func (e *Election) Observe(now time.Duration, a model.Assigner, version uint64) {
 	if version <= e.version {
 		return
@@ -95,12 +101,14 @@
 	return a.Holder == e.self.Holder && a.Incarnation == e.self.Incarnation
 }
 
-// Step returns the write that is due, or nil. rank is the agent's place among
-// the live ones for this service, 0 first. Done or Unknown must follow each write.
+// Step returns the write that is due, or nil. rank is the agent's position among
+// the live agents for this service, starting at 0. The caller must report the
+// outcome of each write with Done or Unknown.
 func (e *Election) Step(now time.Duration, rank int) *Claim {
 	if e.machine.State() == holding && !e.Holds(now) {
 		_ = e.machine.Fire(eventLapse)
-		// The lapsed holder waits like the others: one of them may be ahead.
+		// The former holder waits like the followers: one of them may already have
+		// written a claim.
 		e.waitingSince = now
 	}
 	if e.writePending {
@@ -119,8 +127,8 @@
 	return e.newClaim(now)
 }
 
-// holderExpired reports whether the same renewal was seen for the time to live. A service
-// without an object is claimed at once, by rank.
+// holderExpired reports whether the holder has not renewed for AssignerTTL, plus the
+// stagger of this agent's rank. A service without an object needs only the stagger.
 func (e *Election) holderExpired(now time.Duration, rank int) bool {
 	wait := time.Duration(rank) * claimStagger
 	if e.version != 0 {
@@ -139,8 +147,8 @@
 	return &Claim{Object: next, Version: e.version}
 }
 
-// Done takes the outcome of a write: the version it made, or won false where it
-// conflicted.
+// Done reports the outcome of a write: won with the version it created, or a
+// conflict if won is false.
 func (e *Election) Done(now time.Duration, c *Claim, version uint64, won bool) {
 	e.writePending = false
 	if !won || version <= e.version && !e.isOwn(e.latest) {
@@ -155,13 +163,13 @@
 	_ = e.machine.Fire(eventWon)
 }
 
-// Unknown says that the outcome of the write under way will not be known.
+// Unknown reports that the outcome of the pending write cannot be learnt.
 //
-// Failure: the store does not answer one renewal. A holder that gave up then would
-// leave its service without planning until the others' patience is over, though
-// its hold lasts on. It shows as 5 s without repairs after one lost answer.
-// Why it may go on: the hold is dated from the last renewal that is known to have
-// succeeded, and the others wait for AssignerLife after they saw that one or a later.
+// Failure: the store does not answer one renewal. If the holder gave up its hold,
+// nobody would plan the service until the hold expired for the followers, which
+// was seen as 5 s without repairs after one lost answer. Keeping the hold is safe:
+// it counts from the last renewal known to have succeeded, and the followers wait
+// for AssignerTTL after they observed that renewal or a later one.
 func (e *Election) Unknown(now time.Duration) {
 	e.writePending = false
 	_ = e.machine.Fire(eventUnknown)
@@ -170,10 +178,10 @@
 	}
 }
 
-// Holds reports whether the agent may plan at the time now.
+// Holds reports whether the agent may plan the service at time now.
 func (e *Election) Holds(now time.Duration) bool {
 	return e.machine.State() == holding && now-e.heldSince < AssignerTTL
 }
 
-// Holder returns the VM that was last seen to hold the service, "" for none.
+// Holder returns the VM that was last observed to hold the service, "" for none.
 func (e *Election) Holder() string { return e.latest.Holder }
--- a/internal/ownership/assigner_test.go
+++ b/internal/ownership/assigner_test.go
@@ -10,24 +10,24 @@
 	"hemlockquay/internal/model"
 )
 
-// candidate is one agent of the election under test; its clock starts anywhere.
+// candidate is one agent of the election under test. Its clock has a random offset.
 type candidate struct {
 	election *Election
 	offset   time.Duration
 	sent     *Claim
 }
 
-// store is one object under conditional writes.
+// store holds one object and accepts conditional writes to it.
 type store struct {
 	object  model.Assigner
 	version uint64
 	writers map[uint64]string
 }
 
-// Two assigners plan at once, and the operators' dump shows two owners planned
-// for one slice. In which order: a holder is paused, a follower takes over, the
-// holder returns. Cause to guard against: both writes succeed on one version, or
-// a paused holder still believes in its hold.
+// Guards against two assigners planning at once, which an operator's dump would show
+// as two owners planned for one slice: a holder is paused, a follower takes over, and
+// the holder resumes. It would happen if two writes succeeded on one version, or if
+// a paused holder still considered its hold valid.
 func TestElectionHasAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var now time.Duration
@@ -38,23 +38,23 @@
 		}
 		for range rapid.IntRange(50, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(10, 1500).Draw(t, "ms")) * time.Millisecond
-			i := rapid.IntRange(0, len(candidates)-1).Draw(t, "voter")
-			v := candidates[i]
-			at := now + v.offset
+			i := rapid.IntRange(0, len(candidates)-1).Draw(t, "candidate")
+			cand := candidates[i]
+			at := now + cand.offset
 			switch rapid.SampledFrom([]string{"step", "step", "watch", "answer", "answer lost", "request lost", "restart"}).Draw(t, "event") {
 			case "step":
-				if c := v.election.Step(at, i); c != nil {
-					v.sent = c
+				if c := cand.election.Step(at, i); c != nil {
+					cand.sent = c
 				}
 			case "watch":
-				v.election.Observe(at, s.object, s.version)
+				cand.election.Observe(at, s.object, s.version)
 			case "answer":
-				v.completeWrite(at, s.put(t, v.sent), s.version)
+				cand.completeWrite(at, s.put(t, cand.sent), s.version)
 			case "answer lost":
-				s.put(t, v.sent)
-				v.abandonWrite(at)
+				s.put(t, cand.sent)
+				cand.abandonWrite(at)
 			case "request lost":
-				v.abandonWrite(at)
+				cand.abandonWrite(at)
 			case "restart":
 				candidates[i] = newCandidate(t, i, now)
 			}
@@ -64,7 +64,7 @@
 					holders++
 				}
 			}
-			require.LessOrEqual(t, holders, 1, "two hold the service at one time")
+			require.LessOrEqual(t, holders, 1, "two agents hold the service at the same time")
 		}
 	})
 }
@@ -80,34 +80,34 @@
 		return false
 	}
 	s.version++
-	require.Empty(t, s.writers[s.version], "two writes took effect on one version")
+	require.Empty(t, s.writers[s.version], "two writes took effect on the same version")
 	require.Greater(t, c.Object.Renewal, s.object.Renewal)
 	require.GreaterOrEqual(t, c.Object.Epoch, s.object.Epoch)
 	if c.Object.Holder+c.Object.Incarnation != s.object.Holder+s.object.Incarnation {
-		require.Greater(t, c.Object.Epoch, s.object.Epoch, "another holder in the same epoch")
+		require.Greater(t, c.Object.Epoch, s.object.Epoch, "the holder changed without a new epoch")
 	}
 	s.object, s.writers[s.version] = c.Object, c.Object.Holder+c.Object.Incarnation
 	return true
 }
 
-func (v *candidate) completeWrite(now time.Duration, won bool, version uint64) {
-	if v.sent == nil {
+func (cand *candidate) completeWrite(now time.Duration, won bool, version uint64) {
+	if cand.sent == nil {
 		return
 	}
-	c := v.sent
-	v.sent = nil
-	v.election.Done(now, c, version, won)
+	c := cand.sent
+	cand.sent = nil
+	cand.election.Done(now, c, version, won)
 }
 
-func (v *candidate) abandonWrite(now time.Duration) {
-	if v.sent != nil {
-		v.sent = nil
-		v.election.Unknown(now)
+func (cand *candidate) abandonWrite(now time.Duration) {
+	if cand.sent != nil {
+		cand.sent = nil
+		cand.election.Unknown(now)
 	}
 }
 
-// The store does not answer one renewal. Nobody planned the service for 5 s though
-// its assigner was well: it gave its hold up at the first lost answer.
+// Guards against a healthy assigner giving up its hold when the store does not answer
+// one renewal. Nobody planned the service for 5 s after that.
 func TestLostRenewalAnswerKeepsHold(t *testing.T) {
 	e := NewElection("s", "a", "a-1", 0)
 	c := e.Step(0, 0)
@@ -115,9 +115,9 @@
 	require.NotNil(t, e.Step(AssignerRenewInterval, 0))
 	e.Unknown(2 * AssignerRenewInterval)
 	require.True(t, e.Holds(2*AssignerRenewInterval))
-	require.NotNil(t, e.Step(2*AssignerRenewInterval, 0), "tried again at once")
+	require.NotNil(t, e.Step(2*AssignerRenewInterval, 0), "the renewal is retried at once")
 	e.Unknown(AssignerTTL - 1)
-	require.False(t, e.Holds(AssignerTTL), "dated from the last that is known to have succeeded")
+	require.False(t, e.Holds(AssignerTTL), "the hold counts from the last renewal known to have succeeded")
 }
 
 func TestHoldLapsesDuringPause(t *testing.T) {
@@ -126,8 +126,8 @@
 	require.NotNil(t, c)
 	e.Done(time.Second, c, 1, true)
 	require.True(t, e.Holds(AssignerTTL-time.Millisecond))
-	require.False(t, e.Holds(AssignerTTL), "dated from the send, not from the answer")
-	require.Nil(t, e.Step(time.Hour, 0), "back from a pause, it waits like a follower")
+	require.False(t, e.Holds(AssignerTTL), "the hold counts from the send, not from the answer")
+	require.Nil(t, e.Step(time.Hour, 0), "after a pause the former holder waits like a follower")
 	require.False(t, e.Holds(time.Hour))
 }
 
--- a/internal/ownership/faults_test.go
+++ b/internal/ownership/faults_test.go
@@ -14,25 +14,26 @@
 
 const (
 	tickInterval = 100 * time.Millisecond
-	// pollInterval is how often an agent looks at its elections.
+	// pollInterval is how often an agent steps its elections.
 	pollInterval = 500 * time.Millisecond
-	// writeTimeout is when an agent gives a write up.
+	// writeTimeout is how long an agent waits for the answer to a write.
 	writeTimeout = 2 * time.Second
 	observedTime = 60 * time.Second
 )
 
-// simAgent is one agent of a play.
+// simAgent is one agent of a simulation.
 type simAgent struct {
 	*Election
 	starts int
-	// crashedUntil, pausedUntil and partitionedUntil end a loss, a pause, and a cut from the store.
+	// crashedUntil, pausedUntil and partitionedUntil end a crash, a pause, and a
+	// partition from the store.
 	crashedUntil, pausedUntil, partitionedUntil time.Duration
-	// answersToLose is how many answers of the store get lost.
+	// answersToLose is how many of the store's next answers get lost.
 	answersToLose int
 	write         *pendingWrite
 }
 
-// pendingWrite is one in flight.
+// pendingWrite is a write in flight to the store.
 type pendingWrite struct {
 	claim               *Claim
 	arrives, answered   time.Duration
@@ -40,7 +41,8 @@
 	version             uint64
 }
 
-// simulation is three agents and one object; the first agent is led to the step.
+// simulation runs three agents on one object of the store. It leads the first agent
+// to a transition of the chart and injects a fault there.
 type simulation struct {
 	t              *testing.T
 	now            time.Duration
@@ -54,125 +56,126 @@
 	onStep         func(*simulation, statechart.Transition)
 	reached        bool
 	faultDue       bool
-	// conflictNext has another write come in before the first agent's next one.
+	// conflictNext makes another agent's write precede the first agent's next one.
 	conflictNext bool
 }
 
 func newSimulation(t *testing.T, step statechart.Transition, l setup, inject func(*simulation)) *simulation {
-	p := &simulation{t: t, step: step, inject: inject, onStep: l.onTransition, latency: 5 * time.Millisecond}
-	for i := range p.agents {
-		p.agents[i] = &simAgent{}
-		p.restart(i)
+	sim := &simulation{t: t, step: step, inject: inject, onStep: l.onTransition, latency: 5 * time.Millisecond}
+	for i := range sim.agents {
+		sim.agents[i] = &simAgent{}
+		sim.restart(i)
 	}
 	if l.before != nil {
-		l.before(p)
+		l.before(sim)
 	}
-	p.reached = step.Event == ""
-	p.faultDue = p.reached
-	return p
+	sim.reached = step.Event == ""
+	sim.faultDue = sim.reached
+	return sim
 }
 
-func (p *simulation) restart(i int) {
-	e := p.agents[i]
+func (sim *simulation) restart(i int) {
+	e := sim.agents[i]
 	e.starts++
 	vm := fmt.Sprintf("vm%d", i)
-	e.Election, e.write = NewElection("s", vm, fmt.Sprintf("%s-%d", vm, e.starts), p.now), nil
+	e.Election, e.write = NewElection("s", vm, fmt.Sprintf("%s-%d", vm, e.starts), sim.now), nil
 	if i == 0 {
-		e.machine.Watch(p.onTransition)
+		e.machine.Watch(sim.onTransition)
 	}
 }
 
-func (p *simulation) onTransition(s statechart.Transition) {
-	if p.onStep != nil {
-		p.onStep(p, s)
+func (sim *simulation) onTransition(s statechart.Transition) {
+	if sim.onStep != nil {
+		sim.onStep(sim, s)
 	}
-	if s == p.step && !p.reached {
-		p.reached, p.faultDue = true, true
+	if s == sim.step && !sim.reached {
+		sim.reached, sim.faultDue = true, true
 	}
 }
 
-// run plays to the end and returns how long in all nobody planned the service.
-func (p *simulation) run() string {
+// run simulates to the end and returns for how many seconds in total nobody planned
+// the service.
+func (sim *simulation) run() string {
 	var unassigned, since time.Duration
 	for since < observedTime {
-		for i := range p.agents {
-			p.stepAgent(i)
-			if p.faultDue {
-				p.faultDue = false
-				p.inject(p)
+		for i := range sim.agents {
+			sim.stepAgent(i)
+			if sim.faultDue {
+				sim.faultDue = false
+				sim.inject(sim)
 			}
 		}
-		holders := p.holders()
-		require.LessOrEqual(p.t, len(holders), 1, "two plan at one time: %v", holders)
-		if p.reached {
+		holders := sim.holders()
+		require.LessOrEqual(sim.t, len(holders), 1, "two agents plan at the same time: %v", holders)
+		if sim.reached {
 			since += tickInterval
 			if len(holders) == 0 {
 				unassigned += tickInterval
 			}
 		}
-		p.now += tickInterval
-		require.Less(p.t, p.now, 3*observedTime, "nothing led to the step")
+		sim.now += tickInterval
+		require.Less(sim.t, sim.now, 3*observedTime, "the transition was never taken")
 	}
-	require.Len(p.t, p.holders(), 1, "nobody plans at the end")
-	require.Equal(p.t, p.object.Holder, p.holders()[0], "the store names the holder")
+	require.Len(sim.t, sim.holders(), 1, "nobody plans at the end")
+	require.Equal(sim.t, sim.object.Holder, sim.holders()[0], "the store does not name the holder")
 	return fmt.Sprintf("%.1f", unassigned.Seconds())
 }
 
-func (p *simulation) holders() []string {
+func (sim *simulation) holders() []string {
 	var out []string
-	for i, e := range p.agents {
-		if p.isRunning(i) && e.Holds(p.now) {
+	for i, e := range sim.agents {
+		if sim.isRunning(i) && e.Holds(sim.now) {
 			out = append(out, e.self.Holder)
 		}
 	}
 	return out
 }
 
-func (p *simulation) isRunning(i int) bool {
-	return p.now >= p.agents[i].crashedUntil && p.now >= p.agents[i].pausedUntil
+func (sim *simulation) isRunning(i int) bool {
+	return sim.now >= sim.agents[i].crashedUntil && sim.now >= sim.agents[i].pausedUntil
 }
 
-func (p *simulation) reachesStore(i int) bool {
-	return p.now >= p.storeDownUntil && p.now >= p.agents[i].partitionedUntil
+func (sim *simulation) reachesStore(i int) bool {
+	return sim.now >= sim.storeDownUntil && sim.now >= sim.agents[i].partitionedUntil
 }
 
-func (p *simulation) stepAgent(i int) {
-	e := p.agents[i]
-	p.deliverWrite(e, p.reachesStore(i))
-	if e.crashedUntil != 0 && p.now >= e.crashedUntil {
+func (sim *simulation) stepAgent(i int) {
+	e := sim.agents[i]
+	sim.deliverWrite(e, sim.reachesStore(i))
+	if e.crashedUntil != 0 && sim.now >= e.crashedUntil {
 		e.crashedUntil = 0
-		p.restart(i)
+		sim.restart(i)
 	}
-	if !p.isRunning(i) {
+	if !sim.isRunning(i) {
 		return
 	}
 	if w := e.write; w != nil {
-		if !w.done && p.now < w.answered || w.lost && p.now < w.arrives+writeTimeout {
-			return // one goroutine: it waits for the store
+		if !w.done && sim.now < w.answered || w.lost && sim.now < w.arrives+writeTimeout {
+			return // the agent is one goroutine, blocked on the store
 		}
 		e.write = nil
 		if w.lost {
-			e.Unknown(p.now)
+			e.Unknown(sim.now)
 		} else {
-			e.Done(p.now, w.claim, w.version, w.applied)
+			e.Done(sim.now, w.claim, w.version, w.applied)
 		}
 	}
-	if p.now%pollInterval != time.Duration(i)*tickInterval {
+	if sim.now%pollInterval != time.Duration(i)*tickInterval {
 		return
 	}
-	if p.reachesStore(i) {
-		e.Observe(p.now, p.object, p.version)
+	if sim.reachesStore(i) {
+		e.Observe(sim.now, sim.object, sim.version)
 	}
-	if c := e.Step(p.now, i); c != nil {
-		e.write = &pendingWrite{claim: c, arrives: p.now + p.latency, answered: p.now + 2*p.latency}
+	if c := e.Step(sim.now, i); c != nil {
+		e.write = &pendingWrite{claim: c, arrives: sim.now + sim.latency, answered: sim.now + 2*sim.latency}
 	}
 }
 
-// deliverWrite lets a write reach the store when it is due, whatever became of its
-// sender.
-func (p *simulation) deliverWrite(e *simAgent, reaches bool) {
+// deliverWrite applies a write to the store when it is due, whether or not its
+// sender still runs.
+func (sim *simulation) deliverWrite(e *simAgent, reaches bool) {
 	w := e.write
-	if w == nil || w.done || p.now < w.arrives {
+	if w == nil || w.done || sim.now < w.arrives {
 		return
 	}
 	w.done = true
@@ -180,15 +183,15 @@
 		w.lost = true
 		return
 	}
-	if p.conflictNext && e == p.agents[0] {
-		p.conflictNext = false
-		p.writeAsOther()
+	if sim.conflictNext && e == sim.agents[0] {
+		sim.conflictNext = false
+		sim.writeAsOther()
 	}
-	if w.claim.Version == p.version {
-		require.Greater(p.t, w.claim.Object.Renewal, p.object.Renewal, "a renewal fell")
-		require.GreaterOrEqual(p.t, w.claim.Object.Epoch, p.object.Epoch, "an epoch fell")
-		p.version++
-		p.object, w.applied, w.version = w.claim.Object, true, p.version
+	if w.claim.Version == sim.version {
+		require.Greater(sim.t, w.claim.Object.Renewal, sim.object.Renewal, "the renewal number fell")
+		require.GreaterOrEqual(sim.t, w.claim.Object.Epoch, sim.object.Epoch, "the epoch fell")
+		sim.version++
+		sim.object, w.applied, w.version = w.claim.Object, true, sim.version
 	}
 	if e.answersToLose > 0 {
 		e.answersToLose--
@@ -196,30 +199,32 @@
 	}
 }
 
-// writeAsOther is a write of another that dies after it.
-func (p *simulation) writeAsOther() {
-	p.version++
-	p.object = model.Assigner{Service: "s", Holder: "vm1", Incarnation: "vm1-0", Epoch: p.object.Epoch + 1, Renewal: p.object.Renewal + 1}
+// writeAsOther writes a claim of another agent, which then crashes.
+func (sim *simulation) writeAsOther() {
+	sim.version++
+	sim.object = model.Assigner{Service: "s", Holder: "vm1", Incarnation: "vm1-0", Epoch: sim.object.Epoch + 1, Renewal: sim.object.Renewal + 1}
 }
 
-func (p *simulation) pause(i int, d time.Duration)     { p.agents[i].pausedUntil = p.now + d }
-func (p *simulation) partition(i int, d time.Duration) { p.agents[i].partitionedUntil = p.now + d }
-func (p *simulation) crash(i int, d time.Duration)     { p.agents[i].crashedUntil = p.now + d }
+func (sim *simulation) pause(i int, d time.Duration) { sim.agents[i].pausedUntil = sim.now + d }
+func (sim *simulation) partition(i int, d time.Duration) {
+	sim.agents[i].partitionedUntil = sim.now + d
+}
+func (sim *simulation) crash(i int, d time.Duration) { sim.agents[i].crashedUntil = sim.now + d }
 
-// setup brings the first agent to a step: begin before the play, at on each of its
-// steps.
+// setup leads the first agent to a transition: before runs once before the simulation,
+// onTransition at each transition of the first agent.
 type setup struct {
 	before       func(*simulation)
 	onTransition func(*simulation, statechart.Transition)
 }
 
-// onFirstWin does something when the first agent won for the first time.
+// onFirstWin calls do when the first agent first wins the election.
 func onFirstWin(do func(*simulation)) setup {
 	done := false
-	return setup{onTransition: func(p *simulation, s statechart.Transition) {
+	return setup{onTransition: func(sim *simulation, s statechart.Transition) {
 		if s.Event == eventWon && !done {
 			done = true
-			do(p)
+			do(sim)
 		}
 	}}
 }
@@ -228,43 +233,43 @@
 	return statechart.Transition{From: from, Event: e, To: to}
 }
 
-// setups has an entry for each step of charts/assigner.jsonc.
+// setups has an entry for each transition of charts/assigner.jsonc.
 var setups = map[statechart.Transition]func() setup{
 	{To: following}: func() setup { return setup{} },
 	transition(following, eventSilent, claiming): func() setup { return setup{} },
 	transition(following, eventSeen, following): func() setup {
-		return setup{before: func(p *simulation) { p.pause(0, 2*time.Second) }}
+		return setup{before: func(sim *simulation) { sim.pause(0, 2*time.Second) }}
 	},
 	transition(claiming, eventWon, holding): func() setup { return setup{} },
 	transition(claiming, eventLost, following): func() setup {
-		return setup{before: func(p *simulation) { p.conflictNext = true }}
+		return setup{before: func(sim *simulation) { sim.conflictNext = true }}
 	},
 	transition(claiming, eventUnknown, following): func() setup {
-		return setup{before: func(p *simulation) { p.agents[0].answersToLose = 1 }}
+		return setup{before: func(sim *simulation) { sim.agents[0].answersToLose = 1 }}
 	},
 	transition(claiming, eventSeen, following): func() setup {
-		// Its claim waits in the store's queue while it is looked at again.
-		return setup{onTransition: func(p *simulation, s statechart.Transition) {
-			if s.Event == eventSilent && !p.reached {
-				p.writeAsOther()
-				p.agents[0].Observe(p.now, p.object, p.version)
+		// The agent observes another agent's write while its own claim is in flight.
+		return setup{onTransition: func(sim *simulation, s statechart.Transition) {
+			if s.Event == eventSilent && !sim.reached {
+				sim.writeAsOther()
+				sim.agents[0].Observe(sim.now, sim.object, sim.version)
 			}
 		}}
 	},
 	transition(holding, eventWon, holding): func() setup { return setup{} },
 	transition(holding, eventSeen, following): func() setup {
-		return onFirstWin(func(p *simulation) { p.pause(0, 15*time.Second) })
+		return onFirstWin(func(sim *simulation) { sim.pause(0, 15*time.Second) })
 	},
 	transition(holding, eventLost, following): func() setup {
-		return onFirstWin(func(p *simulation) { p.conflictNext = true })
+		return onFirstWin(func(sim *simulation) { sim.conflictNext = true })
 	},
 	transition(holding, eventUnknown, holding): func() setup {
-		return onFirstWin(func(p *simulation) { p.agents[0].answersToLose = 1 })
+		return onFirstWin(func(sim *simulation) { sim.agents[0].answersToLose = 1 })
 	},
 	transition(holding, eventLapse, following): func() setup {
-		return onFirstWin(func(p *simulation) {
-			for i := range p.agents {
-				p.pause(i, AssignerTTL+time.Second)
+		return onFirstWin(func(sim *simulation) {
+			for i := range sim.agents {
+				sim.pause(i, AssignerTTL+time.Second)
 			}
 		})
 	},
@@ -276,36 +281,36 @@
 	noOperator = "operators write no assigner objects: hqctl has no command for it"
 )
 
-// faultCases has an entry for each fault: why it cannot be, or what it does.
+// faultCases has an entry for each fault: how to inject it, or why it cannot occur.
 var faultCases = map[faults.Fault]struct {
 	impossible string
 	inject     func(*simulation)
 }{
 	faults.None:            {inject: func(*simulation) {}},
-	faults.Partition:       {inject: func(p *simulation) { p.partition(0, 10*time.Second) }},
-	faults.Pause:           {inject: func(p *simulation) { p.pause(0, 3*time.Second) }},
+	faults.Partition:       {inject: func(sim *simulation) { sim.partition(0, 10*time.Second) }},
+	faults.Pause:           {inject: func(sim *simulation) { sim.pause(0, 3*time.Second) }},
 	faults.EntryLost:       {impossible: noData},
 	faults.DispatchLost:    {impossible: noData},
-	faults.AgentLost:       {inject: func(p *simulation) { p.crash(0, 3*time.Second) }},
+	faults.AgentLost:       {inject: func(sim *simulation) { sim.crash(0, 3*time.Second) }},
 	faults.TargetFrozen:    {impossible: noTarget},
 	faults.TargetLost:      {impossible: noTarget},
-	faults.StoreDown:       {inject: func(p *simulation) { p.storeDownUntil = p.now + 20*time.Second }},
-	faults.StoreSlow:       {inject: func(p *simulation) { p.latency = 400 * time.Millisecond }},
-	faults.StoreAnswerLost: {inject: func(p *simulation) { p.agents[0].answersToLose = 2 }},
-	faults.LeaseLapsed:     {inject: func(p *simulation) { p.pause(0, 10*time.Second) }},
+	faults.StoreDown:       {inject: func(sim *simulation) { sim.storeDownUntil = sim.now + 20*time.Second }},
+	faults.StoreSlow:       {inject: func(sim *simulation) { sim.latency = 400 * time.Millisecond }},
+	faults.StoreAnswerLost: {inject: func(sim *simulation) { sim.agents[0].answersToLose = 2 }},
+	faults.LeaseLapsed:     {inject: func(sim *simulation) { sim.pause(0, 10*time.Second) }},
 	faults.OperatorsRace:   {impossible: noOperator},
 	faults.CrashingRequest: {impossible: noTarget},
-	faults.VMLeaves:        {inject: func(p *simulation) { p.crash(0, time.Hour) }},
+	faults.VMLeaves:        {inject: func(sim *simulation) { sim.crash(0, time.Hour) }},
 	faults.TargetLeaves:    {impossible: noTarget},
-	faults.DataCentreLost:  {inject: func(p *simulation) { p.crash(0, 5*time.Second); p.crash(1, time.Hour) }},
+	faults.DataCentreLost:  {inject: func(sim *simulation) { sim.crash(0, 5*time.Second); sim.crash(1, time.Hour) }},
 	faults.TargetLostTwice: {impossible: noTarget},
-	faults.PartitionTwice: {inject: func(p *simulation) {
-		p.partition(0, 3*time.Second)
-		p.partition(1, 10*time.Second)
+	faults.PartitionTwice: {inject: func(sim *simulation) {
+		sim.partition(0, 3*time.Second)
+		sim.partition(1, 10*time.Second)
 	}},
 	faults.TargetAndStore:   {impossible: noTarget + ": see store down"},
 	faults.AgentAndTarget:   {impossible: noTarget + ": see agent lost"},
-	faults.PauseInPartition: {inject: func(p *simulation) { p.partition(0, 10*time.Second); p.pause(0, 3*time.Second) }},
+	faults.PauseInPartition: {inject: func(sim *simulation) { sim.partition(0, 10*time.Second); sim.pause(0, 3*time.Second) }},
 }
 
 const matrixIntro = `Three agents elect the assigner of one service over one object of the store, in
@@ -316,17 +321,17 @@
 Checked every 100 ms: one agent at most holds the service; epochs and renewals in the
 store never fall. At the end: one holds it, and the store names it.`
 
-// Two agents plan one service, or none does for ever: a holder was paused, cut off
-// or lost its answer just when it claimed, renewed or gave up.
-// docs/faults/assigner.md shows each fault at each step.
+// Guards against two agents planning one service, or none for ever, after a fault at
+// the moment when an agent claims, renews or loses its hold. docs/faults/assigner.md
+// holds the result of each fault at each transition.
 func TestFaultsAtStepsOfElection(t *testing.T) {
 	m := faults.New(assignerChart, matrixIntro)
 	for _, step := range faults.Steps(assignerChart) {
 		l, ok := setups[step]
-		require.True(t, ok, "nothing leads to %s", faults.Name(step))
+		require.True(t, ok, "no setup for %s", faults.Name(step))
 		for _, f := range faults.All() {
 			b, ok := faultCases[f]
-			require.True(t, ok, "no entry for %s", f)
+			require.True(t, ok, "no fault case for %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
 				continue
