--- a/internal/agent/assigner.go
+++ b/internal/agent/assigner.go
@@ -153,7 +153,7 @@
 		p.election.Done(a.clock.Now(), c, written, err == nil)
 		return
 	}
-	p.election.Unknown(a.clock.Now())
+	p.election.OutcomeUnknown(a.clock.Now())
 	a.log.Debug().Err(err).Str("step", "elect").Str("peer", "store").Str("service", c.Object.Service).Msg("claim not written")
 }
 
--- a/internal/ownership/assigner.go
+++ b/internal/ownership/assigner.go
@@ -163,14 +163,14 @@
 	_ = e.machine.Fire(eventWon)
 }
 
-// Unknown reports that the outcome of the pending write cannot be learnt.
+// OutcomeUnknown reports that the outcome of the pending write cannot be learnt.
 //
 // Failure: the store does not answer one renewal. If the holder gave up its hold,
 // nobody would plan the service until the hold expired for the followers, which
 // was seen as 5 s without repairs after one lost answer. Keeping the hold is safe:
 // it counts from the last renewal known to have succeeded, and the followers wait
 // for AssignerTTL after they observed that renewal or a later one.
-func (e *Election) Unknown(now time.Duration) {
+func (e *Election) OutcomeUnknown(now time.Duration) {
 	e.writePending = false
 	_ = e.machine.Fire(eventUnknown)
 	if e.machine.State() == following {
--- a/internal/ownership/assigner_test.go
+++ b/internal/ownership/assigner_test.go
@@ -102,7 +102,7 @@
 func (cand *candidate) abandonWrite(now time.Duration) {
 	if cand.sent != nil {
 		cand.sent = nil
-		cand.election.Unknown(now)
+		cand.election.OutcomeUnknown(now)
 	}
 }
 
@@ -113,10 +113,10 @@
 	c := e.Step(0, 0)
 	e.Done(time.Millisecond, c, 1, true)
 	require.NotNil(t, e.Step(AssignerRenewInterval, 0))
-	e.Unknown(2 * AssignerRenewInterval)
+	e.OutcomeUnknown(2 * AssignerRenewInterval)
 	require.True(t, e.Holds(2*AssignerRenewInterval))
 	require.NotNil(t, e.Step(2*AssignerRenewInterval, 0), "the renewal is retried at once")
-	e.Unknown(AssignerTTL - 1)
+	e.OutcomeUnknown(AssignerTTL - 1)
 	require.False(t, e.Holds(AssignerTTL), "the hold counts from the last renewal known to have succeeded")
 }
 
--- a/internal/ownership/faults_test.go
+++ b/internal/ownership/faults_test.go
@@ -155,7 +155,7 @@
 		}
 		e.write = nil
 		if w.lost {
-			e.Unknown(sim.now)
+			e.OutcomeUnknown(sim.now)
 		} else {
 			e.Done(sim.now, w.claim, w.version, w.applied)
 		}
