--- a/internal/agent/groups.go
+++ b/internal/agent/groups.go
@@ -72,7 +72,7 @@
 func (d *grantorDuty) adopt(h *heldService) {
 	now := d.clock.Now()
 	params := d.params
-	params.Checks = h.service.ChecksFences
+	params.ChecksFences = h.service.ChecksFences
 	listed := make(map[uint64]bool, len(h.record.Groups))
 	h.ids = h.ids[:0]
 	for _, rec := range h.record.Groups {
--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -88,7 +88,7 @@
 // heldParams are the default times.
 func heldParams() grants.Params {
 	return grants.Params{
-		VM: "vm1", Incarnation: "vm1-1", Started: 1, Checks: true,
+		VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
 		Every: 75 * time.Millisecond, Life: 400 * time.Millisecond, Authority: 160 * time.Millisecond,
 		Margin: 10 * time.Millisecond, Patience: 25 * time.Millisecond, MoveLimit: time.Second, Unserved: unserved,
 	}
--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -152,7 +152,7 @@
 func TestUncheckingTargetIsNeverTakenOver(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
-	a.groups[0].params.Checks = false
+	a.groups[0].params.ChecksFences = false
 	require.NoError(t, s.talk(300*ms, a, everybody...))
 	require.Equal(t, "t0", s.owner())
 	require.NoError(t, s.talk(4*time.Second, a, "t1", "t2"))
@@ -164,7 +164,7 @@
 // answer 15 ms late, to a renewal one look late, was taken for a missing one.
 func TestSteadyGrantorLeavesStoreAlone(t *testing.T) {
 	const look = 15 * ms
-	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, Checks: true,
+	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
 		Every: 80 * ms, Life: 450 * ms, Authority: 160 * ms, Margin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
 	rec := model.Group{Epoch: 1, Author: "vm2-1", Grantors: []string{"vm1"}}
 	listTargets(&rec)
@@ -208,7 +208,7 @@
 // it is lost with the store down. The first is alive but outranked, and the third waited
 // for it until it lost patience.
 func TestThirdDoesNotWaitForAnOutrankedFirst(t *testing.T) {
-	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, Checks: true,
+	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, ChecksFences: true,
 		Every: 75 * ms, Life: 400 * ms, Authority: 160 * ms, Margin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
 	rec := model.Group{Epoch: 7, Author: "vm1-1", Grantors: []string{"vm1", "vm2", "vm3"}}
 	listTargets(&rec)
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -26,9 +26,9 @@
 	VM          string
 	Incarnation string
 	Started     int64
-	// Checks says that the targets check fences. Those that do not are granted
+	// ChecksFences says that the targets check fences. Those that do not are granted
 	// only as the record has it: no takeover and no move by the grantor alone.
-	Checks bool
+	ChecksFences bool
 	// Every is the pause between two renewals.
 	Every time.Duration
 	// Life is how long a grant lives, on the target's clock.
--- a/internal/ownership/grants/rules.go
+++ b/internal/ownership/grants/rules.go
@@ -187,7 +187,7 @@
 }
 
 func (g *Group) pair() []model.TargetRef {
-	if g.rec.Standby.Name == "" || !g.params.Checks {
+	if g.rec.Standby.Name == "" || !g.params.ChecksFences {
 		return []model.TargetRef{g.rec.Owner}
 	}
 	return []model.TargetRef{g.rec.Owner, g.rec.Standby}
