--- a/internal/agent/groups_test.go
+++ b/internal/agent/groups_test.go
@@ -16,7 +16,7 @@
 // dropped the group meanwhile, it would grant another target without waiting for
 // that end: two owners. A group that never named it costs it nothing.
 func TestGroupsAreKeptOnceTheyNamedTheVM(t *testing.T) {
-	d := &grantorDuty{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", Every: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
+	d := &grantorDuty{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
 	h := &heldService{service: &model.Service{Name: "shelf"}, groups: make(map[uint64]*grants.Group)}
 	adopt := func(epoch uint64, grantors ...string) {
 		h.record = &model.Assignment{Service: "shelf", Groups: []model.Group{{ID: 1, Epoch: epoch, Grantors: grantors}}}
--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -89,7 +89,7 @@
 func heldParams() grants.Params {
 	return grants.Params{
 		VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
-		Every: 75 * time.Millisecond, Life: 400 * time.Millisecond, Authority: 160 * time.Millisecond,
+		RenewInterval: 75 * time.Millisecond, Life: 400 * time.Millisecond, Authority: 160 * time.Millisecond,
 		Margin: 10 * time.Millisecond, Patience: 25 * time.Millisecond, MoveLimit: time.Second, Unserved: unserved,
 	}
 }
@@ -146,7 +146,7 @@
 
 // beat plays a renewal.
 func (p *heldPlay) beat() {
-	p.pass(heldParams().Every)
+	p.pass(heldParams().RenewInterval)
 	for _, o := range p.orders() {
 		p.carry(p.t.Context(), o)
 	}
@@ -155,7 +155,7 @@
 // giveUp cuts the owner off and sends it a renewal, which is given up once it is in flight.
 func (p *heldPlay) giveUp() {
 	p.owner.Cut()
-	p.pass(heldParams().Every)
+	p.pass(heldParams().RenewInterval)
 	for _, o := range p.orders() {
 		if o.Target != p.owner.name {
 			p.carry(p.t.Context(), o)
--- a/internal/agent/slope_test.go
+++ b/internal/agent/slope_test.go
@@ -284,7 +284,7 @@
 					Owner: model.TargetRef{Name: "t1"}, Standby: model.TargetRef{Name: "t2"}, Witness: model.TargetRef{Name: "t3"},
 				})
 			}
-			d := &grantorDuty{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", Every: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
+			d := &grantorDuty{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
 			held := func() *heldService {
 				h := &heldService{service: &model.Service{Name: "shelf"}, record: record, groups: make(map[uint64]*grants.Group)}
 				d.adopt(h)
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -29,8 +29,8 @@
 	// ChecksFences says that the targets check fences. Those that do not are granted
 	// only as the record has it: no takeover and no move by the grantor alone.
 	ChecksFences bool
-	// Every is the pause between two renewals.
-	Every time.Duration
+	// RenewInterval is the pause between two renewals.
+	RenewInterval time.Duration
 	// Life is how long a grant lives, on the target's clock.
 	Life time.Duration
 	// Authority is how long an arbiter's confirmation counts, from the ask.
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -36,7 +36,7 @@
 		_ = g.standing.Fire(won)
 	}
 	g.steer(now)
-	if !g.due && now-g.sent < g.params.Every {
+	if !g.due && now-g.sent < g.params.RenewInterval {
 		return nil
 	}
 	g.due, g.sent = false, now
