--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -61,7 +61,7 @@
 	if g := &o.Groups[0]; g.Until > 0 {
 		h.grants++
 		if h.fromArrival {
-			g.Until = h.clock() + int64(heldParams().Life)
+			g.Until = h.clock() + int64(heldParams().GrantTTL)
 		}
 	}
 	_ = json.NewEncoder(w).Encode(h.fences.Apply(&o, h.clock(), func(string, []keyspace.Slice) int { return 0 }))
@@ -89,7 +89,7 @@
 func heldParams() grants.Params {
 	return grants.Params{
 		VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
-		RenewInterval: 75 * time.Millisecond, Life: 400 * time.Millisecond, Authority: 160 * time.Millisecond,
+		RenewInterval: 75 * time.Millisecond, GrantTTL: 400 * time.Millisecond, Authority: 160 * time.Millisecond,
 		Margin: 10 * time.Millisecond, Patience: 25 * time.Millisecond, MoveLimit: time.Second, Unserved: unserved,
 	}
 }
@@ -181,7 +181,7 @@
 	before := p.owner.arrived()
 	p.giveUp()
 	for began := p.now; !p.standby.holds(); {
-		require.Less(p.t, p.now, began+3*heldParams().Life, "the keys have no owner")
+		require.Less(p.t, p.now, began+3*heldParams().GrantTTL, "the keys have no owner")
 		p.beat()
 		require.False(p.t, p.owner.holds() && p.standby.holds(), "two targets hold the keys in the cut")
 	}
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -31,8 +31,8 @@
 	ChecksFences bool
 	// RenewInterval is the pause between two renewals.
 	RenewInterval time.Duration
-	// Life is how long a grant lives, on the target's clock.
-	Life time.Duration
+	// GrantTTL is how long a grant lives, on the target's clock.
+	GrantTTL time.Duration
 	// Authority is how long an arbiter's confirmation counts, from the ask.
 	Authority time.Duration
 	// Margin is added to every end that is judged by another clock. Clocks may
--- a/internal/ownership/grants/rules.go
+++ b/internal/ownership/grants/rules.go
@@ -118,7 +118,7 @@
 	if !g.ownEpoch() && g.broken != slowWithoutWrite {
 		return false
 	}
-	wait := g.params.Authority + g.params.Life + g.margin()
+	wait := g.params.Authority + g.params.GrantTTL + g.margin()
 	return now-last >= wait || g.broken == noSlowWait
 }
 
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -190,9 +190,9 @@
 	}
 	c := g.contact(g.target)
 	o.Slices = append([]keyspace.Slice(nil), g.rec.Slices...)
-	o.Until = c.clock + int64(g.params.Life)
+	o.Until = c.clock + int64(g.params.GrantTTL)
 	if g.broken != keptAfterSend {
-		c.sentUntil = max(c.sentUntil, c.clockAt+g.params.Life+g.margin())
+		c.sentUntil = max(c.sentUntil, c.clockAt+g.params.GrantTTL+g.margin())
 	}
 }
 
