--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -33,8 +33,8 @@
 	RenewInterval time.Duration
 	// GrantTTL is how long a grant lives, on the target's clock.
 	GrantTTL time.Duration
-	// Authority is how long an arbiter's confirmation counts, from the ask.
-	Authority time.Duration
+	// AuthorityTTL is how long an arbiter's confirmation counts, from the ask.
+	AuthorityTTL time.Duration
 	// Margin is added to every end that is judged by another clock. Clocks may
 	// run fast or slow by the part Margin / (2*(Life+Authority) + Margin).
 	Margin time.Duration
--- a/internal/ownership/grants/record.go
+++ b/internal/ownership/grants/record.go
@@ -58,7 +58,7 @@
 // allHeard reports whether the fast path would succeed at once at a new epoch.
 func (g *Group) allHeard(now time.Duration) bool {
 	return !slices.ContainsFunc(g.arbiters(), func(ref model.TargetRef) bool {
-		return !g.contact(ref.Name).seen.within(now, g.params.Authority)
+		return !g.contact(ref.Name).seen.within(now, g.params.AuthorityTTL)
 	})
 }
 
--- a/internal/ownership/grants/rules.go
+++ b/internal/ownership/grants/rules.go
@@ -44,14 +44,14 @@
 // successor cannot reach. It shows as two owners. Every successor first fences
 // the arbiters, so the old grantor's authority runs dry.
 func (g *Group) authority(target string, now time.Duration) bool {
-	if g.broken == noAuthority || g.storeAt.within(now, g.params.Authority) {
+	if g.broken == noAuthority || g.storeAt.within(now, g.params.AuthorityTTL) {
 		return true
 	}
 	for _, ref := range g.arbiters() {
 		if ref.Name == target && g.broken != ownAuthority {
 			continue
 		}
-		if c := g.contact(ref.Name); c.acked && c.asked.within(now, g.params.Authority) {
+		if c := g.contact(ref.Name); c.acked && c.asked.within(now, g.params.AuthorityTTL) {
 			return true
 		}
 	}
@@ -118,7 +118,7 @@
 	if !g.ownEpoch() && g.broken != slowWithoutWrite {
 		return false
 	}
-	wait := g.params.Authority + g.params.GrantTTL + g.margin()
+	wait := g.params.AuthorityTTL + g.params.GrantTTL + g.margin()
 	return now-last >= wait || g.broken == noSlowWait
 }
 
@@ -162,7 +162,7 @@
 // this rank in its listed incarnation and answers.
 func (g *Group) serviceable(ref model.TargetRef, now time.Duration) bool {
 	c := g.contact(ref.Name)
-	return ref.Name != "" && c.acked && c.asked.within(now, g.params.Authority)
+	return ref.Name != "" && c.acked && c.asked.within(now, g.params.AuthorityTTL)
 }
 
 func (g *Group) mayGrant(ref model.TargetRef, now time.Duration) bool {
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -123,7 +123,7 @@
 func (g *Group) watch(now time.Duration) {
 	c := g.contact(g.target)
 	switch {
-	case c.restarted, c.out() <= now && (c.sentUntil > 0 || g.broken == keptAfterSend && !c.asked.within(now, g.params.Authority)):
+	case c.restarted, c.out() <= now && (c.sentUntil > 0 || g.broken == keptAfterSend && !c.asked.within(now, g.params.AuthorityTTL)):
 		g.note("target " + g.target + " lost or out of authority")
 		_ = g.grant.Fire(silent)
 		g.target = ""
@@ -222,7 +222,7 @@
 func (g *Group) targetAuthority(target string, now time.Duration) bool {
 	for _, ref := range g.arbiters() {
 		c := g.contact(ref.Name)
-		if ref.Name != target && c.acked && c.asked.within(now, 3*g.params.Authority/4) {
+		if ref.Name != target && c.acked && c.asked.within(now, 3*g.params.AuthorityTTL/4) {
 			return true
 		}
 	}
