--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -53,7 +53,7 @@
 	a.cutOff = true
 	p := a.groups[0].params
 	s.restartTarget(0) // its memory is lost, and nobody learns of the new life
-	require.NoError(t, s.talk(p.GrantTTL+p.Margin+2*p.RenewInterval, a, "t1", "t2"))
+	require.NoError(t, s.talk(p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, "t1", "t2"))
 	require.Equal(t, "t1", s.owner())
 }
 
@@ -83,7 +83,7 @@
 	p := next.groups[0].params
 	gap := s.unserved(3*time.Second, next, "t1", "t2")
 	require.Equal(t, "t1", s.owner())
-	require.Less(t, gap, p.Patience+p.AuthorityTTL+p.Margin+p.RenewInterval+200*ms)
+	require.Less(t, gap, p.Patience+p.AuthorityTTL+p.ClockMargin+p.RenewInterval+200*ms)
 }
 
 // TestReplacedTargetCostsNoGap: the standby serves after a loss, and the assigner
@@ -134,7 +134,7 @@
 	rec.MoveTo = "t1"
 	s.record(rec, a)
 	p := a.groups[0].params
-	require.NoError(t, s.talk(p.MoveLimit+p.GrantTTL+p.Margin+2*p.RenewInterval, a, everybody...))
+	require.NoError(t, s.talk(p.MoveLimit+p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, everybody...))
 	require.Equal(t, "t1", s.owner())
 }
 
@@ -165,7 +165,7 @@
 func TestSteadyGrantorLeavesStoreAlone(t *testing.T) {
 	const look = 15 * ms
 	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
-		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, Margin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
+		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
 	rec := model.Group{Epoch: 1, Author: "vm2-1", Grantors: []string{"vm1"}}
 	listTargets(&rec)
 	g := New(p, rec, 0)
@@ -209,7 +209,7 @@
 // for it until it lost patience.
 func TestThirdDoesNotWaitForAnOutrankedFirst(t *testing.T) {
 	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, ChecksFences: true,
-		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, Margin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
+		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
 	rec := model.Group{Epoch: 7, Author: "vm1-1", Grantors: []string{"vm1", "vm2", "vm3"}}
 	listTargets(&rec)
 	lost := func(vm string) bool { return vm != "vm2" }
--- a/internal/ownership/grants/faults_play_test.go
+++ b/internal/ownership/grants/faults_play_test.go
@@ -61,7 +61,7 @@
 // limit of a release, which is shortened to fit into a play.
 func (p *play) serve(a *walkAgent) {
 	q := &a.groups[0].params
-	q.RenewInterval, q.GrantTTL, q.AuthorityTTL, q.Margin = 75*ms, 400*ms, 160*ms, 10*ms
+	q.RenewInterval, q.GrantTTL, q.AuthorityTTL, q.ClockMargin = 75*ms, 400*ms, 160*ms, 10*ms
 	q.Patience, q.Unserved, q.MoveLimit = 25*ms, 1500*ms, 500*ms
 }
 
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -35,9 +35,9 @@
 	GrantTTL time.Duration
 	// AuthorityTTL is how long an arbiter's confirmation counts, from the ask.
 	AuthorityTTL time.Duration
-	// Margin is added to every end that is judged by another clock. Clocks may
-	// run fast or slow by the part Margin / (2*(Life+Authority) + Margin).
-	Margin time.Duration
+	// ClockMargin is added to every end that is judged by another clock. Clocks may
+	// run fast or slow by the part ClockMargin / (2*(Life+Authority) + ClockMargin).
+	ClockMargin time.Duration
 	// Patience is how long a claim waits for the fast path before it asks
 	// for an epoch of its own.
 	Patience time.Duration
--- a/internal/ownership/grants/rules.go
+++ b/internal/ownership/grants/rules.go
@@ -34,7 +34,7 @@
 	if g.broken == noMargin {
 		return 0
 	}
-	return g.params.Margin
+	return g.params.ClockMargin
 }
 
 // authority is rule 1: an arbiter other than the target confirmed this rank
