--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -83,7 +83,7 @@
 	p := next.groups[0].params
 	gap := s.unserved(3*time.Second, next, "t1", "t2")
 	require.Equal(t, "t1", s.owner())
-	require.Less(t, gap, p.Patience+p.AuthorityTTL+p.ClockMargin+p.RenewInterval+200*ms)
+	require.Less(t, gap, p.FastPathTimeout+p.AuthorityTTL+p.ClockMargin+p.RenewInterval+200*ms)
 }
 
 // TestReplacedTargetCostsNoGap: the standby serves after a loss, and the assigner
@@ -165,7 +165,7 @@
 func TestSteadyGrantorLeavesStoreAlone(t *testing.T) {
 	const look = 15 * ms
 	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
-		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
+		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, Unserved: 1500 * ms}
 	rec := model.Group{Epoch: 1, Author: "vm2-1", Grantors: []string{"vm1"}}
 	listTargets(&rec)
 	g := New(p, rec, 0)
@@ -209,7 +209,7 @@
 // for it until it lost patience.
 func TestThirdDoesNotWaitForAnOutrankedFirst(t *testing.T) {
 	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, ChecksFences: true,
-		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, Patience: 25 * ms, Unserved: 1500 * ms}
+		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, Unserved: 1500 * ms}
 	rec := model.Group{Epoch: 7, Author: "vm1-1", Grantors: []string{"vm1", "vm2", "vm3"}}
 	listTargets(&rec)
 	lost := func(vm string) bool { return vm != "vm2" }
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -38,9 +38,9 @@
 	// ClockMargin is added to every end that is judged by another clock. Clocks may
 	// run fast or slow by the part ClockMargin / (2*(Life+Authority) + ClockMargin).
 	ClockMargin time.Duration
-	// Patience is how long a claim waits for the fast path before it asks
+	// FastPathTimeout is how long a claim waits for the fast path before it asks
 	// for an epoch of its own.
-	Patience time.Duration
+	FastPathTimeout time.Duration
 	// Unserved is how long a group may be without a grant, though those before
 	// in the line are heard, until the next one tries.
 	Unserved time.Duration
--- a/internal/ownership/grants/record.go
+++ b/internal/ownership/grants/record.go
@@ -17,7 +17,7 @@
 			return g.nextEpoch(), true
 		}
 	case claiming:
-		if g.learned() && (g.complete() || now-g.took > g.params.Patience) || g.stuck(now) {
+		if g.learned() && (g.complete() || now-g.took > g.params.FastPathTimeout) || g.stuck(now) {
 			return g.nextEpoch(), true
 		}
 	case granting:
@@ -43,7 +43,7 @@
 
 // stuck reports whether the fast path failed and the slow one needs an epoch.
 func (g *Group) stuck(now time.Duration) bool {
-	return now-g.took > g.params.Patience && !g.ownEpoch()
+	return now-g.took > g.params.FastPathTimeout && !g.ownEpoch()
 }
 
 // learned reports whether a life of an arbiter is known that the record does not
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -167,7 +167,7 @@
 
 // holdBack reports whether the owner is not asked yet.
 func (g *Group) holdBack(now time.Duration) bool {
-	if g.standing.State() != claiming || len(g.arbiters()) == 1 || now-g.took > g.params.Patience/2 {
+	if g.standing.State() != claiming || len(g.arbiters()) == 1 || now-g.took > g.params.FastPathTimeout/2 {
 		return false
 	}
 	for _, ref := range g.arbiters()[1:] {
