--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -143,7 +143,7 @@
 func TestGrantorCutOffFromTargets(t *testing.T) {
 	s := newScenario(t, "")
 	next := s.agents[1]
-	require.NoError(t, s.talk(next.groups[0].params.Unserved+500*ms, next, everybody...))
+	require.NoError(t, s.talk(next.groups[0].params.UnservedTimeout+500*ms, next, everybody...))
 	require.Equal(t, "t0", s.owner())
 }
 
@@ -165,7 +165,7 @@
 func TestSteadyGrantorLeavesStoreAlone(t *testing.T) {
 	const look = 15 * ms
 	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
-		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, Unserved: 1500 * ms}
+		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, UnservedTimeout: 1500 * ms}
 	rec := model.Group{Epoch: 1, Author: "vm2-1", Grantors: []string{"vm1"}}
 	listTargets(&rec)
 	g := New(p, rec, 0)
@@ -209,7 +209,7 @@
 // for it until it lost patience.
 func TestThirdDoesNotWaitForAnOutrankedFirst(t *testing.T) {
 	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, ChecksFences: true,
-		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, Unserved: 1500 * ms}
+		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, UnservedTimeout: 1500 * ms}
 	rec := model.Group{Epoch: 7, Author: "vm1-1", Grantors: []string{"vm1", "vm2", "vm3"}}
 	listTargets(&rec)
 	lost := func(vm string) bool { return vm != "vm2" }
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -41,9 +41,9 @@
 	// FastPathTimeout is how long a claim waits for the fast path before it asks
 	// for an epoch of its own.
 	FastPathTimeout time.Duration
-	// Unserved is how long a group may be without a grant, though those before
+	// UnservedTimeout is how long a group may be without a grant, though those before
 	// in the line are heard, until the next one tries.
-	Unserved time.Duration
+	UnservedTimeout time.Duration
 	// MoveLimit bounds how long a release may take.
 	MoveLimit time.Duration
 }
--- a/internal/ownership/grants/record.go
+++ b/internal/ownership/grants/record.go
@@ -37,7 +37,7 @@
 	if r == (wire.Rank{}) || r.Epoch != g.rec.Epoch {
 		return false
 	}
-	last := time.Duration(len(g.rec.Grantors)+g.place) * g.params.Unserved
+	last := time.Duration(len(g.rec.Grantors)+g.place) * g.params.UnservedTimeout
 	return r.Agent == g.params.VM || !observation.Live(r.Agent) || g.idleFor(now) > last
 }
 
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -55,7 +55,7 @@
 	}
 	for _, vm := range g.rec.Grantors[g.mayClaim(observation):g.place] {
 		if observation.Live(vm) {
-			return g.idleFor(now) > time.Duration(g.place)*g.params.Unserved
+			return g.idleFor(now) > time.Duration(g.place)*g.params.UnservedTimeout
 		}
 	}
 	return true
@@ -198,7 +198,7 @@
 
 // Idle reports whether this agent does not grant the group, or in vain for long.
 func (g *Group) Idle(now time.Duration) bool {
-	return g.standing.State() == following || g.confirmedAt.ok && now-g.confirmedAt.at > g.params.Unserved
+	return g.standing.State() == following || g.confirmedAt.ok && now-g.confirmedAt.at > g.params.UnservedTimeout
 }
 
 // NeedsStore reports whether only the store can give authority now.
