--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -68,7 +68,7 @@
 		params: grants.Params{
 			VM: s.VM, Incarnation: a.incarnation, Started: a.started,
 			RenewInterval: s.GrantEvery.D(), GrantTTL: s.GrantLife.D(), AuthorityTTL: s.Authority.D(), ClockMargin: s.ClockMargin.D(),
-			FastPathTimeout: s.TakeoverPatience.D(), MoveLimit: s.ReleaseLimit.D(), UnservedTimeout: unserved,
+			FastPathTimeout: s.TakeoverPatience.D(), ReleaseTimeout: s.ReleaseLimit.D(), UnservedTimeout: unserved,
 		},
 		timeout:   s.Authority.D(),
 		silence:   s.TakeoverSilence.D(),
--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -90,7 +90,7 @@
 	return grants.Params{
 		VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
 		RenewInterval: 75 * time.Millisecond, GrantTTL: 400 * time.Millisecond, AuthorityTTL: 160 * time.Millisecond,
-		ClockMargin: 10 * time.Millisecond, FastPathTimeout: 25 * time.Millisecond, MoveLimit: time.Second, UnservedTimeout: unserved,
+		ClockMargin: 10 * time.Millisecond, FastPathTimeout: 25 * time.Millisecond, ReleaseTimeout: time.Second, UnservedTimeout: unserved,
 	}
 }
 
--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -134,7 +134,7 @@
 	rec.MoveTo = "t1"
 	s.record(rec, a)
 	p := a.groups[0].params
-	require.NoError(t, s.talk(p.MoveLimit+p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, everybody...))
+	require.NoError(t, s.talk(p.ReleaseTimeout+p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, everybody...))
 	require.Equal(t, "t1", s.owner())
 }
 
--- a/internal/ownership/grants/faults_play_test.go
+++ b/internal/ownership/grants/faults_play_test.go
@@ -62,7 +62,7 @@
 func (p *play) serve(a *walkAgent) {
 	q := &a.groups[0].params
 	q.RenewInterval, q.GrantTTL, q.AuthorityTTL, q.ClockMargin = 75*ms, 400*ms, 160*ms, 10*ms
-	q.FastPathTimeout, q.UnservedTimeout, q.MoveLimit = 25*ms, 1500*ms, 500*ms
+	q.FastPathTimeout, q.UnservedTimeout, q.ReleaseTimeout = 25*ms, 1500*ms, 500*ms
 }
 
 func newPlay(t *testing.T, step statechart.Transition, l lead, inject func(*play)) *play {
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -44,8 +44,8 @@
 	// UnservedTimeout is how long a group may be without a grant, though those before
 	// in the line are heard, until the next one tries.
 	UnservedTimeout time.Duration
-	// MoveLimit bounds how long a release may take.
-	MoveLimit time.Duration
+	// ReleaseTimeout bounds how long a release may take.
+	ReleaseTimeout time.Duration
 }
 
 // Order is what to send to one target. The shell batches the orders of a tick.
--- a/internal/ownership/grants/slope_test.go
+++ b/internal/ownership/grants/slope_test.go
@@ -15,7 +15,7 @@
 func slopeGroups(n int, vm string) []*Group {
 	p := Params{
 		VM: vm, Incarnation: vm + "-1", Started: slopeStarted, ChecksFences: true, RenewInterval: 75 * ms, GrantTTL: 350 * ms,
-		AuthorityTTL: 200 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, MoveLimit: 10 * time.Second, UnservedTimeout: 1500 * ms,
+		AuthorityTTL: 200 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, ReleaseTimeout: 10 * time.Second, UnservedTimeout: 1500 * ms,
 	}
 	ref := func(i int) model.TargetRef { return model.TargetRef{Name: fmt.Sprint("t", i%16), Incarnation: "i"} }
 	var out []*Group
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -132,7 +132,7 @@
 		g.note("planned move from " + g.target + " to " + g.rec.MoveTo)
 		g.due = true
 		_ = g.grant.Fire(release)
-	case g.grant.State() == releasing && now-g.releaseFrom > g.params.MoveLimit:
+	case g.grant.State() == releasing && now-g.releaseFrom > g.params.ReleaseTimeout:
 		g.note("release by " + g.target + " overdue: waiting its grant out")
 		_ = g.grant.Fire(overdue)
 	}
--- a/internal/ownership/grants/walk_test.go
+++ b/internal/ownership/grants/walk_test.go
@@ -28,7 +28,7 @@
 func walkParams(vm string, started int64) Params {
 	return Params{
 		VM: vm, Incarnation: fmt.Sprintf("%s-%d", vm, started), Started: started,
-		ChecksFences: true, RenewInterval: 150 * ms, GrantTTL: 600 * ms, AuthorityTTL: 500 * ms, ClockMargin: 220 * ms, FastPathTimeout: 300 * ms, MoveLimit: 500 * ms, UnservedTimeout: 700 * ms,
+		ChecksFences: true, RenewInterval: 150 * ms, GrantTTL: 600 * ms, AuthorityTTL: 500 * ms, ClockMargin: 220 * ms, FastPathTimeout: 300 * ms, ReleaseTimeout: 500 * ms, UnservedTimeout: 700 * ms,
 	}
 }
 
