--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -102,7 +102,7 @@
 		return out
 	}
 	g := &r.Groups[i]
-	out.Confirmed, out.Fence, out.Before = g.Confirmed, g.Fence, g.Before
+	out.Confirmed, out.Fence, out.PreviousFence = g.Confirmed, g.Fence, g.Before
 	out.Held, out.HeldRank, out.Running = g.Held, g.HeldRank, g.Running
 	return out
 }
--- a/internal/ownership/grants/contact.go
+++ b/internal/ownership/grants/contact.go
@@ -110,7 +110,7 @@
 func (g *Group) confirmed(o *Order, r *Report, c *contact, now time.Duration) bool {
 	first := !c.acked
 	if first {
-		c.acked, c.since, c.before = true, now, r.Before
+		c.acked, c.since, c.before = true, now, r.PreviousFence
 	}
 	asked := o.Asked
 	if g.broken == answerDated {
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -71,11 +71,11 @@
 	Clock       int64
 	Confirmed   bool
 	Fence       wire.Rank
-	// Before is the fence that ours replaced at the target.
-	Before   wire.Rank
-	Held     int64
-	HeldRank wire.Rank
-	Running  int
+	// PreviousFence is the fence that ours replaced at the target.
+	PreviousFence wire.Rank
+	Held          int64
+	HeldRank      wire.Rank
+	Running       int
 }
 
 // States and events of charts/grantor.jsonc and charts/grant.jsonc.
