--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -103,6 +103,6 @@
 	}
 	g := &r.Groups[i]
 	out.Confirmed, out.Fence, out.PreviousFence = g.Confirmed, g.Fence, g.Before
-	out.Held, out.HeldRank, out.Running = g.Held, g.HeldRank, g.Running
+	out.HeldUntil, out.HeldRank, out.Running = g.Held, g.HeldRank, g.Running
 	return out
 }
--- a/internal/ownership/grants/contact.go
+++ b/internal/ownership/grants/contact.go
@@ -122,12 +122,12 @@
 	if r.Clock > c.clock {
 		c.clock, c.clockAt = r.Clock, now
 		c.heldUntil, c.heldRank = 0, r.HeldRank
-		if r.Held > r.Clock {
+		if r.HeldUntil > r.Clock {
 			g.confirmedAt = stamp{now, true}
-			c.heldUntil = now + time.Duration(r.Held-r.Clock) + g.margin()
+			c.heldUntil = now + time.Duration(r.HeldUntil-r.Clock) + g.margin()
 		}
 	}
-	if g.endsRelease(o) && r.Running == 0 && r.Held <= r.Clock {
+	if g.endsRelease(o) && r.Running == 0 && r.HeldUntil <= r.Clock {
 		// The target gave the grant up and ignores older orders of this rank.
 		c.heldUntil, c.sentUntil = 0, 0
 		g.note("target " + o.Target + " released the group")
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -73,7 +73,7 @@
 	Fence       wire.Rank
 	// PreviousFence is the fence that ours replaced at the target.
 	PreviousFence wire.Rank
-	Held          int64
+	HeldUntil     int64
 	HeldRank      wire.Rank
 	Running       int
 }
--- a/internal/ownership/grants/slope_test.go
+++ b/internal/ownership/grants/slope_test.go
@@ -35,7 +35,7 @@
 		for _, o := range g.Tick(now, observation) {
 			orders++
 			g.Reported(&o, &Report{
-				Incarnation: "i", Clock: int64(now), Confirmed: true, Fence: o.Rank, PreviousFence: o.Rank, Held: o.Until, HeldRank: o.Rank,
+				Incarnation: "i", Clock: int64(now), Confirmed: true, Fence: o.Rank, PreviousFence: o.Rank, HeldUntil: o.Until, HeldRank: o.Rank,
 			}, now)
 		}
 		g.Proposal(now, observation)
--- a/internal/ownership/grants/walk_test.go
+++ b/internal/ownership/grants/walk_test.go
@@ -285,7 +285,7 @@
 	}
 	return &Report{
 		Incarnation: r.Incarnation, Clock: r.Clock, Confirmed: g.Confirmed, Fence: g.Fence,
-		PreviousFence: g.Before, Held: g.Held, HeldRank: g.HeldRank, Running: g.Running,
+		PreviousFence: g.Before, HeldUntil: g.Held, HeldRank: g.HeldRank, Running: g.Running,
 	}, nil
 }
 
