--- a/internal/ownership/grants/contact.go
+++ b/internal/ownership/grants/contact.go
@@ -72,7 +72,7 @@
 	if !ok {
 		return false
 	}
-	c.incarnation, c.seen = r.Incarnation, stamp{o.Asked, true}
+	c.incarnation, c.seen = r.Incarnation, stamp{o.CreatedAt, true}
 	if g.broken == acceptsUnlisted {
 		listed.Incarnation = r.Incarnation
 	}
@@ -112,7 +112,7 @@
 	if first {
 		c.acked, c.since, c.before = true, now, r.PreviousFence
 	}
-	asked := o.Asked
+	asked := o.CreatedAt
 	if g.broken == answerDated {
 		asked = now
 	}
@@ -148,7 +148,7 @@
 	if g.grant.State() != releasing || o.Target != g.target || len(o.Release) == 0 {
 		return false
 	}
-	return o.Asked >= g.releaseFrom || g.broken == earlierRelease
+	return o.CreatedAt >= g.releaseFrom || g.broken == earlierRelease
 }
 
 // refused notes that a target has seen a rank above ours.
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -60,8 +60,8 @@
 	// Until ends the grant on the target's clock; 0 fences without granting.
 	Until   int64
 	Release []keyspace.Slice
-	// Asked is the agent's time when the order was made.
-	Asked time.Duration
+	// CreatedAt is the agent's time when the order was made.
+	CreatedAt time.Duration
 }
 
 // Report is a target's answer to an order.
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		g.seq++
-		o := Order{Target: ref.Name, Incarnation: ref.Incarnation, Rank: g.rank, Seq: g.seq, Asked: now}
+		o := Order{Target: ref.Name, Incarnation: ref.Incarnation, Rank: g.rank, Seq: g.seq, CreatedAt: now}
 		if c := g.contact(ref.Name); g.broken == acceptsUnlisted && c.incarnation != "" {
 			o.Incarnation = c.incarnation
 		}
