--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -131,7 +131,7 @@
 	observation := func(service string, id uint64) grants.Observation {
 		return grants.Observation{
 			Live:   seen,
-			Served: d.served[groupID{service, id}], Highest: highest[groupID{service, id}],
+			Served: d.served[groupID{service, id}], HighestRank: highest[groupID{service, id}],
 		}
 	}
 	for name, h := range d.services {
--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -226,7 +226,7 @@
 		{"nothing told", wire.Rank{}, lost, false},
 	} {
 		g := New(p, rec, time.Second)
-		orders := g.Tick(time.Second, Observation{Live: c.live, Highest: c.highest})
+		orders := g.Tick(time.Second, Observation{Live: c.live, HighestRank: c.highest})
 		require.Equal(t, c.claims, len(orders) > 0, c.name)
 	}
 }
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -13,9 +13,9 @@
 	Live func(vm string) bool
 	// Served says that a live agent reports a grant of the group.
 	Served bool
-	// Highest is the highest rank of a grant of the group that any agent reported,
+	// HighestRank is the highest rank of a grant of the group that any agent reported,
 	// living or not; zero where none was reported.
-	Highest wire.Rank
+	HighestRank wire.Rank
 }
 
 // Tick moves the group on and returns the orders to send now. It may be called
@@ -68,7 +68,7 @@
 // the first's rank, which is below the second's, and a new epoch needs the store. It
 // shows as keys without service until the store is back or the third lost patience.
 func (g *Group) mayClaim(observation Observation) int {
-	h := observation.Highest
+	h := observation.HighestRank
 	if h.Epoch != g.rec.Epoch || h.Succession > uint64(g.place) {
 		return 0
 	}
