--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -90,7 +90,7 @@
 		if g == nil || !a.report.Refused && i >= len(a.report.Groups) {
 			continue
 		}
-		again = g.Reported(&a.batch.orders[i], reportOf(a.report, i), now) || again
+		again = g.HandleReport(&a.batch.orders[i], reportOf(a.report, i), now) || again
 	}
 	d.publish(a.service, h, a.batch.groups, now)
 	return again
--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -139,7 +139,7 @@
 	p.duty.carry(ctx, "s", b)
 	select {
 	case a := <-p.duty.inbox.Entries():
-		p.group.Reported(&o, reportOf(a.report, 0), p.now)
+		p.group.HandleReport(&o, reportOf(a.report, 0), p.now)
 	default:
 	}
 }
--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -176,7 +176,7 @@
 			if now > lonely && o.Target != "a" {
 				continue
 			}
-			g.Reported(&o, &Report{Incarnation: "1", Clock: int64(now), Confirmed: true, Fence: o.Rank, HeldUntil: o.Until, HeldRank: o.Rank}, now)
+			g.HandleReport(&o, &Report{Incarnation: "1", Clock: int64(now), Confirmed: true, Fence: o.Rank, HeldUntil: o.Until, HeldRank: o.Rank}, now)
 		}
 		sent = g.Tick(now, Observation{Live: func(string) bool { return true }, Served: true})
 		needed = needed || now > time.Second && g.NeedsStore(now)
--- a/internal/ownership/grants/contact.go
+++ b/internal/ownership/grants/contact.go
@@ -53,9 +53,9 @@
 	return c
 }
 
-// Reported takes the answer to an order, received at now. It returns whether
+// HandleReport takes the answer to an order, received at now. It returns whether
 // Tick should run at once.
-func (g *Group) Reported(o *Order, r *Report, now time.Duration) bool {
+func (g *Group) HandleReport(o *Order, r *Report, now time.Duration) bool {
 	// An answer to an order of an earlier rank says nothing about this one: it
 	// may even come from a life before the listed one.
 	if o.Rank != g.rank && g.broken != staleReports || g.standing.State() == following {
--- a/internal/ownership/grants/scenario_test.go
+++ b/internal/ownership/grants/scenario_test.go
@@ -80,7 +80,7 @@
 // answer brings reports back.
 func (s *scenario) answer(reports []letter) {
 	for _, l := range reports {
-		l.agent.groups[l.group].Reported(&l.order, l.report, l.agent.clock.at(s.now))
+		l.agent.groups[l.group].HandleReport(&l.order, l.report, l.agent.clock.at(s.now))
 	}
 }
 
--- a/internal/ownership/grants/slope_test.go
+++ b/internal/ownership/grants/slope_test.go
@@ -34,7 +34,7 @@
 	for _, g := range groups {
 		for _, o := range g.Tick(now, observation) {
 			orders++
-			g.Reported(&o, &Report{
+			g.HandleReport(&o, &Report{
 				Incarnation: "i", Clock: int64(now), Confirmed: true, Fence: o.Rank, PreviousFence: o.Rank, HeldUntil: o.Until, HeldRank: o.Rank,
 			}, now)
 		}
--- a/internal/ownership/grants/walk_test.go
+++ b/internal/ownership/grants/walk_test.go
@@ -251,7 +251,7 @@
 	vm, tgt := int(l.agent.vm[2]-'0'), int(l.order.Target[1]-'0')
 	if l.report != nil {
 		if !w.lost[vm][tgt] {
-			l.agent.groups[l.group].Reported(&l.order, l.report, l.agent.clock.at(w.now))
+			l.agent.groups[l.group].HandleReport(&l.order, l.report, l.agent.clock.at(w.now))
 		}
 		return nil
 	}
