--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -79,7 +79,7 @@
 	if a.read != nil {
 		for _, rec := range a.read.Groups {
 			if g := h.groups[rec.ID]; g != nil {
-				g.StoreRead(rec.Epoch, a.asked)
+				g.HandleStoreRead(rec.Epoch, a.asked)
 			}
 		}
 		return true
--- a/internal/ownership/grants/contact.go
+++ b/internal/ownership/grants/contact.go
@@ -162,8 +162,8 @@
 	g.quit("a target has seen a higher rank, of " + fence.Agent)
 }
 
-// StoreRead notes that the store, asked at the time, showed the group's epoch.
-func (g *Group) StoreRead(epoch uint64, asked time.Duration) {
+// HandleStoreRead notes that the store, asked at the time, showed the group's epoch.
+func (g *Group) HandleStoreRead(epoch uint64, asked time.Duration) {
 	if epoch == g.rec.Epoch && asked >= g.adopted {
 		g.storeAt = stamp{asked, true}
 	}
--- a/internal/ownership/grants/walk_test.go
+++ b/internal/ownership/grants/walk_test.go
@@ -194,7 +194,7 @@
 			w.drafts = append(w.drafts, draft{a, a.version, i, rec})
 		}
 		if g.NeedsStore(now) && !a.cutOff {
-			g.StoreRead(w.store[i].Epoch, now)
+			g.HandleStoreRead(w.store[i].Epoch, now)
 		}
 	}
 }
