--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -201,7 +201,7 @@
 }
 
 func (d *grantorDuty) explain(service string, id uint64, g *grants.Group) {
-	for _, text := range g.Notes() {
+	for _, text := range g.TakeNotes() {
 		subject := fmt.Sprintf("%s/%d", service, id)
 		d.journal.Add("grant", text, subject)
 		d.log.Info().Str("step", "grant").Str("peer", subject).Msg(text)
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -195,8 +195,8 @@
 
 func (g *Group) note(text string) { g.notes = append(g.notes, text) }
 
-// Notes returns the decisions since the last call, for the journal.
-func (g *Group) Notes() []string {
+// TakeNotes returns the decisions since the last call, for the journal.
+func (g *Group) TakeNotes() []string {
 	n := g.notes
 	g.notes = nil
 	return n
--- a/internal/ownership/grants/slope_test.go
+++ b/internal/ownership/grants/slope_test.go
@@ -40,7 +40,7 @@
 		}
 		g.Proposal(now, observation)
 		g.NeedsStore(now)
-		g.Notes()
+		g.TakeNotes()
 	}
 	return orders
 }
