--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -218,7 +218,7 @@
 		if g == nil {
 			continue
 		}
-		ref, rank, ok := g.Granted(now)
+		ref, rank, ok := g.ConfirmedGrant(now)
 		switch {
 		case ok:
 			confirmed = append(confirmed, wire.Grant{Service: service, Group: id, Slices: g.Record().Slices, Rank: rank, Target: ref})
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -202,8 +202,8 @@
 	return n
 }
 
-// Granted returns the target in force and the rank, if it confirmed them.
-func (g *Group) Granted(now time.Duration) (model.TargetRef, wire.Rank, bool) {
+// ConfirmedGrant returns the target in force and the rank, if it confirmed them.
+func (g *Group) ConfirmedGrant(now time.Duration) (model.TargetRef, wire.Rank, bool) {
 	if g.standing.State() == following || g.grant.State() == none {
 		return model.TargetRef{}, g.rank, false
 	}
--- a/internal/ownership/grants/walk_test.go
+++ b/internal/ownership/grants/walk_test.go
@@ -202,7 +202,7 @@
 // isServed reports whether a live agent's grant is known.
 func (w *walk) isServed(i int) bool {
 	for _, a := range w.agents {
-		if _, _, ok := a.groups[i].Granted(a.clock.at(w.now)); ok {
+		if _, _, ok := a.groups[i].ConfirmedGrant(a.clock.at(w.now)); ok {
 			return true
 		}
 	}
