--- a/internal/decide/placement/placement.go
+++ b/internal/decide/placement/placement.go
@@ -180,7 +180,7 @@
 			continue
 		}
 		g.Epoch++
-		grants.CoverPrevious(old, g)
+		grants.SetPreviousArbiters(old, g)
 	}
 }
 
--- a/internal/ownership/grants/record.go
+++ b/internal/ownership/grants/record.go
@@ -129,18 +129,18 @@
 	next.Author = author
 	next.Owner, next.Standby, next.Witness = owner, standby, witness
 	next.MoveTo = ""
-	CoverPrevious(&old, &next)
+	SetPreviousArbiters(&old, &next)
 	return next
 }
 
-// CoverPrevious lists in the record of a new epoch the arbiters that leave the
+// SetPreviousArbiters lists in the record of a new epoch the arbiters that leave the
 // group. Whoever writes a record with other targets must call it.
 //
 // Failure: a target that left the pair still holds its grant, and is not asked
 // any more; its successor is granted at once. It shows as two owners for the
 // life of a grant, or for as long as a cut-off grantor renews the old one.
 // Listed as Previous, it must be fenced, or waited out, before the group is won.
-func CoverPrevious(old, next *model.Group) {
+func SetPreviousArbiters(old, next *model.Group) {
 	pair := []model.TargetRef{next.Owner, next.Standby}
 	next.Previous = nil
 	for _, ref := range append([]model.TargetRef{old.Owner, old.Standby, old.Witness}, old.Previous...) {
