--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/wire"
 )
 
-var everybody = []string{"t0", "t1", "t2", "t3"}
+var allTargetNames = []string{"t0", "t1", "t2", "t3"}
 
 // listTargets lists targets a, b and c, in their first life, as the arbiters.
 func listTargets(rec *model.Group) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// owner returns the target that serves group 0's first slice, or "".
-func (s *scenario) owner() string {
+// servingTarget returns the target that serves group 0's first slice, or "".
+func (s *scenario) servingTarget() string {
 	for i, t := range s.targets {
 		if t.fences.Serves(service, s.store[0].Slices[0].First, int64(t.clock.at(s.now))) {
 			return targetName(i)
@@ -29,14 +29,14 @@
 	return ""
 }
 
-// unserved runs the agent and returns how long no target served.
-func (s *scenario) unserved(d time.Duration, a *walkAgent, names ...string) time.Duration {
+// runMeasuringGap runs the agent and returns how long no target served.
+func (s *scenario) runMeasuringGap(d time.Duration, a *simAgent, names ...string) time.Duration {
 	var gap time.Duration
 	for until := s.now + d; s.now < until; {
-		require.NoError(s.t, s.talk(20*ms, a, names...))
-		s.write()
+		require.NoError(s.t, s.runAgent(20*ms, a, names...))
+		s.writeProposal()
 		s.syncAgent(a)
-		if s.owner() == "" {
+		if s.servingTarget() == "" {
 			gap += 20 * ms
 		}
 	}
@@ -48,26 +48,26 @@
 func TestOwnerLost(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
-	require.NoError(t, s.talk(300*ms, a, everybody...))
-	require.Equal(t, "t0", s.owner())
-	a.cutOff = true
+	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
+	require.Equal(t, "t0", s.servingTarget())
+	a.storeCut = true
 	p := a.groups[0].params
 	s.restartTarget(0) // its memory is lost, and nobody learns of the new life
-	require.NoError(t, s.talk(p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, "t1", "t2"))
-	require.Equal(t, "t1", s.owner())
+	require.NoError(t, s.runAgent(p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, "t1", "t2"))
+	require.Equal(t, "t1", s.servingTarget())
 }
 
 // TestGrantorLostWithoutStore: the grantor dies during an outage of the store.
 // The next in line goes on with the owner: no gap, no move.
 func TestGrantorLostWithoutStore(t *testing.T) {
 	s := newScenario(t, "")
-	require.NoError(t, s.talk(300*ms, s.agents[0], everybody...))
+	require.NoError(t, s.runAgent(300*ms, s.agents[0], allTargetNames...))
 	next := s.agents[1]
-	next.cutOff = true
+	next.storeCut = true
 	s.suspectAll(next)
 	for range 50 {
-		require.NoError(t, s.talk(20*ms, next, everybody...))
-		require.Equal(t, "t0", s.owner())
+		require.NoError(t, s.runAgent(20*ms, next, allTargetNames...))
+		require.Equal(t, "t0", s.servingTarget())
 	}
 }
 
@@ -77,12 +77,12 @@
 // counts from a clock that the target showed up to one renewal before.
 func TestBothLost(t *testing.T) {
 	s := newScenario(t, "")
-	require.NoError(t, s.talk(300*ms, s.agents[0], everybody...))
+	require.NoError(t, s.runAgent(300*ms, s.agents[0], allTargetNames...))
 	next := s.agents[1]
 	s.suspectAll(next)
 	p := next.groups[0].params
-	gap := s.unserved(3*time.Second, next, "t1", "t2")
-	require.Equal(t, "t1", s.owner())
+	gap := s.runMeasuringGap(3*time.Second, next, "t1", "t2")
+	require.Equal(t, "t1", s.servingTarget())
 	require.Less(t, gap, p.FastPathTimeout+p.AuthorityTTL+p.ClockMargin+p.RenewInterval+200*ms)
 }
 
@@ -92,13 +92,13 @@
 func TestReplacedTargetCostsNoGap(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
-	require.NoError(t, s.talk(300*ms, a, everybody...))
-	s.unserved(2*time.Second, a, "t1", "t2", "t3")
-	require.Equal(t, "t1", s.owner())
-	s.record(ChangePair(s.store[0], s.ref(1), s.ref(3), s.ref(2), "planner-1"), a)
-	require.Zero(t, s.unserved(4*time.Second, a, "t1", "t2", "t3"))
-	require.Equal(t, "t1", s.owner())
-	require.Equal(t, granting, a.groups[0].standing.State())
+	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
+	s.runMeasuringGap(2*time.Second, a, "t1", "t2", "t3")
+	require.Equal(t, "t1", s.servingTarget())
+	s.setRecord(ReplaceTargets(s.store[0], s.ref(1), s.ref(3), s.ref(2), "planner-1"), a)
+	require.Zero(t, s.runMeasuringGap(4*time.Second, a, "t1", "t2", "t3"))
+	require.Equal(t, "t1", s.servingTarget())
+	require.Equal(t, granting, a.groups[0].role.State())
 }
 
 // TestPlannedMove: the record says that the standby shall serve. The owner takes
@@ -107,17 +107,17 @@
 func TestPlannedMove(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
-	require.NoError(t, s.talk(300*ms, a, everybody...))
+	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
 	s.targets[0].running = 1
 	rec := s.store[0]
 	rec.MoveTo = "t1"
-	s.record(rec, a)
-	require.NoError(t, s.talk(300*ms, a, everybody...))
-	require.Empty(t, s.owner())
-	require.Greater(t, a.groups[0].contact("t0").heldUntil, a.clock.at(s.now), "the grant is kept")
+	s.setRecord(rec, a)
+	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
+	require.Empty(t, s.servingTarget())
+	require.Greater(t, a.groups[0].stateOf("t0").heldUntil, a.clock.at(s.now), "the grant is kept")
 	s.targets[0].running = 0
-	s.unserved(500*ms, a, everybody...)
-	require.Equal(t, "t1", s.owner())
+	s.runMeasuringGap(500*ms, a, allTargetNames...)
+	require.Equal(t, "t1", s.servingTarget())
 	require.Equal(t, "t1", s.store[0].Owner.Name)
 	require.Empty(t, s.store[0].MoveTo)
 	require.EqualValues(t, 1, s.store[0].Epoch)
@@ -128,14 +128,14 @@
 func TestMoveOverdue(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
-	require.NoError(t, s.talk(300*ms, a, everybody...))
+	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
 	s.targets[0].running = 1
 	rec := s.store[0]
 	rec.MoveTo = "t1"
-	s.record(rec, a)
+	s.setRecord(rec, a)
 	p := a.groups[0].params
-	require.NoError(t, s.talk(p.ReleaseTimeout+p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, everybody...))
-	require.Equal(t, "t1", s.owner())
+	require.NoError(t, s.runAgent(p.ReleaseTimeout+p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, allTargetNames...))
+	require.Equal(t, "t1", s.servingTarget())
 }
 
 // TestGrantorCutOffFromTargets: the first in line is heard by its peers and
@@ -143,26 +143,26 @@
 func TestGrantorCutOffFromTargets(t *testing.T) {
 	s := newScenario(t, "")
 	next := s.agents[1]
-	require.NoError(t, s.talk(next.groups[0].params.UnservedTimeout+500*ms, next, everybody...))
-	require.Equal(t, "t0", s.owner())
+	require.NoError(t, s.runAgent(next.groups[0].params.UnservedTimeout+500*ms, next, allTargetNames...))
+	require.Equal(t, "t0", s.servingTarget())
 }
 
-// TestUncheckingTargetIsNeverTakenOver: the targets do not check fences, so that
+// TestNoTakeoverWithoutFenceChecks: the targets do not check fences, so that
 // nobody could hold the old owner off. Only the recorded owner is granted.
-func TestUncheckingTargetIsNeverTakenOver(t *testing.T) {
+func TestNoTakeoverWithoutFenceChecks(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
 	a.groups[0].params.ChecksFences = false
-	require.NoError(t, s.talk(300*ms, a, everybody...))
-	require.Equal(t, "t0", s.owner())
-	require.NoError(t, s.talk(4*time.Second, a, "t1", "t2"))
-	require.Empty(t, s.owner())
+	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
+	require.Equal(t, "t0", s.servingTarget())
+	require.NoError(t, s.runAgent(4*time.Second, a, "t1", "t2"))
+	require.Empty(t, s.servingTarget())
 }
 
-// TestSteadyGrantorLeavesStoreAlone: nine VMs at rest read the store 40 times a
+// TestSteadyGrantorDoesNotReadStore: nine VMs at rest read the store 40 times a
 // second, a budget that the whole system shares and needs at a loss. Cause: an
 // answer 15 ms late, to a renewal one look late, was taken for a missing one.
-func TestSteadyGrantorLeavesStoreAlone(t *testing.T) {
+func TestSteadyGrantorDoesNotReadStore(t *testing.T) {
 	const look = 15 * ms
 	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
 		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, UnservedTimeout: 1500 * ms}
@@ -170,17 +170,17 @@
 	listTargets(&rec)
 	g := New(p, rec, 0)
 	var sent []Order
-	lonely, needed := 5*time.Second, false
-	for now := look; now < lonely+p.AuthorityTTL; now += look {
+	isolatedAfter, needed := 5*time.Second, false
+	for now := look; now < isolatedAfter+p.AuthorityTTL; now += look {
 		for _, o := range sent {
-			if now > lonely && o.Target != "a" {
+			if now > isolatedAfter && o.Target != "a" {
 				continue
 			}
 			g.HandleReport(&o, &Report{Incarnation: "1", Clock: int64(now), Confirmed: true, Fence: o.Rank, HeldUntil: o.Until, HeldRank: o.Rank}, now)
 		}
 		sent = g.Tick(now, Observation{Live: func(string) bool { return true }, Served: true})
 		needed = needed || now > time.Second && g.NeedsStore(now)
-		if now < lonely {
+		if now < isolatedAfter {
 			require.False(t, needed, "at %v", now)
 		}
 	}
@@ -193,21 +193,21 @@
 // path asked for the witness too, which no grant needs once the pair is fenced.
 func TestGrantorAndWitnessLostWithoutStore(t *testing.T) {
 	s := newScenario(t, "")
-	require.NoError(t, s.talk(300*ms, s.agents[0], everybody...))
+	require.NoError(t, s.runAgent(300*ms, s.agents[0], allTargetNames...))
 	next := s.agents[1]
-	next.cutOff = true
+	next.storeCut = true
 	s.suspectAll(next)
 	for range 50 {
-		require.NoError(t, s.talk(20*ms, next, "t0", "t1"))
-		require.Equal(t, "t0", s.owner())
+		require.NoError(t, s.runAgent(20*ms, next, "t0", "t1"))
+		require.Equal(t, "t0", s.servingTarget())
 	}
-	require.Equal(t, granting, next.groups[0].standing.State())
+	require.Equal(t, granting, next.groups[0].role.State())
 }
 
 // Keys have no service for 2.8 s. The second in line had taken over for a moment; then
 // it is lost with the store down. The first is alive but outranked, and the third waited
 // for it until it lost patience.
-func TestThirdDoesNotWaitForAnOutrankedFirst(t *testing.T) {
+func TestThirdDoesNotWaitForOutrankedFirst(t *testing.T) {
 	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, ChecksFences: true,
 		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, UnservedTimeout: 1500 * ms}
 	rec := model.Group{Epoch: 7, Author: "vm1-1", Grantors: []string{"vm1", "vm2", "vm3"}}
--- a/internal/ownership/grants/carry.go
+++ b/internal/ownership/grants/carry.go
@@ -5,37 +5,38 @@
 	"hemlockquay/internal/wire"
 )
 
-// carry is a grant of the epoch before, which its grantor goes on renewing at
-// the next epoch while its claim there is not won yet.
+// carriedGrant is a grant of the previous epoch that its grantor keeps renewing at
+// the next epoch until its claim there is won.
 //
-// Failure: the assigner replaces a lost target in the record. The new epoch must
-// cover the lost one, which does not answer, so the claim takes the slow path;
-// the other half would be without a grant meanwhile, though nothing is wrong with
-// it. It shows as a second loss of service, about a second after the first.
+// Failure: the assigner replaces a lost target in the record. The new epoch must cover
+// the lost target, which does not answer, so the claim takes the slow path. Without the
+// carried grant the other target of the pair, which is healthy, would lose its grant
+// meanwhile: a second loss of service, about a second after the first.
 //
-// Why it holds: the target's fence went from our old rank straight to the new
-// one, so no grantor won at a rank between them, for that takes the target's
-// confirmation or its restart, and a restarted target is granted nothing. Ranks
-// below the old one were dealt with when that was won. The slow path of another
-// at this epoch would need the head of its line, where we stand.
-type carry struct {
+// Why this is safe: the target's fence went directly from our old rank to the new one,
+// so no grantor won at a rank in between. That would have needed the target's
+// confirmation or its restart, and a restarted target is granted nothing. Ranks below the
+// old one were dealt with when that was won. Another agent could take the slow path at
+// this epoch only as first in its line, and that position is ours.
+type carriedGrant struct {
 	target string
 	rank   wire.Rank
 }
 
-// carried returns what goes over to the record that follows.
-func (g *Group) carried(rec model.Group) carry {
+// carryOver returns the grant that continues under the record that follows.
+func (g *Group) carryOver(rec model.Group) carriedGrant {
 	if g.grant.State() == none || rec.Epoch != g.rec.Epoch+1 {
-		return carry{}
+		return carriedGrant{}
 	}
-	return carry{g.target, g.rank}
+	return carriedGrant{g.grantedTarget, g.rank}
 }
 
-// mayCarry reports whether the target is the carried one and nobody came between.
+// mayCarry reports whether the target holds the carried grant and no other grantor won
+// in between.
 func (g *Group) mayCarry(target string) bool {
-	if g.carry.target != target || g.place != 0 {
+	if g.carriedOver.target != target || g.position != 0 {
 		return false
 	}
-	c := g.contact(target)
-	return c.acked && (c.before == g.carry.rank || g.broken == carriesBlindly)
+	ts := g.stateOf(target)
+	return ts.acked && (ts.previousFence == g.carriedOver.rank || g.mutation == carriesUnchecked)
 }
--- a/internal/ownership/grants/grantor.go
+++ b/internal/ownership/grants/grantor.go
@@ -1,12 +1,13 @@
-// Package grants decides what one agent does as grantor of one group of slices:
-// whom it asks, whom it grants, when it takes over and which record it proposes.
-// It has no clock, network or goroutine: the time and the targets' reports come
-// in, orders and records go out. Package agent carries them.
+// Package grants decides what one agent does as the grantor of one group of slices:
+// which targets it asks and which one it grants, when it takes over, and which record
+// it proposes to the store. It has no clock, network or goroutine. The caller passes in
+// the time and the targets' reports, and package agent carries out the orders and
+// writes that are returned.
 //
-// It answers losses, pauses and cuts of the owner, of the grantor and of the
-// store, in any combination. Without it either two targets serve the same key
-// after a pause, or a key waits for the store during its outage. The rules and
-// why they hold stand in docs/DESIGN.md, section 5; each guard names its rule.
+// It handles crashes, pauses and partitions of the owner, of the grantor and of the
+// store, in any combination. Without it, two targets could serve the same key after a
+// pause, or a key would be without service until the end of a store outage. The rules,
+// and why they are safe, are in docs/DESIGN.md, section 5. Each check names its rule.
 package grants
 
 import (
@@ -20,47 +21,48 @@
 	"hemlockquay/internal/wire"
 )
 
-// Params are one agent's identity and times.
+// Params are an agent's identity and timings.
 type Params struct {
-	// VM and Incarnation name the agent; Started is when it started, ns.
+	// VM and Incarnation identify the agent; Started is its start time in nanoseconds.
 	VM          string
 	Incarnation string
 	Started     int64
-	// ChecksFences says that the targets check fences. Those that do not are granted
-	// only as the record has it: no takeover and no move by the grantor alone.
+	// ChecksFences says that the targets check fences. Targets that do not are granted
+	// only as the record says: the grantor neither takes over nor moves on its own.
 	ChecksFences bool
-	// RenewInterval is the pause between two renewals.
+	// RenewInterval is the time between two renewals.
 	RenewInterval time.Duration
-	// GrantTTL is how long a grant lives, on the target's clock.
+	// GrantTTL is how long a grant is valid, on the target's clock.
 	GrantTTL time.Duration
-	// AuthorityTTL is how long an arbiter's confirmation counts, from the ask.
+	// AuthorityTTL is how long an arbiter's confirmation is valid, counted from the
+	// creation of the order that it confirms.
 	AuthorityTTL time.Duration
-	// ClockMargin is added to every end that is judged by another clock. Clocks may
-	// run fast or slow by the part ClockMargin / (2*(Life+Authority) + ClockMargin).
+	// ClockMargin is added to every deadline that another clock judges. Clock rates
+	// may deviate by the fraction ClockMargin / (2*(GrantTTL+AuthorityTTL) + ClockMargin).
 	ClockMargin time.Duration
 	// FastPathTimeout is how long a claim waits for the fast path before it asks
 	// for an epoch of its own.
 	FastPathTimeout time.Duration
-	// UnservedTimeout is how long a group may be without a grant, though those before
-	// in the line are heard, until the next one tries.
+	// UnservedTimeout is how long a group may be without a grant, though agents earlier
+	// in the succession line are alive, before the next one in the line claims it.
 	UnservedTimeout time.Duration
 	// ReleaseTimeout bounds how long a release may take.
 	ReleaseTimeout time.Duration
 }
 
-// Order is what to send to one target. The shell batches the orders of a tick.
+// Order is a message to one target. The agent batches the orders of a tick.
 type Order struct {
 	Target string
-	// Incarnation is the listed one; "" only asks which it is.
+	// Incarnation is the listed incarnation; "" only asks for the current one.
 	Incarnation string
 	Rank        wire.Rank
-	// Seq orders the orders of one rank.
+	// Seq numbers the orders of one rank.
 	Seq    uint64
 	Slices []keyspace.Slice
-	// Until ends the grant on the target's clock; 0 fences without granting.
+	// Until is the end of the grant on the target's clock; 0 fences without granting.
 	Until   int64
 	Release []keyspace.Slice
-	// CreatedAt is the agent's time when the order was made.
+	// CreatedAt is the agent's time when the order was created.
 	CreatedAt time.Duration
 }
 
@@ -71,7 +73,7 @@
 	Clock       int64
 	Confirmed   bool
 	Fence       wire.Rank
-	// PreviousFence is the fence that ours replaced at the target.
+	// PreviousFence is the fence that the order's rank replaced at the target.
 	PreviousFence wire.Rank
 	HeldUntil     int64
 	HeldRank      wire.Rank
@@ -102,95 +104,97 @@
 )
 
 var (
-	standingChart = charts.MustLoad("grantor")
-	grantChart    = charts.MustLoad("grant")
+	grantorChart = charts.MustLoad("grantor")
+	grantChart   = charts.MustLoad("grant")
 )
 
-// Group is one agent's part in one group. It is not safe for concurrent use.
+// Group is one agent's part in the granting of one group. It is not safe for
+// concurrent use.
 //
-// Invariant: no order leaves with a rank below rank, and sentUntil of a target
-// is raised before any order that grants it leaves.
+// Invariant: no order is sent with a rank below rank, and sentUntil of a target is
+// raised before an order that grants it is sent.
 type Group struct {
 	params   Params
 	rec      model.Group
 	rank     wire.Rank
-	place    int
-	standing *statechart.Machine
+	position int
+	role     *statechart.Machine
 	grant    *statechart.Machine
-	targets  map[string]*contact
-	// target holds the grant, where the grant's state is not none.
-	target string
-	seq    uint64
-	// sent is when the last orders left; due asks for orders at once.
-	sent time.Duration
-	due  bool
-	// took is when the claim began, adopted when the record came.
-	took, adopted time.Duration
-	releaseFrom   time.Duration
-	// outranked is the highest rank seen at a target above ours.
-	outranked wire.Rank
-	storeAt   stamp
+	targets  map[string]*targetState
+	// grantedTarget holds the grant, unless the grant's state is none.
+	grantedTarget string
+	seq           uint64
+	// lastSent is when the last orders were sent; sendNow requests orders at once.
+	lastSent time.Duration
+	sendNow  bool
+	// claimedAt is when the claim began, adoptedAt when the record was adopted.
+	claimedAt, adoptedAt time.Duration
+	releaseStarted       time.Duration
+	// higherRank is the highest rank above ours that a target has reported.
+	higherRank     wire.Rank
+	storeConfirmed optionalTime
 	// confirmedAt is when a target last confirmed our grant.
-	confirmedAt stamp
-	// unserved is when the group was last seen served.
-	unserved stamp
-	carry    carry
-	notes    []string
-	broken   guard
+	confirmedAt optionalTime
+	// lastServed is when the group was last observed to be served.
+	lastServed  optionalTime
+	carriedOver carriedGrant
+	notes       []string
+	mutation    mutation
 }
 
-// stamp is a time that may be missing.
-type stamp struct {
+// optionalTime is a time that may be unset.
+type optionalTime struct {
 	at time.Duration
 	ok bool
 }
 
-func (s stamp) within(now, d time.Duration) bool { return s.ok && now-s.at < d }
+func (s optionalTime) within(now, d time.Duration) bool { return s.ok && now-s.at < d }
 
-// guard names a guard that a test takes out, to show that its checker finds it.
-type guard string
+// mutation names a safety check that a test disables, to show that the invariant
+// checker notices its absence.
+type mutation string
 
-// New returns the agent's part in the group of the record.
+// New returns the agent's part in the group that the record describes.
 func New(p Params, rec model.Group, now time.Duration) *Group {
-	g := &Group{params: p, standing: standingChart.Start(), grant: grantChart.Start(), targets: make(map[string]*contact)}
-	g.install(rec, now)
+	g := &Group{params: p, role: grantorChart.Start(), grant: grantChart.Start(), targets: make(map[string]*targetState)}
+	g.setRecord(rec, now)
 	return g
 }
 
-// Adopt takes a record that came from the store. An older one is ignored.
+// Adopt takes over a record read from the store. Older records are ignored.
 func (g *Group) Adopt(rec model.Group, now time.Duration) {
 	switch {
 	case rec.Epoch < g.rec.Epoch:
 		return
 	case rec.Epoch == g.rec.Epoch:
-		// Only what keeps the epoch may differ.
+		// Only these fields may change within an epoch.
 		g.rec.Owner, g.rec.Standby, g.rec.MoveTo = rec.Owner, rec.Standby, rec.MoveTo
 		return
 	}
-	carried := g.carried(rec)
-	g.quit("record of a new epoch")
-	g.install(rec, now)
-	g.carry = carried
+	carried := g.carryOver(rec)
+	g.resign("record of a new epoch")
+	g.setRecord(rec, now)
+	g.carriedOver = carried
 }
 
-func (g *Group) install(rec model.Group, now time.Duration) {
-	g.rec, g.adopted = rec, now
-	g.place = slices.Index(rec.Grantors, g.params.VM)
-	g.rank = wire.Rank{Epoch: rec.Epoch, Succession: uint64(max(g.place, 0)), Incarnation: g.params.Started, Agent: g.params.VM}
-	g.outranked, g.storeAt = wire.Rank{}, stamp{}
-	g.due = true
-	for _, c := range g.targets {
-		c.forget()
+func (g *Group) setRecord(rec model.Group, now time.Duration) {
+	g.rec, g.adoptedAt = rec, now
+	g.position = slices.Index(rec.Grantors, g.params.VM)
+	g.rank = wire.Rank{Epoch: rec.Epoch, Succession: uint64(max(g.position, 0)), Incarnation: g.params.Started, Agent: g.params.VM}
+	g.higherRank, g.storeConfirmed = wire.Rank{}, optionalTime{}
+	g.sendNow = true
+	for _, ts := range g.targets {
+		ts.resetForNewRank()
 	}
 }
 
-// quit stops granting and claiming.
-func (g *Group) quit(why string) {
-	if g.standing.Fire(stepDown) == nil {
+// resign stops granting and claiming.
+func (g *Group) resign(why string) {
+	if g.role.Fire(stepDown) == nil {
 		g.note("stepped down: " + why)
 	}
 	_ = g.grant.Fire(end)
-	g.target = ""
+	g.grantedTarget = ""
 }
 
 func (g *Group) note(text string) { g.notes = append(g.notes, text) }
@@ -202,19 +206,20 @@
 	return n
 }
 
-// ConfirmedGrant returns the target in force and the rank, if it confirmed them.
+// ConfirmedGrant returns the granted target and the rank, and whether the target has
+// confirmed the grant.
 func (g *Group) ConfirmedGrant(now time.Duration) (model.TargetRef, wire.Rank, bool) {
-	if g.standing.State() == following || g.grant.State() == none {
+	if g.role.State() == following || g.grant.State() == none {
 		return model.TargetRef{}, g.rank, false
 	}
-	c := g.contact(g.target)
-	return model.TargetRef{Name: g.target, Incarnation: c.incarnation}, g.rank, c.heldUntil > now && c.heldRank == g.rank
+	ts := g.stateOf(g.grantedTarget)
+	return model.TargetRef{Name: g.grantedTarget, Incarnation: ts.incarnation}, g.rank, ts.heldUntil > now && ts.heldRank == g.rank
 }
 
 // Record returns the record in force.
 func (g *Group) Record() model.Group { return g.rec }
 
-// State names standing and grant, for dumps.
-func (g *Group) State() (standing, grant statechart.State) {
-	return g.standing.State(), g.grant.State()
+// State returns the states of the grantor role and of the grant, for dumps.
+func (g *Group) State() (role, grant statechart.State) {
+	return g.role.State(), g.grant.State()
 }
--- a/internal/ownership/grants/record.go
+++ b/internal/ownership/grants/record.go
@@ -8,20 +8,20 @@
 	"hemlockquay/internal/wire"
 )
 
-// Proposal returns the record that the store should hold for this group, if it
-// is another than the one in force. It may be written only over that one.
+// Proposal returns the record that the store should hold for this group, if it differs
+// from the record in force. It may only replace that record.
 func (g *Group) Proposal(now time.Duration, observation Observation) (model.Group, bool) {
-	switch g.standing.State() {
+	switch g.role.State() {
 	case following:
-		if g.myTurn(now, observation) && (g.barred() || g.orphaned(now, observation)) {
+		if g.isMyTurn(now, observation) && (g.otherLifeWroteEpoch() || g.orphaned(now, observation)) {
 			return g.nextEpoch(), true
 		}
 	case claiming:
-		if g.learned() && (g.complete() || now-g.took > g.params.FastPathTimeout) || g.stuck(now) {
+		if g.knowsUnlistedIncarnation() && (g.allIncarnationsKnown() || now-g.claimedAt > g.params.FastPathTimeout) || g.needsOwnEpoch(now) {
 			return g.nextEpoch(), true
 		}
 	case granting:
-		if g.learned() && g.allHeard(now) {
+		if g.knowsUnlistedIncarnation() && g.allAnsweredRecently(now) {
 			return g.nextEpoch(), true
 		}
 		return g.sameEpoch()
@@ -29,43 +29,44 @@
 	return model.Group{}, false
 }
 
-// orphaned reports whether the higher rank that stopped this agent was of one that
-// is lost, or has not served for long: nobody in the line could go on at this
-// epoch.
+// orphaned reports whether nobody in the line can continue at this epoch: the agent
+// whose higher rank stopped this one is lost, or has not served the group for long.
 func (g *Group) orphaned(now time.Duration, observation Observation) bool {
-	r := g.outranked
+	r := g.higherRank
 	if r == (wire.Rank{}) || r.Epoch != g.rec.Epoch {
 		return false
 	}
-	last := time.Duration(len(g.rec.Grantors)+g.place) * g.params.UnservedTimeout
-	return r.Agent == g.params.VM || !observation.Live(r.Agent) || g.idleFor(now) > last
+	last := time.Duration(len(g.rec.Grantors)+g.position) * g.params.UnservedTimeout
+	return r.Agent == g.params.VM || !observation.Live(r.Agent) || g.timeUnserved(now) > last
 }
 
-// stuck reports whether the fast path failed and the slow one needs an epoch.
-func (g *Group) stuck(now time.Duration) bool {
-	return now-g.took > g.params.FastPathTimeout && !g.ownEpoch()
+// needsOwnEpoch reports whether the fast path timed out and the slow path needs an
+// epoch that this agent wrote.
+func (g *Group) needsOwnEpoch(now time.Duration) bool {
+	return now-g.claimedAt > g.params.FastPathTimeout && !g.ownEpoch()
 }
 
-// learned reports whether a life of an arbiter is known that the record does not
-// list: it arbitrates and serves once it is listed.
-func (g *Group) learned() bool {
+// knowsUnlistedIncarnation reports whether an arbiter has an incarnation that the record
+// does not list. It can confirm ranks and serve only once it is listed.
+func (g *Group) knowsUnlistedIncarnation() bool {
 	return slices.ContainsFunc(g.arbiters(), func(ref model.TargetRef) bool {
-		c := g.contact(ref.Name)
-		return c.restarted || ref.Incarnation == "" && c.incarnation != ""
+		ts := g.stateOf(ref.Name)
+		return ts.restarted || ref.Incarnation == "" && ts.incarnation != ""
 	})
 }
 
-// allHeard reports whether the fast path would succeed at once at a new epoch.
-func (g *Group) allHeard(now time.Duration) bool {
+// allAnsweredRecently reports whether the fast path would succeed at once at a new epoch.
+func (g *Group) allAnsweredRecently(now time.Duration) bool {
 	return !slices.ContainsFunc(g.arbiters(), func(ref model.TargetRef) bool {
-		return !g.contact(ref.Name).seen.within(now, g.params.AuthorityTTL)
+		return !g.stateOf(ref.Name).answeredOrderAt.within(now, g.params.AuthorityTTL)
 	})
 }
 
-// nextEpoch lists the incarnations seen and puts this agent first in line. The
-// arbiters of earlier epochs are dropped only by one that has covered them.
+// nextEpoch returns a record of the next epoch that lists the incarnations seen and
+// puts this agent first in line. Only a grantor, which has covered the arbiters of
+// earlier epochs, drops them.
 func (g *Group) nextEpoch() model.Group {
-	next := g.clone()
+	next := g.cloneRecord()
 	next.Epoch++
 	next.Author = g.params.Incarnation
 	next.Grantors = []string{g.params.VM}
@@ -74,47 +75,47 @@
 			next.Grantors = append(next.Grantors, vm)
 		}
 	}
-	if g.standing.State() == granting {
+	if g.role.State() == granting {
 		next.Previous = nil
-		g.settle(&next)
+		g.applyGrant(&next)
 	}
 	for _, ref := range []*model.TargetRef{&next.Owner, &next.Standby, &next.Witness} {
-		c := g.contact(ref.Name)
-		if ref.Name != "" && (c.restarted || ref.Incarnation == "") && c.incarnation != "" {
-			ref.Incarnation = c.incarnation
+		ts := g.stateOf(ref.Name)
+		if ref.Name != "" && (ts.restarted || ref.Incarnation == "") && ts.incarnation != "" {
+			ref.Incarnation = ts.incarnation
 		}
 	}
 	return next
 }
 
-// sameEpoch brings owner and intent up to date after a takeover or a move.
+// sameEpoch returns the record with owner and MoveTo updated after a takeover or a move.
 func (g *Group) sameEpoch() (model.Group, bool) {
-	swapped := g.rec // settle changes no slice
-	if !g.settle(&swapped) {
+	updated := g.rec // applyGrant does not change the slices
+	if !g.applyGrant(&updated) {
 		return model.Group{}, false
 	}
-	next := g.clone()
-	g.settle(&next)
+	next := g.cloneRecord()
+	g.applyGrant(&next)
 	return next, true
 }
 
-func (g *Group) settle(next *model.Group) bool {
+func (g *Group) applyGrant(next *model.Group) bool {
 	if g.grant.State() != granted {
 		return false
 	}
 	changed := false
-	if g.target == next.Standby.Name {
+	if g.grantedTarget == next.Standby.Name {
 		next.Owner, next.Standby = next.Standby, next.Owner
 		changed = true
 	}
-	if next.MoveTo == g.target {
+	if next.MoveTo == g.grantedTarget {
 		next.MoveTo = ""
 		changed = true
 	}
 	return changed
 }
 
-func (g *Group) clone() model.Group {
+func (g *Group) cloneRecord() model.Group {
 	next := g.rec
 	next.Slices = slices.Clone(g.rec.Slices)
 	next.Grantors = slices.Clone(g.rec.Grantors)
@@ -122,8 +123,8 @@
 	return next
 }
 
-// ChangePair returns the record of the next epoch with other targets.
-func ChangePair(old model.Group, owner, standby, witness model.TargetRef, author string) model.Group {
+// ReplaceTargets returns the record of the next epoch with other targets.
+func ReplaceTargets(old model.Group, owner, standby, witness model.TargetRef, author string) model.Group {
 	next := old
 	next.Epoch++
 	next.Author = author
@@ -134,17 +135,17 @@
 }
 
 // SetPreviousArbiters lists in the record of a new epoch the arbiters that leave the
-// group. Whoever writes a record with other targets must call it.
+// group. Every writer of a record with other targets must call it.
 //
-// Failure: a target that left the pair still holds its grant, and is not asked
-// any more; its successor is granted at once. It shows as two owners for the
-// life of a grant, or for as long as a cut-off grantor renews the old one.
-// Listed as Previous, it must be fenced, or waited out, before the group is won.
+// Failure: a target that left the pair still holds its grant but is not asked any more,
+// and its successor is granted at once. Two targets own the same keys until the grant
+// expires, or for as long as a partitioned grantor renews it. A target that is listed
+// as Previous must be fenced, or its grant waited out, before the group is won.
 func SetPreviousArbiters(old, next *model.Group) {
 	pair := []model.TargetRef{next.Owner, next.Standby}
 	next.Previous = nil
 	for _, ref := range append([]model.TargetRef{old.Owner, old.Standby, old.Witness}, old.Previous...) {
-		// Who stays witness and was no more than that holds no grant.
+		// A target that stays witness and was only a witness before holds no grant.
 		same := ref == old.Witness && ref == next.Witness && !slices.Contains(old.Previous, ref)
 		if ref.Incarnation != "" && !same && !slices.Contains(pair, ref) && !slices.Contains(next.Previous, ref) {
 			next.Previous = append(next.Previous, ref)
--- a/internal/ownership/grants/rules.go
+++ b/internal/ownership/grants/rules.go
@@ -7,78 +7,78 @@
 	"hemlockquay/internal/model"
 )
 
-// Guards that tests take out one at a time.
+// Safety checks that tests disable one at a time.
 const (
-	noMargin         guard = "no drift margin"
-	forgetsPair      guard = "a witness that was in the pair is not covered"
-	ownAuthority     guard = "the target counts as its own authority"
-	noWitness        guard = "no witness fenced on the slow path"
-	keptAfterSend    guard = "end of a grant not kept before the send"
-	acceptsUnlisted  guard = "an unlisted incarnation accepted"
-	skipsRule3       guard = "rule 3 skipped"
-	reusesEpoch      guard = "a restarted agent reuses an epoch"
-	anyPlace         guard = "slow path at an epoch whose line another heads"
-	ignoresPrevious  guard = "old pair not covered after a change of the pair"
-	ignoresHeld      guard = "a grant that the other half reported is ignored"
-	noAuthority      guard = "no authority asked for"
-	slowWithoutWrite guard = "slow path without an epoch of its own"
-	noSlowWait       guard = "slow path without waiting"
-	answerDated      guard = "a confirmation dated from its answer"
-	staleReports     guard = "answers to orders of an earlier rank count"
-	earlierRelease   guard = "an answer to an earlier release counts"
-	carriesBlindly   guard = "a grant carried over an epoch without asking who came between"
+	noMargin            mutation = "no drift margin"
+	forgetsPair         mutation = "a witness that was in the pair is not covered"
+	ownAuthority        mutation = "the target counts as its own authority"
+	noWitness           mutation = "no witness fenced on the slow path"
+	recordsEndAfterSend mutation = "end of a grant not kept before the send"
+	acceptsUnlisted     mutation = "an unlisted incarnation accepted"
+	ignoresOtherGrants  mutation = "rule 3 skipped"
+	reusesEpoch         mutation = "a restarted agent reuses an epoch"
+	anyPosition         mutation = "slow path at an epoch whose line another heads"
+	ignoresPrevious     mutation = "old pair not covered after a change of the pair"
+	ignoresHeld         mutation = "a grant that the other half reported is ignored"
+	noAuthority         mutation = "no authority asked for"
+	slowWithoutWrite    mutation = "slow path without an epoch of its own"
+	noSlowWait          mutation = "slow path without waiting"
+	countsFromAnswer    mutation = "a confirmation dated from its answer"
+	staleReports        mutation = "answers to orders of an earlier rank count"
+	earlierRelease      mutation = "an answer to an earlier release counts"
+	carriesUnchecked    mutation = "a grant carried over an epoch without asking who came between"
 )
 
-// margin is the allowance for clocks that run apart.
+// margin is the allowance for clock drift.
 func (g *Group) margin() time.Duration {
-	if g.broken == noMargin {
+	if g.mutation == noMargin {
 		return 0
 	}
 	return g.params.ClockMargin
 }
 
-// authority is rule 1: an arbiter other than the target confirmed this rank
-// within the last Authority.
+// hasAuthority is rule 1: an arbiter other than the target confirmed this rank
+// within the last AuthorityTTL.
 //
-// Failure: a grantor that was replaced goes on renewing a target that its
-// successor cannot reach. It shows as two owners. Every successor first fences
-// the arbiters, so the old grantor's authority runs dry.
-func (g *Group) authority(target string, now time.Duration) bool {
-	if g.broken == noAuthority || g.storeAt.within(now, g.params.AuthorityTTL) {
+// Failure: a grantor that was replaced keeps renewing a target that its successor
+// cannot reach, so two targets own the same keys. Every successor fences the arbiters
+// first, so the old grantor's authority expires.
+func (g *Group) hasAuthority(target string, now time.Duration) bool {
+	if g.mutation == noAuthority || g.storeConfirmed.within(now, g.params.AuthorityTTL) {
 		return true
 	}
 	for _, ref := range g.arbiters() {
-		if ref.Name == target && g.broken != ownAuthority {
+		if ref.Name == target && g.mutation != ownAuthority {
 			continue
 		}
-		if c := g.contact(ref.Name); c.acked && c.asked.within(now, g.params.AuthorityTTL) {
+		if ts := g.stateOf(ref.Name); ts.acked && ts.confirmedOrderAt.within(now, g.params.AuthorityTTL) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayWin is rule 2: nobody else can grant any half of the pair, now or later.
+// mayWin is rule 2: no other agent can grant either target of the pair, now or later.
 //
-// The fast path needs each target that a lower rank could grant: the pair and
-// the arbiters of earlier epochs. All of them then refuse lower ranks, so that it
-// does not matter whom the witness still confirms. A data centre that takes the
-// grantor and the witness with it in one instant costs no wait and no store.
+// The fast path needs an answer from each target that a lower rank could grant: the
+// pair and the arbiters of earlier epochs. All of them then refuse lower ranks, so it
+// does not matter whose rank the witness still confirms. The simultaneous loss of
+// grantor and witness with their data centre therefore costs no wait and needs no store.
 func (g *Group) mayWin(now time.Duration) bool {
 	uncovered, acked, grantable := 0, 0, 0
-	last := g.adopted
-	for _, ref := range g.covering() {
-		c := g.contact(ref.Name)
+	last := g.adoptedAt
+	for _, ref := range g.targetsToCover() {
+		ts := g.stateOf(ref.Name)
 		switch {
-		case c.acked || c.restarted:
-			last = max(last, c.since)
+		case ts.acked || ts.restarted:
+			last = max(last, ts.coveredAt)
 		default:
 			uncovered++
 			if !g.onlyWitness(ref) {
 				grantable++
 			}
 		}
-		if c.acked {
+		if ts.acked {
 			acked++
 		}
 	}
@@ -88,97 +88,98 @@
 	if grantable == 0 {
 		return true
 	}
-	return g.mayWinSlowly(uncovered, last, now)
+	return g.mayWinSlowPath(uncovered, last, now)
 }
 
 // onlyWitness reports whether no grant can be in force at the target: it is the
 // witness, and was in the pair at no epoch that a grantor may still use.
 //
-// Failure: the old owner becomes the witness of a new epoch, cut off from its new
-// grantor and not from the old one. It shows as two owners.
+// Failure: the old owner becomes the witness of a new epoch. It is partitioned from
+// its new grantor but not from the old one, so two targets own the same keys.
 func (g *Group) onlyWitness(ref model.TargetRef) bool {
 	if ref.Name != g.rec.Witness.Name {
 		return false
 	}
 	named := func(p model.TargetRef) bool { return p.Name == ref.Name }
-	return !slices.ContainsFunc(g.rec.Previous, named) || g.broken == forgetsPair
+	return !slices.ContainsFunc(g.rec.Previous, named) || g.mutation == forgetsPair
 }
 
-// mayWinSlowly is the slow path of rule 2: one target cannot be reached.
+// mayWinSlowPath is the slow path of rule 2: one target cannot be reached.
 //
-// Failure: the target is frozen or cut off from us, and its old grantor is not.
-// All arbiters but that target now refuse the old grantor, the store because the
-// epoch is ours, so its authority runs dry after Authority, and its last grant
-// after Life. Two targets out of reach are one too many: each could give the old
-// grantor authority over the other.
-func (g *Group) mayWinSlowly(uncovered int, last, now time.Duration) bool {
-	if uncovered > 1 && g.broken != noWitness {
+// Failure: the target is frozen or partitioned from us, while its old grantor still
+// reaches it. All arbiters but that target now refuse the old grantor, the store
+// because the epoch is ours. Its authority therefore expires after AuthorityTTL, and
+// its last grant GrantTTL later. With two unreachable targets this does not hold: each
+// could give the old grantor authority over the other.
+func (g *Group) mayWinSlowPath(uncovered int, last, now time.Duration) bool {
+	if uncovered > 1 && g.mutation != noWitness {
 		return false
 	}
-	if !g.ownEpoch() && g.broken != slowWithoutWrite {
+	if !g.ownEpoch() && g.mutation != slowWithoutWrite {
 		return false
 	}
 	wait := g.params.AuthorityTTL + g.params.GrantTTL + g.margin()
-	return now-last >= wait || g.broken == noSlowWait
+	return now-last >= wait || g.mutation == noSlowWait
 }
 
-// ownEpoch reports whether this agent, in this life, wrote the epoch and heads its
-// line. Another place in the line would leave room for a lower rank of the same
-// epoch, which the store still confirms.
+// ownEpoch reports whether this incarnation of the agent wrote the epoch and is first
+// in its succession line. A later position would leave room for a lower rank of the
+// same epoch, which the store still confirms.
 func (g *Group) ownEpoch() bool {
-	mine := g.rec.Author == g.params.Incarnation || g.broken == reusesEpoch && sameVM(g.rec.Author, g.params.VM)
-	return mine && (g.place == 0 || g.broken == anyPlace)
+	mine := g.rec.Author == g.params.Incarnation || g.mutation == reusesEpoch && isIncarnationOf(g.rec.Author, g.params.VM)
+	return mine && (g.position == 0 || g.mutation == anyPosition)
 }
 
-func (g *Group) covering() []model.TargetRef {
-	if g.broken == ignoresPrevious {
+func (g *Group) targetsToCover() []model.TargetRef {
+	if g.mutation == ignoresPrevious {
 		return g.arbiters()
 	}
-	return g.all()
+	return g.allTargets()
 }
 
-// othersOut is rule 3: every grant that this agent may have sent to another
-// target, and every one that another reported, is out.
+// othersExpired is rule 3: every grant that this agent may have sent to another
+// target, and every grant that another target reported, has expired.
 //
-// Failure: an order whose answer was lost took effect, and the grantor turns to
-// the other half. The end was kept before the send, so a lost answer does not
-// shorten it.
-func (g *Group) othersOut(target string, now time.Duration) bool {
-	for name, c := range g.targets {
+// Failure: an order whose answer was lost took effect, and the grantor turns to the
+// other target of the pair. The end of the grant is recorded before the order is sent,
+// so a lost answer does not shorten it.
+func (g *Group) othersExpired(target string, now time.Duration) bool {
+	for name, ts := range g.targets {
 		if name == target {
 			continue
 		}
-		if c.sentUntil > now && g.broken != skipsRule3 {
+		if ts.sentUntil > now && g.mutation != ignoresOtherGrants {
 			return false
 		}
-		if c.heldUntil > now && g.broken != ignoresHeld && g.broken != skipsRule3 {
+		if ts.heldUntil > now && g.mutation != ignoresHeld && g.mutation != ignoresOtherGrants {
 			return false
 		}
 	}
 	return true
 }
 
-// serviceable reports whether the target of the pair can be granted: it confirmed
-// this rank in its listed incarnation and answers.
-func (g *Group) serviceable(ref model.TargetRef, now time.Duration) bool {
-	c := g.contact(ref.Name)
-	return ref.Name != "" && c.acked && c.asked.within(now, g.params.AuthorityTTL)
+// isGrantable reports whether the target of the pair can be granted: its listed
+// incarnation confirmed this rank within the last AuthorityTTL.
+func (g *Group) isGrantable(ref model.TargetRef, now time.Duration) bool {
+	ts := g.stateOf(ref.Name)
+	return ref.Name != "" && ts.acked && ts.confirmedOrderAt.within(now, g.params.AuthorityTTL)
 }
 
 func (g *Group) mayGrant(ref model.TargetRef, now time.Duration) bool {
-	return g.serviceable(ref, now) && g.authority(ref.Name, now) && g.othersOut(ref.Name, now)
+	return g.isGrantable(ref, now) && g.hasAuthority(ref.Name, now) && g.othersExpired(ref.Name, now)
 }
 
-// choose returns the half of the pair to grant: the one that holds a grant, the
-// one that an operator or the assigner wants, the owner, the standby.
-func (g *Group) choose(now time.Duration) (string, bool) {
+// chooseTarget returns the target of the pair to grant. In order of preference: the
+// one that holds a grant, the one that an operator or the assigner wants, the owner,
+// the standby.
+func (g *Group) chooseTarget(now time.Duration) (string, bool) {
 	for _, want := range []func(model.TargetRef) bool{
-		func(ref model.TargetRef) bool { return g.contact(ref.Name).heldUntil > now },
+		func(ref model.TargetRef) bool { return g.stateOf(ref.Name).heldUntil > now },
 		func(ref model.TargetRef) bool { return ref.Name == g.rec.MoveTo },
 		func(model.TargetRef) bool { return true },
 	} {
 		for _, ref := range g.pair() {
-			if want(ref) && g.mayGrant(ref, now) && (g.standing.State() == granting || g.mayCarry(ref.Name)) {
+			if want(ref) && g.mayGrant(ref, now) && (g.role.State() == granting || g.mayCarry(ref.Name)) {
 				return ref.Name, true
 			}
 		}
@@ -193,7 +194,7 @@
 	return []model.TargetRef{g.rec.Owner, g.rec.Standby}
 }
 
-func (g *Group) other(target string) model.TargetRef {
+func (g *Group) otherOfPair(target string) model.TargetRef {
 	for _, ref := range g.pair() {
 		if ref.Name != target {
 			return ref
--- a/internal/ownership/grants/safety_test.go
+++ b/internal/ownership/grants/safety_test.go
@@ -8,29 +8,29 @@
 	"pgregory.net/rapid"
 )
 
-type drawn struct{ t *rapid.T }
+type rapidSource struct{ t *rapid.T }
 
-func (d drawn) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
+func (d rapidSource) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
 
 // TestNeverTwoOwners: a user would see a key answered by two targets with
 // different state. Losses, pauses, cuts, restarts, moves and a store that is cut
 // off come in any order; whatever they do, one target at most serves a slice.
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWalk(drawn{t}, "")
+		sim := newSimulation(rapidSource{t}, "")
 		for range 300 {
-			if err := w.step(); err != nil {
+			if err := sim.step(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-// run walks from the seed and returns the first fault.
-func run(seed uint64, steps int, broken guard) error {
-	w := newWalk(rand.New(rand.NewPCG(seed, 0)), broken)
+// simulate walks from the seed and returns the first fault.
+func simulate(seed uint64, steps int, mutation mutation) error {
+	sim := newSimulation(rand.New(rand.NewPCG(seed, 0)), mutation)
 	for range steps {
-		if err := w.step(); err != nil {
+		if err := sim.step(); err != nil {
 			return err
 		}
 	}
@@ -42,12 +42,12 @@
 func TestLongWalks(t *testing.T) {
 	served, owners := 0, 0
 	for seed := range uint64(60) {
-		w := newWalk(rand.New(rand.NewPCG(seed, 0)), "")
+		sim := newSimulation(rand.New(rand.NewPCG(seed, 0)), "")
 		for i := range 3000 {
-			require.NoError(t, w.step(), "seed %d step %d", seed, i)
+			require.NoError(t, sim.step(), "seed %d step %d", seed, i)
 		}
-		served += w.served2
-		owners += len(w.served)
+		served += sim.servedChecks
+		owners += len(sim.servedBy)
 	}
 	t.Logf("slices served at a check: %d; owners of a group, mean: %.1f", served, float64(owners)/120)
 	require.Greater(t, owners, 2*120)
@@ -58,8 +58,8 @@
 // do changes all walks; the seeds are then to be searched again.
 func TestBrokenGuards(t *testing.T) {
 	seeds := []struct {
-		broken guard
-		seed   uint64
+		mutation mutation
+		seed     uint64
 	}{
 		{forgetsPair, 16},
 		{ignoresHeld, 2},
@@ -69,17 +69,17 @@
 		{noSlowWait, 1},
 		{noMargin, 6},
 		{ownAuthority, 19},
-		{keptAfterSend, 0},
-		{skipsRule3, 2},
+		{recordsEndAfterSend, 0},
+		{ignoresOtherGrants, 2},
 		{ignoresPrevious, 0},
-		{anyPlace, 14},
+		{anyPosition, 14},
 		{acceptsUnlisted, 991},
 	}
 	for _, c := range seeds {
-		t.Run(string(c.broken), func(t *testing.T) {
+		t.Run(string(c.mutation), func(t *testing.T) {
 			t.Parallel()
-			require.NoError(t, run(c.seed, 3000, ""), "with the guard")
-			require.ErrorContains(t, run(c.seed, 3000, c.broken), "is served by", "without the guard")
+			require.NoError(t, simulate(c.seed, 3000, ""), "with the guard")
+			require.ErrorContains(t, simulate(c.seed, 3000, c.mutation), "is served by", "without the guard")
 		})
 	}
 }
--- a/internal/ownership/grants/slope_test.go
+++ b/internal/ownership/grants/slope_test.go
@@ -45,7 +45,7 @@
 	return orders
 }
 
-var slopeSight = Observation{Live: func(string) bool { return true }, Served: true}
+var slopeObservation = Observation{Live: func(string) bool { return true }, Served: true}
 
 // BenchmarkSlopeRenewal is one renewal of n groups with three reports each,
 // without codec and network.
@@ -54,13 +54,13 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			kept := capacity.Retained(func() any {
 				groups := slopeGroups(n, "vm1")
-				slopeRound(groups, time.Second, slopeSight)
+				slopeRound(groups, time.Second, slopeObservation)
 				return groups
 			})
 			groups, now, orders := slopeGroups(n, "vm1"), time.Second, 0
 			for b.Loop() {
 				now += 75 * ms
-				orders = slopeRound(groups, now, slopeSight)
+				orders = slopeRound(groups, now, slopeObservation)
 			}
 			if orders < n {
 				b.Fatal("orders were left out")
@@ -78,7 +78,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			groups, now := slopeGroups(n, "vm9"), time.Second
 			for b.Loop() {
-				slopeRound(groups, now, slopeSight)
+				slopeRound(groups, now, slopeObservation)
 			}
 		})
 	}
