--- a/internal/ownership/grants/behaviour_test.go
+++ b/internal/ownership/grants/behaviour_test.go
@@ -12,7 +12,7 @@
 
 var allTargetNames = []string{"t0", "t1", "t2", "t3"}
 
-// listTargets lists targets a, b and c, in their first life, as the arbiters.
+// listTargets lists targets a, b and c, in their first incarnation, as the arbiters.
 func listTargets(rec *model.Group) {
 	for i, ref := range []*model.TargetRef{&rec.Owner, &rec.Standby, &rec.Witness} {
 		*ref = model.TargetRef{Name: string(rune('a' + i)), Incarnation: "1"}
@@ -29,7 +29,7 @@
 	return ""
 }
 
-// runMeasuringGap runs the agent and returns how long no target served.
+// runMeasuringGap runs the agent for d and returns for how long no target served.
 func (s *scenario) runMeasuringGap(d time.Duration, a *simAgent, names ...string) time.Duration {
 	var gap time.Duration
 	for until := s.now + d; s.now < until; {
@@ -43,8 +43,8 @@
 	return gap
 }
 
-// TestOwnerLost: the owner dies; no grantor changes and the store is not needed.
-// The standby serves once the owner's last grant is out, margin included.
+// The owner crashes. The grantor stays, and the store is not needed: the standby must
+// serve once the owner's last grant has expired, margin included.
 func TestOwnerLost(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
@@ -52,13 +52,13 @@
 	require.Equal(t, "t0", s.servingTarget())
 	a.storeCut = true
 	p := a.groups[0].params
-	s.restartTarget(0) // its memory is lost, and nobody learns of the new life
+	s.restartTarget(0) // it loses its grant, and nobody learns of the new incarnation
 	require.NoError(t, s.runAgent(p.GrantTTL+p.ClockMargin+2*p.RenewInterval, a, "t1", "t2"))
 	require.Equal(t, "t1", s.servingTarget())
 }
 
-// TestGrantorLostWithoutStore: the grantor dies during an outage of the store.
-// The next in line goes on with the owner: no gap, no move.
+// The grantor crashes during a store outage. The next in line must keep the owner
+// granted, without a gap and without a move.
 func TestGrantorLostWithoutStore(t *testing.T) {
 	s := newScenario(t, "")
 	require.NoError(t, s.runAgent(300*ms, s.agents[0], allTargetNames...))
@@ -71,10 +71,10 @@
 	}
 }
 
-// TestBothLost: owner and grantor die in one instant. The next in line writes an
-// epoch, waits until the old grantor's authority and grant are out, and grants
-// the standby. The gap is the takeover less what was left of the last grant, which
-// counts from a clock that the target showed up to one renewal before.
+// Owner and grantor crash at the same instant. The next in line writes an epoch, waits
+// until the old grantor's authority and grant have expired, and grants the standby. The
+// gap is the takeover time less what was left of the last grant, whose end counts from a
+// clock value that the target reported up to one renewal earlier.
 func TestBothLost(t *testing.T) {
 	s := newScenario(t, "")
 	require.NoError(t, s.runAgent(300*ms, s.agents[0], allTargetNames...))
@@ -86,9 +86,9 @@
 	require.Less(t, gap, p.FastPathTimeout+p.AuthorityTTL+p.ClockMargin+p.RenewInterval+200*ms)
 }
 
-// TestReplacedTargetCostsNoGap: the standby serves after a loss, and the assigner
-// replaces the lost target by another. The lost one cannot be fenced at the new
-// epoch, so the claim takes the slow path; the standby is renewed all the while.
+// The standby serves after the loss of the owner, and the assigner replaces the lost
+// target. The lost target cannot be fenced at the new epoch, so the claim takes the slow
+// path. The standby must be renewed throughout.
 func TestReplacedTargetCostsNoGap(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
@@ -101,9 +101,9 @@
 	require.Equal(t, granting, a.groups[0].role.State())
 }
 
-// TestPlannedMove: the record says that the standby shall serve. The owner takes
-// no new work and keeps its grant until its last request has ended; then the
-// standby is granted, and the record shows it as the owner.
+// The record orders a move to the standby. The owner must take no new work and keep its
+// grant until its last request has ended. Then the standby is granted, and the record
+// names it as owner.
 func TestPlannedMove(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
@@ -114,7 +114,7 @@
 	s.setRecord(rec, a)
 	require.NoError(t, s.runAgent(300*ms, a, allTargetNames...))
 	require.Empty(t, s.servingTarget())
-	require.Greater(t, a.groups[0].stateOf("t0").heldUntil, a.clock.at(s.now), "the grant is kept")
+	require.Greater(t, a.groups[0].stateOf("t0").heldUntil, a.clock.at(s.now), "the grant must be kept")
 	s.targets[0].running = 0
 	s.runMeasuringGap(500*ms, a, allTargetNames...)
 	require.Equal(t, "t1", s.servingTarget())
@@ -123,8 +123,8 @@
 	require.EqualValues(t, 1, s.store[0].Epoch)
 }
 
-// TestMoveOverdue: a request hangs on the old owner. The move waits for it no
-// longer than MoveLimit, then for the grant to be out.
+// A request hangs on the old owner. The move must wait for it no longer than
+// ReleaseTimeout, and then until the grant has expired.
 func TestMoveOverdue(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
@@ -138,8 +138,8 @@
 	require.Equal(t, "t1", s.servingTarget())
 }
 
-// TestGrantorCutOffFromTargets: the first in line is heard by its peers and
-// reaches no target. The next one takes over all the same.
+// The first in line exchanges heartbeats with its peers but reaches no target. The next
+// in line must take over all the same.
 func TestGrantorCutOffFromTargets(t *testing.T) {
 	s := newScenario(t, "")
 	next := s.agents[1]
@@ -147,8 +147,8 @@
 	require.Equal(t, "t0", s.servingTarget())
 }
 
-// TestNoTakeoverWithoutFenceChecks: the targets do not check fences, so that
-// nobody could hold the old owner off. Only the recorded owner is granted.
+// The targets do not check fences, so nothing would stop the old owner. Only the
+// recorded owner may be granted.
 func TestNoTakeoverWithoutFenceChecks(t *testing.T) {
 	s := newScenario(t, "")
 	a := s.agents[0]
@@ -159,11 +159,11 @@
 	require.Empty(t, s.servingTarget())
 }
 
-// TestSteadyGrantorDoesNotReadStore: nine VMs at rest read the store 40 times a
-// second, a budget that the whole system shares and needs at a loss. Cause: an
-// answer 15 ms late, to a renewal one look late, was taken for a missing one.
+// Guards against idle VMs reading the store: nine of them read it 40 times a second, from
+// a budget that the whole system shares and needs after a loss. An answer that was 15 ms
+// late, to a renewal sent one tick late, was taken for a missing one.
 func TestSteadyGrantorDoesNotReadStore(t *testing.T) {
-	const look = 15 * ms
+	const tick = 15 * ms
 	p := Params{VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
 		RenewInterval: 80 * ms, GrantTTL: 450 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, UnservedTimeout: 1500 * ms}
 	rec := model.Group{Epoch: 1, Author: "vm2-1", Grantors: []string{"vm1"}}
@@ -171,7 +171,7 @@
 	g := New(p, rec, 0)
 	var sent []Order
 	isolatedAfter, needed := 5*time.Second, false
-	for now := look; now < isolatedAfter+p.AuthorityTTL; now += look {
+	for now := tick; now < isolatedAfter+p.AuthorityTTL; now += tick {
 		for _, o := range sent {
 			if now > isolatedAfter && o.Target != "a" {
 				continue
@@ -184,13 +184,13 @@
 			require.False(t, needed, "at %v", now)
 		}
 	}
-	require.True(t, needed, "where standby and witness are silent, only the store is left")
+	require.True(t, needed, "with standby and witness silent, only the store gives authority")
 }
 
-// TestGrantorAndWitnessLostWithoutStore: a data centre is lost whole while the
-// store is down, with the grantor and the witness of a group in it. Both halves of
-// the pair live, yet their keys waited for the end of the outage. Cause: the fast
-// path asked for the witness too, which no grant needs once the pair is fenced.
+// A data centre is lost while the store is down, and with it the grantor and the witness
+// of a group. Both targets of the pair are alive, yet their keys waited for the end of the
+// outage: the fast path required the witness too, which no grant needs once the pair is
+// fenced.
 func TestGrantorAndWitnessLostWithoutStore(t *testing.T) {
 	s := newScenario(t, "")
 	require.NoError(t, s.runAgent(300*ms, s.agents[0], allTargetNames...))
@@ -204,9 +204,9 @@
 	require.Equal(t, granting, next.groups[0].role.State())
 }
 
-// Keys have no service for 2.8 s. The second in line had taken over for a moment; then
-// it is lost with the store down. The first is alive but outranked, and the third waited
-// for it until it lost patience.
+// Guards against keys without service for 2.8 s. The second in line took over briefly and
+// is then lost while the store is down. The first is alive but outranked, and the third
+// waited for it until its wait ran out.
 func TestThirdDoesNotWaitForOutrankedFirst(t *testing.T) {
 	p := Params{VM: "vm3", Incarnation: "vm3-1", Started: 1, ChecksFences: true,
 		RenewInterval: 75 * ms, GrantTTL: 400 * ms, AuthorityTTL: 160 * ms, ClockMargin: 10 * ms, FastPathTimeout: 25 * ms, UnservedTimeout: 1500 * ms}
@@ -220,10 +220,10 @@
 		claims  bool
 	}{
 		{"second took over and is lost", wire.Rank{Epoch: 7, Succession: 1, Agent: "vm2"}, lost, true},
-		{"second took over and lives", wire.Rank{Epoch: 7, Succession: 1, Agent: "vm2"}, func(string) bool { return true }, false},
-		{"at an earlier epoch", wire.Rank{Epoch: 6, Succession: 1, Agent: "vm2"}, lost, false},
-		{"first grants", wire.Rank{Epoch: 7, Agent: "vm1"}, lost, false},
-		{"nothing told", wire.Rank{}, lost, false},
+		{"second took over and is live", wire.Rank{Epoch: 7, Succession: 1, Agent: "vm2"}, func(string) bool { return true }, false},
+		{"second took over at an earlier epoch", wire.Rank{Epoch: 6, Succession: 1, Agent: "vm2"}, lost, false},
+		{"first is the grantor", wire.Rank{Epoch: 7, Agent: "vm1"}, lost, false},
+		{"no grant reported", wire.Rank{}, lost, false},
 	} {
 		g := New(p, rec, time.Second)
 		orders := g.Tick(time.Second, Observation{Live: c.live, HighestRank: c.highest})
--- a/internal/ownership/grants/bench_test.go
+++ b/internal/ownership/grants/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkTick is what one settled group costs each time its grantor looks.
+// BenchmarkTick measures one tick of a group in steady state.
 func BenchmarkTick(b *testing.B) {
 	s := newScenario(&testing.T{}, "")
 	a := s.agents[0]
--- a/internal/ownership/grants/faults_test.go
+++ b/internal/ownership/grants/faults_test.go
@@ -10,13 +10,13 @@
 	"hemlockquay/internal/statechart"
 )
 
-// setup brings the first agent of a play through one step of its charts. Each part
-// is done once, when the step of that name was taken; "serving" is 300 ms after
-// the beginning.
+// setup leads the first agent of a simulation to one transition of its charts. Each action
+// is performed once, after the first transition with that event; the event "serving" comes
+// 300 ms after the start.
 type setup struct {
-	// busy has a request run on the owner that never ends.
+	// busy makes a request run on the owner that never ends.
 	busy bool
-	// at says what to do when an event was taken.
+	// at holds the action to perform after an event.
 	at map[statechart.Event]func(*faultSimulation)
 }
 
@@ -43,7 +43,7 @@
 	return statechart.Transition{From: from, Event: e, To: to}
 }
 
-// grantorSetups has an entry for each step of charts/grantor.jsonc.
+// grantorSetups has an entry for each transition of charts/grantor.jsonc.
 var grantorSetups = map[statechart.Transition]setup{
 	{To: following}:                           {},
 	transition(following, take, claiming):     {},
@@ -52,7 +52,7 @@
 	transition(granting, stepDown, following): {at: on(serving, (*faultSimulation).newEpoch)},
 }
 
-// grantSetups has an entry for each step of charts/grant.jsonc.
+// grantSetups has an entry for each transition of charts/grant.jsonc.
 var grantSetups = map[statechart.Transition]setup{
 	{To: none}:                               {},
 	transition(none, grant, granted):         {},
@@ -73,7 +73,7 @@
 	}},
 }
 
-// faultCase is a fault as the grantor of a group meets it.
+// faultCase tells how a fault is injected, or why it cannot affect a grantor.
 type faultCase struct {
 	impossible string
 	inject     func(*faultSimulation)
@@ -129,9 +129,10 @@
 the store's record names as owner; no ordered move is left undone; epochs in
 the store never fell.`
 
-// A key is answered by two targets, or by none for long, though one could: the
-// fault came in between the decision to grant, release or step down and its
-// order. docs/faults/grantor.md and grant.md show each fault at each step.
+// Guards against a key that two targets answer, or that none answers though one could,
+// after a fault between the decision to grant, release or step down and the sending of its
+// orders. docs/faults/grantor.md and grant.md hold the result of each fault at each
+// transition.
 func TestFaultsAtStepsOfGrants(t *testing.T) {
 	for _, c := range []struct {
 		chart  *statechart.Chart
@@ -140,10 +141,10 @@
 		m := faults.New(c.chart, matrixIntro)
 		for _, step := range faults.Steps(c.chart) {
 			s, ok := c.setups[step]
-			require.True(t, ok, "nothing leads to %s", faults.Name(step))
+			require.True(t, ok, "no setup for %s", faults.Name(step))
 			for _, f := range faults.All() {
 				b, ok := faultCases[f]
-				require.True(t, ok, "no entry for %s", f)
+				require.True(t, ok, "no fault case for %s", f)
 				if b.impossible != "" {
 					m.Impossible(f, step, b.impossible)
 					continue
@@ -151,7 +152,7 @@
 				t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
 					sim := newFaultSimulation(t, step, s, b.inject)
 					m.Set(f, step, sim.unservedFor())
-					require.True(t, sim.reached, "nothing led to the step")
+					require.True(t, sim.reached, "the transition was never taken")
 				})
 			}
 		}
--- a/internal/ownership/grants/faultsimulation_test.go
+++ b/internal/ownership/grants/faultsimulation_test.go
@@ -12,16 +12,16 @@
 	"hemlockquay/internal/statechart"
 )
 
-// faultSimulation runs one cell: agents, targets and the store, with a fault at a step of
-// the first agent.
+// faultSimulation runs one cell of the fault matrix: agents, targets and the store, with a
+// fault at a transition of the first agent.
 type faultSimulation struct {
 	*scenario
 	step   statechart.Transition
 	setup  setup
 	inject func(*faultSimulation)
-	// reached says that the step was reached; faultDue, that the fault is due.
+	// reached says that the transition was taken; faultDue, that the fault is to be injected.
 	reached, faultDue bool
-	// pendingActions are the lead's parts that are due.
+	// pendingActions are the actions of setup that are due.
 	pendingActions []func(*faultSimulation)
 	seenEvents     map[statechart.Event]bool
 	timers         []timer
@@ -50,15 +50,15 @@
 }
 
 const (
-	// tickInterval is how often the daemons look at their groups.
+	// tickInterval is how often the daemons tick their groups.
 	tickInterval = 15 * ms
-	// unheardAfter is when an agent that is silent counts as lost.
+	// unheardAfter is how long an agent is silent before it counts as lost.
 	unheardAfter = 190 * ms
 	observedTime = 8 * time.Second
 )
 
-// useDefaultTimes gives an agent the times that are the daemons' defaults, but for the
-// limit of a release, which is shortened to fit into a play.
+// useDefaultTimes gives an agent the daemons' default timings, except for the release
+// timeout, which is shortened to fit into a simulation.
 func (sim *faultSimulation) useDefaultTimes(a *simAgent) {
 	q := &a.groups[0].params
 	q.RenewInterval, q.GrantTTL, q.AuthorityTTL, q.ClockMargin = 75*ms, 400*ms, 160*ms, 10*ms
@@ -99,7 +99,7 @@
 	}
 }
 
-// runPending does what the last step made due.
+// runPending injects the fault and performs the actions that the last transition made due.
 func (sim *faultSimulation) runPending() {
 	if sim.faultDue {
 		sim.faultDue = false
@@ -116,14 +116,14 @@
 	sim.timers = append(sim.timers, timer{sim.now + d, do})
 }
 
-// unservedFor plays to the end and returns how long nobody owned the key.
+// unservedFor simulates to the end and returns for how many seconds nobody owned the key.
 func (sim *faultSimulation) unservedFor() string {
 	var gap, stepAt time.Duration
 	epoch := sim.store[0].Epoch
 	for sim.now < observedTime || sim.reached && sim.now < stepAt+observedTime {
 		sim.runTick()
 		require.NoError(sim.t, sim.check())
-		require.GreaterOrEqual(sim.t, sim.store[0].Epoch, epoch, "epochs fell")
+		require.GreaterOrEqual(sim.t, sim.store[0].Epoch, epoch, "the epoch fell")
 		epoch = sim.store[0].Epoch
 		switch {
 		case !sim.reached:
@@ -133,13 +133,13 @@
 		}
 		sim.now += tickInterval
 	}
-	require.NotEmpty(sim.t, sim.servingTarget(), "nobody serves at the end")
-	require.Equal(sim.t, sim.store[0].Owner.Name, sim.servingTarget(), "the record shows the owner")
+	require.NotEmpty(sim.t, sim.servingTarget(), "no target serves at the end")
+	require.Equal(sim.t, sim.store[0].Owner.Name, sim.servingTarget(), "the record does not name the owner")
 	require.Empty(sim.t, sim.store[0].MoveTo, "a move was left undone")
 	return fmt.Sprintf("%.2f", gap.Seconds())
 }
 
-// runTick lets everything happen that happens in one look.
+// runTick simulates everything that happens within one tick.
 func (sim *faultSimulation) runTick() {
 	for _, a := range slices.Clone(sim.timers) {
 		if a.at <= sim.now {
@@ -164,7 +164,7 @@
 
 func (sim *faultSimulation) isRunning(i int) bool { return !sim.crashed[i] && !sim.paused[i] }
 
-// updateHeartbeats updates which agents receive heartbeats of which.
+// updateHeartbeats updates which agents receive heartbeats from which others.
 func (sim *faultSimulation) updateHeartbeats() {
 	for i, a := range sim.agents {
 		a.storeCut = sim.storeIsDown || sim.isolated[i]
@@ -185,15 +185,15 @@
 	orders := sim.tickOrders(a)
 	sim.runPending()
 	if sim.agents[i] != a || sim.crashed[i] {
-		return // lost before it sent them
+		return // lost before it sent its orders
 	}
 	for _, m := range orders {
 		sim.deliver(i, m)
 	}
 }
 
-// deliver takes an order to its target, or keeps it while the sender is paused or
-// the target frozen.
+// deliver delivers an order to its target, or holds it while the sender is paused or
+// the target is frozen.
 func (sim *faultSimulation) deliver(i int, m message) {
 	tgt := int(m.order.Target[1] - '0')
 	switch {
@@ -207,8 +207,8 @@
 	sim.runPending()
 }
 
-// writeAll carries the proposals to the store. Their authors learn of it by the
-// next sync.
+// writeAll writes the proposals to the store. Their authors learn of the write at the next
+// sync.
 func (sim *faultSimulation) writeAll() {
 	for _, d := range sim.proposals {
 		if !d.agent.storeCut {
@@ -234,7 +234,7 @@
 	sim.delayedProposals = rest
 }
 
-// writeRecord is a write of the assigner.
+// writeRecord writes a record as the assigner does.
 func (sim *faultSimulation) writeRecord(rec model.Group) {
 	sim.version++
 	sim.store[0] = rec
@@ -245,7 +245,7 @@
 	sim.after(d, func(sim *faultSimulation) { sim.isolated[i] = false })
 }
 
-// isolateWithOwner leaves the agent the owner, and nothing else.
+// isolateWithOwner partitions the agent from everything except the owner.
 func (sim *faultSimulation) isolateWithOwner(i int, d time.Duration) {
 	sim.isolatedTarget = 0
 	sim.isolate(i, d)
@@ -275,7 +275,7 @@
 	}
 }
 
-// loseAgent ends the first agent; a new life of its VM comes after a second.
+// loseAgent crashes the first agent; a new incarnation starts after a second.
 func (sim *faultSimulation) loseAgent() {
 	sim.crashed[0] = true
 	sim.after(time.Second, func(sim *faultSimulation) {
@@ -286,7 +286,7 @@
 	})
 }
 
-// loseTarget ends a target; its next life is reached after d.
+// loseTarget crashes a target; its next incarnation can be reached after d.
 func (sim *faultSimulation) loseTarget(tgt int, d time.Duration) {
 	sim.restartTarget(tgt)
 	sim.unreachable[tgt] = true
--- a/internal/ownership/grants/randomfaults_test.go
+++ b/internal/ownership/grants/randomfaults_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// injectFault breaks or mends something, or changes the plan.
+// injectFault causes or ends a random fault, or changes the plan.
 func (sim *simulation) injectFault() {
 	vm, tgt := sim.random.IntN(simVMs), sim.random.IntN(simTargets)
 	switch sim.random.IntN(14) {
@@ -23,7 +23,7 @@
 	case 3, 11, 12:
 		sim.partition()
 	case 13:
-		// Everyone who is alive thinks that the others are lost.
+		// This agent considers all other agents lost.
 		for i := range sim.agents[vm].suspect {
 			sim.agents[vm].suspect[i] = i != vm
 		}
@@ -45,8 +45,8 @@
 	}
 }
 
-// partition puts agents, targets and the store on two sides; a target may be
-// out of reach for all but one agent.
+// partition divides agents, targets and the store between two sides. A target may be
+// unreachable for all agents but one.
 func (sim *simulation) partition() {
 	side := sim.random.IntN(1 << (simVMs + simTargets + 1))
 	on := func(i int) bool { return side>>i&1 == 1 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// restartAgent replaces an agent; its old life may go on as if nothing happened.
+// restartAgent replaces an agent; its old incarnation may keep running.
 func (sim *simulation) restartAgent(vm int) {
 	if sim.oneIn(2) {
 		sim.staleAgents = append(sim.staleAgents, sim.agents[vm])
--- a/internal/ownership/grants/record.go
+++ b/internal/ownership/grants/record.go
@@ -13,11 +13,12 @@
 func (g *Group) Proposal(now time.Duration, observation Observation) (model.Group, bool) {
 	switch g.role.State() {
 	case following:
-		if g.isMyTurn(now, observation) && (g.otherLifeWroteEpoch() || g.orphaned(now, observation)) {
+		if g.isMyTurn(now, observation) && (g.otherIncarnationWroteEpoch() || g.orphaned(now, observation)) {
 			return g.nextEpoch(), true
 		}
 	case claiming:
-		if g.knowsUnlistedIncarnation() && (g.allIncarnationsKnown() || now-g.claimedAt > g.params.FastPathTimeout) || g.needsOwnEpoch(now) {
+		if g.knowsUnlistedIncarnation() && (g.allIncarnationsKnown() || now-g.claimedAt > g.params.FastPathTimeout) ||
+			g.needsOwnEpoch(now) {
 			return g.nextEpoch(), true
 		}
 	case granting:
--- a/internal/ownership/grants/safety_test.go
+++ b/internal/ownership/grants/safety_test.go
@@ -12,9 +12,9 @@
 
 func (d rapidSource) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
 
-// TestNeverTwoOwners: a user would see a key answered by two targets with
-// different state. Losses, pauses, cuts, restarts, moves and a store that is cut
-// off come in any order; whatever they do, one target at most serves a slice.
+// Guards against a key that two targets answer with different state. Crashes, pauses,
+// partitions, restarts, moves and store outages come in any order; at most one target
+// may serve a slice.
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapidSource{t}, "")
@@ -26,7 +26,7 @@
 	})
 }
 
-// simulate walks from the seed and returns the first fault.
+// simulate runs a simulation from the seed and returns the first violation.
 func simulate(seed uint64, steps int, mutation mutation) error {
 	sim := newSimulation(rand.New(rand.NewPCG(seed, 0)), mutation)
 	for range steps {
@@ -37,9 +37,9 @@
 	return nil
 }
 
-// TestLongWalks is the same with longer walks from fixed seeds, and shows that
-// they come somewhere: keys are served, by several targets.
-func TestLongWalks(t *testing.T) {
+// Runs longer simulations from fixed seeds, and checks that they cover something: keys are
+// served, by several targets.
+func TestLongSimulations(t *testing.T) {
 	served, owners := 0, 0
 	for seed := range uint64(60) {
 		sim := newSimulation(rand.New(rand.NewPCG(seed, 0)), "")
@@ -49,13 +49,13 @@
 		served += sim.servedChecks
 		owners += len(sim.servedBy)
 	}
-	t.Logf("slices served at a check: %d; owners of a group, mean: %.1f", served, float64(owners)/120)
+	t.Logf("served slices seen by the checker: %d; mean number of owners of a group: %.1f", served, float64(owners)/120)
 	require.Greater(t, owners, 2*120)
 }
 
-// TestBrokenGuards takes out one guard at a time and shows the seed whose walk
-// finds it: a checker that finds nothing proves nothing. A change of what agents
-// do changes all walks; the seeds are then to be searched again.
+// Disables one safety check at a time and runs a seed whose simulation notices it, to show
+// that the invariant checker can fail. A change of the agents' behaviour changes all
+// simulations; the seeds must then be searched again.
 func TestBrokenGuards(t *testing.T) {
 	seeds := []struct {
 		mutation mutation
@@ -78,8 +78,8 @@
 	for _, c := range seeds {
 		t.Run(string(c.mutation), func(t *testing.T) {
 			t.Parallel()
-			require.NoError(t, simulate(c.seed, 3000, ""), "with the guard")
-			require.ErrorContains(t, simulate(c.seed, 3000, c.mutation), "is served by", "without the guard")
+			require.NoError(t, simulate(c.seed, 3000, ""), "with the check")
+			require.ErrorContains(t, simulate(c.seed, 3000, c.mutation), "is served by", "without the check")
 		})
 	}
 }
--- a/internal/ownership/grants/scenario_test.go
+++ b/internal/ownership/grants/scenario_test.go
@@ -10,8 +10,8 @@
 	"hemlockquay/internal/model"
 )
 
-// A scenario drives the parts of a walk by hand, where random steps meet the
-// order of events too seldom. All clocks run true; group 0 of the walk is used:
+// A scenario drives a simulation step by step, for sequences of events that random steps
+// reach too rarely. All clocks run at the true rate. It uses group 0 of the simulation:
 // owner t0, standby t1, witness t2.
 type scenario struct {
 	*simulation
@@ -34,7 +34,7 @@
 	return s
 }
 
-// startAgent starts a new life of the VM's startAgent with the store's record.
+// startAgent starts a new incarnation of the VM's agent with the store's record.
 func (s *scenario) startAgent(vm string) *simAgent {
 	a := s.newAgent(vm)
 	a.clock = clock{origin: time.Second, rate: 1}
@@ -43,7 +43,7 @@
 	return a
 }
 
-// setRecord puts a setRecord into the store and shows it to the agents.
+// setRecord writes a record to the store and lets the given agents read it.
 func (s *scenario) setRecord(rec model.Group, to ...*simAgent) {
 	s.store[0] = rec
 	s.version++
@@ -52,7 +52,7 @@
 	}
 }
 
-// tickOrders lets the agent decide, and returns what it would send.
+// tickOrders runs a tick of the agent and returns the orders instead of sending them.
 func (s *scenario) tickOrders(a *simAgent) []message {
 	before := len(s.messages)
 	s.tickAgent(a)
@@ -61,7 +61,7 @@
 	return sent
 }
 
-// deliverTo delivers messages to the named targets and returns the reports.
+// deliverTo delivers the messages for the named targets and returns the reports.
 func (s *scenario) deliverTo(messages []message, names ...string) []message {
 	var reports []message
 	for _, m := range messages {
@@ -77,15 +77,15 @@
 	return reports
 }
 
-// returnReports brings reports back.
+// returnReports delivers reports to the agents that sent the orders.
 func (s *scenario) returnReports(reports []message) {
 	for _, m := range reports {
 		m.agent.groups[m.group].HandleReport(&m.order, m.report, m.agent.clock.at(s.now))
 	}
 }
 
-// runAgent runs the agent for the time with the named targets in reach, and returns
-// the first fault.
+// runAgent runs the agent for d with the named targets reachable, and returns the first
+// violation of the invariant.
 func (s *scenario) runAgent(d time.Duration, a *simAgent, names ...string) error {
 	for until := s.now + d; s.now < until; s.now += 20 * ms {
 		s.returnReports(s.deliverTo(s.tickOrders(a), names...))
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// runAgents runs two agents that reach different targets.
+// runAgents is runAgent for two agents that reach different targets.
 func (s *scenario) runAgents(d time.Duration, a *simAgent, as []string, b *simAgent, bs []string) error {
 	for until := s.now + d; s.now < until; s.now += 20 * ms {
 		s.returnReports(s.deliverTo(s.tickOrders(a), as...))
@@ -114,10 +114,10 @@
 	}
 }
 
-// staleAgentSharesEpoch: a VM is replaced under its name, and its old agent, only
-// frozen, goes on. The new life wrote an epoch; the old one reads it, wins it
-// before the new one asks anybody, and goes on with the owner, which the new life
-// cannot reach. The store confirms the epoch to both lives: a key gets two owners.
+// staleAgentSharesEpoch: a VM is replaced under the same name, and its old agent, which was
+// only frozen, resumes. The new incarnation wrote an epoch. The old one reads it, wins
+// it before the new one has asked any target, and keeps granting the owner, which the new
+// one cannot reach. The store confirms the epoch to both, so a key gets two owners.
 func staleAgentSharesEpoch(s *scenario) error {
 	old := s.agents[0]
 	fresh := s.startAgent("vm0")
@@ -131,10 +131,10 @@
 	return s.runAgents(4*time.Second, old, []string{"t0"}, fresh, []string{"t1", "t2"})
 }
 
-// lateConfirmation: the witness confirms to the old grantor, and the answer takes
-// almost a second. Meanwhile the new grantor fences the witness and waits. Dated
-// from its arrival, the answer would let the old grantor renew the owner for
-// another half second, while the new one grants the standby.
+// lateConfirmation: the witness confirms the old grantor's order, and the answer takes
+// almost a second. Meanwhile the new grantor fences the witness and waits. If the
+// confirmation counted from its arrival, the old grantor would renew the owner for another
+// half second, while the new one grants the standby.
 func lateConfirmation(s *scenario) error {
 	old, next := s.agents[0], s.agents[1]
 	if err := s.runAgent(200*ms, old, "t0", "t1", "t2"); err != nil {
@@ -159,9 +159,9 @@
 	return s.runAgents(time.Second, old, []string{"t0"}, next, []string{"t1", "t2"})
 }
 
-// reportsForEarlierRank: a grantor's questions of epoch 1 are answered late,
-// after it took epoch 2 and its turn there. Counted for the new rank, they would
-// win a group in which nobody was fenced, and another grants the standby.
+// reportsForEarlierRank: a grantor's orders of epoch 1 are answered late, after it adopted
+// epoch 2 and claimed the group there. If the answers counted for the new rank, it would
+// win a group in which no target was fenced, while another agent grants the standby.
 func reportsForEarlierRank(s *scenario) error {
 	first, second := s.agents[0], s.agents[1]
 	late := s.deliverTo(s.tickOrders(first), "t0", "t1", "t2")
@@ -180,10 +180,10 @@
 	return s.runAgents(time.Second, first, []string{"t0"}, second, []string{"t1", "t2"})
 }
 
-// takeoverBetweenEpochs: a grantor sleeps; the next in line takes its group over and
-// moves it to the standby. A new epoch names the sleeper first. It wakes, reaches
-// the old owner only, and goes on with the grant it had before it slept, while
-// the standby serves: a key gets two owners.
+// takeoverBetweenEpochs: a grantor is paused; the next in line takes its group over and
+// moves it to the standby. A new epoch names the paused agent first. It resumes, reaches
+// only the old owner, and renews the grant from before its pause, while the standby
+// serves: a key gets two owners.
 func takeoverBetweenEpochs(s *scenario) error {
 	paused, next := s.agents[0], s.agents[1]
 	if err := s.runAgent(200*ms, paused, "t0", "t1", "t2"); err != nil {
@@ -202,9 +202,9 @@
 }
 
 // reportForEarlierRelease: keys move to the standby and back, all at one rank, and are to
-// move once more. The owner is cut off; an answer to the first release, which waited
-// somewhere, comes now. Taken for the end of this release, the standby is granted while the
-// grant that the owner got in between is in force: a key gets two owners.
+// move once more. The owner is partitioned, and a delayed answer to the first release
+// arrives. If it were taken for the end of this release, the standby would be granted while
+// the grant that the owner got in between is in force: a key gets two owners.
 func reportForEarlierRelease(s *scenario) error {
 	a := s.agents[0]
 	move := func(to string) {
@@ -230,7 +230,7 @@
 	return s.runAgent(time.Second, a, "t1", "t2")
 }
 
-// scenarios are the guards that scenarios take out.
+// scenarios lists the checks that are disabled, each with the scenario that notices it.
 var scenarios = []struct {
 	mutation mutation
 	run      func(*scenario) error
@@ -242,12 +242,13 @@
 	{earlierRelease, reportForEarlierRelease},
 }
 
-// TestScenarios plays each story with the guard in place and without it.
+// Runs each scenario with the safety check in place, and with the check disabled, where it
+// must find a violation.
 func TestScenarios(t *testing.T) {
 	for _, c := range scenarios {
 		t.Run(string(c.mutation), func(t *testing.T) {
-			require.NoError(t, c.run(newScenario(t, "")), "with the guard")
-			require.Error(t, c.run(newScenario(t, c.mutation)), "without the guard")
+			require.NoError(t, c.run(newScenario(t, "")), "with the check")
+			require.Error(t, c.run(newScenario(t, c.mutation)), "without the check")
 		})
 	}
 }
--- a/internal/ownership/grants/simulation_test.go
+++ b/internal/ownership/grants/simulation_test.go
@@ -12,9 +12,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// A walk drives several agents, targets and one store through random steps and
-// checks after each that no slice has two owners. It uses the stand-in's fences
-// as the targets and the grantor's own code as the agents.
+// The simulation drives several agents, several targets and one store through random
+// steps, and checks after each step that no slice has two owners. The targets use the
+// stand-in's fences; the agents use the code under test.
 
 const (
 	ms         = time.Millisecond
@@ -23,8 +23,8 @@
 	service    = "s"
 )
 
-// simParams has a wide margin, so that clocks may run 9% off and a walk finds
-// the lack of it.
+// simParams has a wide margin, so that clocks may run 9% off and the simulation notices
+// a missing margin.
 func simParams(vm string, started int64) Params {
 	return Params{
 		VM: vm, Incarnation: fmt.Sprintf("%s-%d", vm, started), Started: started,
@@ -34,7 +34,7 @@
 
 const driftBound = 0.09
 
-// randomSource is the source of a walk's choices: rapid, or a seed.
+// randomSource makes the simulation's random choices, from rapid or from a seed.
 type randomSource interface{ IntN(n int) int }
 
 // clock runs at its own rate from its own origin.
@@ -51,7 +51,7 @@
 	groups   []*Group
 	version  int
 	suspect  [simVMs]bool
-	storeCut bool // from the store
+	storeCut bool // partitioned from the store
 }
 
 type simTarget struct {
@@ -82,11 +82,11 @@
 	random       randomSource
 	mutation     mutation
 	now          time.Duration
-	agents       []*simAgent // the last life of each VM
+	agents       []*simAgent // the current incarnation on each VM
 	staleAgents  []*simAgent
 	targets      [simTargets]*simTarget
-	ordersCut    [simVMs][simTargets]bool // orders
-	reportsLost  [simVMs][simTargets]bool // reports
+	ordersCut    [simVMs][simTargets]bool // orders are lost
+	reportsLost  [simVMs][simTargets]bool // reports are lost
 	messages     []message
 	proposals    []proposal
 	store        []model.Group
@@ -149,7 +149,7 @@
 
 func (sim *simulation) oneIn(n int) bool { return sim.random.IntN(n) == 0 }
 
-// step does one thing and checks.
+// step performs one random action and checks the invariant.
 func (sim *simulation) step() error {
 	switch k := sim.random.IntN(100); {
 	case k < 15:
@@ -199,7 +199,7 @@
 	}
 }
 
-// isServed reports whether a live agent's grant is known.
+// isServed reports whether a live agent has a confirmed grant of the group.
 func (sim *simulation) isServed(i int) bool {
 	for _, a := range sim.agents {
 		if _, _, ok := a.groups[i].ConfirmedGrant(a.clock.at(sim.now)); ok {
@@ -209,7 +209,7 @@
 	return false
 }
 
-// round lets every agent run undisturbed, so that walks make progress.
+// round lets every agent run undisturbed, so that the simulation makes progress.
 func (sim *simulation) round() error {
 	for _, a := range append(slices.Clone(sim.agents), sim.staleAgents...) {
 		sim.tickAgent(a)
@@ -242,7 +242,7 @@
 	return sim.transmit(sim.random.IntN(len(sim.messages)))
 }
 
-// transmit takes the i-th letter one way, loses it, or leaves a copy for later.
+// transmit delivers the i-th message, loses it, or leaves a copy of it in flight.
 func (sim *simulation) transmit(i int) error {
 	m := sim.messages[i]
 	if len(sim.messages) > 300 || !sim.oneIn(30) {
@@ -278,7 +278,7 @@
 	}
 	g := r.Groups[0]
 	if g.Confirmed && o.Rank.Compare(t.maxSeen[id]) < 0 {
-		return nil, fmt.Errorf("%s took rank %v below %v", o.Target, o.Rank, t.maxSeen[id])
+		return nil, fmt.Errorf("%s accepted rank %v below %v", o.Target, o.Rank, t.maxSeen[id])
 	}
 	if o.Rank.Compare(t.maxSeen[id]) > 0 {
 		t.maxSeen[id] = o.Rank
@@ -303,8 +303,8 @@
 	}
 }
 
-// writeProposal lets one draft reach the store. Its author learns of it by a later sync
-// only, as when the answer is lost.
+// writeProposal lets one proposal reach the store. Its author learns of the write only
+// by a later sync, as when the answer is lost.
 func (sim *simulation) writeProposal() {
 	if len(sim.proposals) == 0 {
 		return
@@ -322,7 +322,7 @@
 	sim.store[d.group] = d.rec
 }
 
-// check finds a slice with two owners.
+// check returns an error if a slice has two owners.
 func (sim *simulation) check() error {
 	for i := range sim.store {
 		for _, s := range sim.store[i].Slices {
--- a/internal/ownership/grants/slope_test.go
+++ b/internal/ownership/grants/slope_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-// slopeRound lets each group look and answers its orders as settled targets do.
+// slopeRound ticks each group and answers its orders as targets in steady state do.
 func slopeRound(groups []*Group, now time.Duration, observation Observation) (orders int) {
 	for _, g := range groups {
 		for _, o := range g.Tick(now, observation) {
@@ -47,8 +47,8 @@
 
 var slopeObservation = Observation{Live: func(string) bool { return true }, Served: true}
 
-// BenchmarkSlopeRenewal is one renewal of n groups with three reports each,
-// without codec and network.
+// BenchmarkSlopeRenewal measures one renewal of n groups with three reports each,
+// without encoding and network.
 func BenchmarkSlopeRenewal(b *testing.B) {
 	for _, n := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkSlopeIdleLook is a look at n groups that another agent grants, which
-// each agent takes 67 times a second at all groups of all records.
+// BenchmarkSlopeIdleLook measures one tick of n groups that another agent grants. Each
+// agent ticks all groups of all records 67 times a second.
 func BenchmarkSlopeIdleLook(b *testing.B) {
 	for _, n := range []int{64, 256, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/internal/ownership/grants/tick.go
+++ b/internal/ownership/grants/tick.go
@@ -24,7 +24,8 @@
 	if observation.Served || !g.lastServed.ok {
 		g.lastServed = optionalTime{now, true}
 	}
-	if g.role.State() == following && g.isMyTurn(now, observation) && !g.otherLifeWroteEpoch() && g.higherRank == (wire.Rank{}) {
+	if g.role.State() == following && g.isMyTurn(now, observation) &&
+		!g.otherIncarnationWroteEpoch() && g.higherRank == (wire.Rank{}) {
 		g.claimedAt, g.sendNow = now, true
 		_ = g.role.Fire(take)
 	}
@@ -76,12 +77,12 @@
 
 func (g *Group) timeUnserved(now time.Duration) time.Duration { return now - g.lastServed.at }
 
-// otherLifeWroteEpoch reports whether another incarnation of this agent wrote the epoch.
+// otherIncarnationWroteEpoch reports whether another incarnation of this agent wrote the epoch.
 //
 // Failure: a VM is replaced under the same name while its old agent, which was only
 // frozen, resumes. Both would use the epoch, and the store would confirm it to both: the
 // old one renews its target while the new one takes the slow path.
-func (g *Group) otherLifeWroteEpoch() bool {
+func (g *Group) otherIncarnationWroteEpoch() bool {
 	if g.mutation == reusesEpoch {
 		return false
 	}
@@ -122,7 +123,8 @@
 func (g *Group) checkGrant(now time.Duration) {
 	ts := g.stateOf(g.grantedTarget)
 	switch {
-	case ts.restarted, ts.grantsEndAt() <= now && (ts.sentUntil > 0 || g.mutation == recordsEndAfterSend && !ts.confirmedOrderAt.within(now, g.params.AuthorityTTL)):
+	case ts.restarted, ts.grantsEndAt() <= now &&
+		(ts.sentUntil > 0 || g.mutation == recordsEndAfterSend && !ts.confirmedOrderAt.within(now, g.params.AuthorityTTL)):
 		g.note("target " + g.grantedTarget + " lost, or its grant expired")
 		_ = g.grant.Fire(silent)
 		g.grantedTarget = ""
@@ -208,7 +210,8 @@
 		return false
 	}
 	for _, ref := range g.pair() {
-		if g.isGrantable(ref, now) && (g.grantedTarget == "" || g.grantedTarget == ref.Name) && !g.hasTargetAuthority(ref.Name, now) {
+		if g.isGrantable(ref, now) && (g.grantedTarget == "" || g.grantedTarget == ref.Name) &&
+			!g.hasTargetAuthority(ref.Name, now) {
 			return true
 		}
 	}
