--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -79,7 +79,7 @@
 	if a.read != nil {
 		for _, rec := range a.read.Groups {
 			if g := h.groups[rec.ID]; g != nil {
-				g.StoreRead(rec.Epoch, a.asked)
+				g.HandleStoreRead(rec.Epoch, a.asked)
 			}
 		}
 		return true
@@ -90,7 +90,7 @@
 		if g == nil || !a.report.Refused && i >= len(a.report.Groups) {
 			continue
 		}
-		again = g.Reported(&a.batch.orders[i], reportOf(a.report, i), now) || again
+		again = g.HandleReport(&a.batch.orders[i], reportOf(a.report, i), now) || again
 	}
 	d.publish(a.service, h, a.batch.groups, now)
 	return again
@@ -102,7 +102,7 @@
 		return out
 	}
 	g := &r.Groups[i]
-	out.Confirmed, out.Fence, out.Before = g.Confirmed, g.Fence, g.Before
-	out.Held, out.HeldRank, out.Running = g.Held, g.HeldRank, g.Running
+	out.Confirmed, out.Fence, out.PreviousFence = g.Confirmed, g.Fence, g.Before
+	out.HeldUntil, out.HeldRank, out.Running = g.Held, g.HeldRank, g.Running
 	return out
 }
--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -67,8 +67,8 @@
 	d := &grantorDuty{
 		params: grants.Params{
 			VM: s.VM, Incarnation: a.incarnation, Started: a.started,
-			Every: s.GrantEvery.D(), Life: s.GrantLife.D(), Authority: s.Authority.D(), Margin: s.ClockMargin.D(),
-			Patience: s.TakeoverPatience.D(), MoveLimit: s.ReleaseLimit.D(), Unserved: unserved,
+			RenewInterval: s.GrantEvery.D(), GrantTTL: s.GrantLife.D(), AuthorityTTL: s.Authority.D(), ClockMargin: s.ClockMargin.D(),
+			FastPathTimeout: s.TakeoverPatience.D(), ReleaseTimeout: s.ReleaseLimit.D(), UnservedTimeout: unserved,
 		},
 		timeout:   s.Authority.D(),
 		silence:   s.TakeoverSilence.D(),
@@ -131,7 +131,7 @@
 	observation := func(service string, id uint64) grants.Observation {
 		return grants.Observation{
 			Live:   seen,
-			Served: d.served[groupID{service, id}], Highest: highest[groupID{service, id}],
+			Served: d.served[groupID{service, id}], HighestRank: highest[groupID{service, id}],
 		}
 	}
 	for name, h := range d.services {
@@ -201,7 +201,7 @@
 }
 
 func (d *grantorDuty) explain(service string, id uint64, g *grants.Group) {
-	for _, text := range g.Notes() {
+	for _, text := range g.TakeNotes() {
 		subject := fmt.Sprintf("%s/%d", service, id)
 		d.journal.Add("grant", text, subject)
 		d.log.Info().Str("step", "grant").Str("peer", subject).Msg(text)
@@ -218,7 +218,7 @@
 		if g == nil {
 			continue
 		}
-		ref, rank, ok := g.Granted(now)
+		ref, rank, ok := g.ConfirmedGrant(now)
 		switch {
 		case ok:
 			confirmed = append(confirmed, wire.Grant{Service: service, Group: id, Slices: g.Record().Slices, Rank: rank, Target: ref})
--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -61,7 +61,7 @@
 	if g := &o.Groups[0]; g.Until > 0 {
 		h.grants++
 		if h.fromArrival {
-			g.Until = h.clock() + int64(heldParams().Life)
+			g.Until = h.clock() + int64(heldParams().GrantTTL)
 		}
 	}
 	_ = json.NewEncoder(w).Encode(h.fences.Apply(&o, h.clock(), func(string, []keyspace.Slice) int { return 0 }))
@@ -88,9 +88,9 @@
 // heldParams are the default times.
 func heldParams() grants.Params {
 	return grants.Params{
-		VM: "vm1", Incarnation: "vm1-1", Started: 1, Checks: true,
-		Every: 75 * time.Millisecond, Life: 400 * time.Millisecond, Authority: 160 * time.Millisecond,
-		Margin: 10 * time.Millisecond, Patience: 25 * time.Millisecond, MoveLimit: time.Second, Unserved: unserved,
+		VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
+		RenewInterval: 75 * time.Millisecond, GrantTTL: 400 * time.Millisecond, AuthorityTTL: 160 * time.Millisecond,
+		ClockMargin: 10 * time.Millisecond, FastPathTimeout: 25 * time.Millisecond, ReleaseTimeout: time.Second, UnservedTimeout: unserved,
 	}
 }
 
@@ -139,14 +139,14 @@
 	p.duty.carry(ctx, "s", b)
 	select {
 	case a := <-p.duty.inbox.Entries():
-		p.group.Reported(&o, reportOf(a.report, 0), p.now)
+		p.group.HandleReport(&o, reportOf(a.report, 0), p.now)
 	default:
 	}
 }
 
 // beat plays a renewal.
 func (p *heldPlay) beat() {
-	p.pass(heldParams().Every)
+	p.pass(heldParams().RenewInterval)
 	for _, o := range p.orders() {
 		p.carry(p.t.Context(), o)
 	}
@@ -155,7 +155,7 @@
 // giveUp cuts the owner off and sends it a renewal, which is given up once it is in flight.
 func (p *heldPlay) giveUp() {
 	p.owner.Cut()
-	p.pass(heldParams().Every)
+	p.pass(heldParams().RenewInterval)
 	for _, o := range p.orders() {
 		if o.Target != p.owner.name {
 			p.carry(p.t.Context(), o)
@@ -181,7 +181,7 @@
 	before := p.owner.arrived()
 	p.giveUp()
 	for began := p.now; !p.standby.holds(); {
-		require.Less(p.t, p.now, began+3*heldParams().Life, "the keys have no owner")
+		require.Less(p.t, p.now, began+3*heldParams().GrantTTL, "the keys have no owner")
 		p.beat()
 		require.False(p.t, p.owner.holds() && p.standby.holds(), "two targets hold the keys in the cut")
 	}
--- a/internal/ownership/grants/safety_test.go
+++ b/internal/ownership/grants/safety_test.go
@@ -8,58 +8,58 @@
 	"pgregory.net/rapid"
 )
 
-type drawn struct{ t *rapid.T }
+type rapidSource struct{ t *rapid.T }
 
-func (d drawn) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
+func (d rapidSource) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.t, "n") }
 
-// TestNeverTwoOwners: a user would see a key answered by two targets with
-// different state. Losses, pauses, cuts, restarts, moves and a store that is cut
-// off come in any order; whatever they do, one target at most serves a slice.
+// Guards against a key that two targets answer with different state. Crashes, pauses,
+// partitions, restarts, moves and store outages come in any order; at most one target
+// may serve a slice.
 func TestNeverTwoOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWalk(drawn{t}, "")
+		sim := newSimulation(rapidSource{t}, "")
 		for range 300 {
-			if err := w.step(); err != nil {
+			if err := sim.step(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-// run walks from the seed and returns the first fault.
-func run(seed uint64, steps int, broken guard) error {
-	w := newWalk(rand.New(rand.NewPCG(seed, 0)), broken)
+// simulate runs a simulation from the seed and returns the first violation.
+func simulate(seed uint64, steps int, mutation mutation) error {
+	sim := newSimulation(rand.New(rand.NewPCG(seed, 0)), mutation)
 	for range steps {
-		if err := w.step(); err != nil {
+		if err := sim.step(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// TestLongWalks is the same with longer walks from fixed seeds, and shows that
-// they come somewhere: keys are served, by several targets.
-func TestLongWalks(t *testing.T) {
+// Runs longer simulations from fixed seeds, and checks that they cover something: keys are
+// served, by several targets.
+func TestLongSimulations(t *testing.T) {
 	served, owners := 0, 0
 	for seed := range uint64(60) {
-		w := newWalk(rand.New(rand.NewPCG(seed, 0)), "")
+		sim := newSimulation(rand.New(rand.NewPCG(seed, 0)), "")
 		for i := range 3000 {
-			require.NoError(t, w.step(), "seed %d step %d", seed, i)
+			require.NoError(t, sim.step(), "seed %d step %d", seed, i)
 		}
-		served += w.served2
-		owners += len(w.served)
+		served += sim.servedChecks
+		owners += len(sim.servedBy)
 	}
-	t.Logf("slices served at a check: %d; owners of a group, mean: %.1f", served, float64(owners)/120)
+	t.Logf("served slices seen by the checker: %d; mean number of owners of a group: %.1f", served, float64(owners)/120)
 	require.Greater(t, owners, 2*120)
 }
 
-// TestBrokenGuards takes out one guard at a time and shows the seed whose walk
-// finds it: a checker that finds nothing proves nothing. A change of what agents
-// do changes all walks; the seeds are then to be searched again.
+// Disables one safety check at a time and runs a seed whose simulation notices it, to show
+// that the invariant checker can fail. A change of the agents' behaviour changes all
+// simulations; the seeds must then be searched again.
 func TestBrokenGuards(t *testing.T) {
 	seeds := []struct {
-		broken guard
-		seed   uint64
+		mutation mutation
+		seed     uint64
 	}{
 		{forgetsPair, 16},
 		{ignoresHeld, 2},
@@ -69,17 +69,17 @@
 		{noSlowWait, 1},
 		{noMargin, 6},
 		{ownAuthority, 19},
-		{keptAfterSend, 0},
-		{skipsRule3, 2},
+		{recordsEndAfterSend, 0},
+		{ignoresOtherGrants, 2},
 		{ignoresPrevious, 0},
-		{anyPlace, 14},
+		{anyPosition, 14},
 		{acceptsUnlisted, 991},
 	}
 	for _, c := range seeds {
-		t.Run(string(c.broken), func(t *testing.T) {
+		t.Run(string(c.mutation), func(t *testing.T) {
 			t.Parallel()
-			require.NoError(t, run(c.seed, 3000, ""), "with the guard")
-			require.ErrorContains(t, run(c.seed, 3000, c.broken), "is served by", "without the guard")
+			require.NoError(t, simulate(c.seed, 3000, ""), "with the check")
+			require.ErrorContains(t, simulate(c.seed, 3000, c.mutation), "is served by", "without the check")
 		})
 	}
 }
