--- a/internal/gateway/adapter.go
+++ b/internal/gateway/adapter.go
@@ -48,14 +48,14 @@
 	NotRun string
 }
 
-// notRun reports whether an answer says that the target has not run the request.
-func (h Headers) notRun(a *upstream.Answer) bool {
+// saysNotRun reports whether an answer says that the target has not run the request.
+func (h Headers) saysNotRun(a *upstream.Answer) bool {
 	return a.Header.Get(h.NotRun) != "" || a.Status == http.StatusMisdirectedRequest
 }
 
-// another reports whether the answer comes from another target than was meant: the
+// fromOtherTarget reports whether the answer comes from another target than was meant: the
 // address has passed on.
-func (h Headers) another(a *upstream.Answer, id string) bool {
+func (h Headers) fromOtherTarget(a *upstream.Answer, id string) bool {
 	got := a.Header.Get(h.InstanceID)
 	return a.Status == http.StatusMisdirectedRequest && got != "" && got != id
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,65 +12,65 @@
 	"hemlockquay/internal/upstream"
 )
 
-// run sends the request until there is an answer, or a reason to give up.
-func (g *Gateway) run(ctx context.Context, c *call) outcome {
+// forward sends the request until there is an answer, or a reason to give up.
+func (g *Gateway) forward(ctx context.Context, c *call) outcome {
 	for {
-		left := time.Until(c.until)
-		if left < leastLeft {
-			return c.timeOver()
+		timeLeft := time.Until(c.deadline)
+		if timeLeft < minTimeLeft {
+			return c.timedOut()
 		}
-		if g.state.crashing(c.content, g.mesh) {
-			return c.giveUp("request ends the targets that run it", mostRetry)
+		if g.state.crashesTargets(c.digest, g.mesh) {
+			return c.giveUp("request ends the targets that run it", maxRetryAfter)
 		}
-		e, why := g.choose(c, left)
-		if why == refusedMoving && g.await(ctx, c, movingWait) {
+		e, reason := g.reserveTarget(c, timeLeft)
+		if reason == refusedMoving && g.awaitRoutingChange(ctx, c, maxMoveWait) {
 			continue
 		}
-		if why == refusedLost || why == refusedExpired {
-			return c.giveUp(string(why), left/lostRetry)
+		if reason == refusedLost || reason == refusedExpired {
+			return c.giveUp(string(reason), timeLeft/lostOwnerRetryDivisor)
 		}
-		if why == refusedHot {
-			return c.giveUp(string(why), g.retryAfterLimit(c))
+		if reason == refusedHot {
+			return c.giveUp(string(reason), g.hotKeyRetryAfter(c))
 		}
 		if e == nil {
-			return c.giveUp(string(why), g.retryAfter(c))
+			return c.giveUp(string(reason), g.retryAfter(c))
 		}
-		if g.outlasts(c, e, left) {
-			g.state.finish(e, endLeft)
-			return c.giveUp(string(refusedLeaving), soonRetry)
+		if g.mayOutlastShutdown(c, e, timeLeft) {
+			g.state.finish(e, resultAbandoned)
+			return c.giveUp(string(refusedLeaving), immediateRetryAfter)
 		}
-		if c.arrivals > 0 {
-			if d := g.repeat(c); !d.Granted {
-				g.state.finish(e, endLeft)
+		if c.delivered > 0 {
+			if d := g.takeRepeat(c); !d.Granted {
+				g.state.finish(e, resultAbandoned)
 				c.decidedOn = d.String()
-				return c.giveUp(noRepeats, g.retryAfter(c))
+				return c.giveUp(reasonNoRepeats, g.retryAfter(c))
 			}
 		}
-		if out := g.attempt(ctx, c, e, left); out != nil {
+		if out := g.attempt(ctx, c, e, timeLeft); out != nil {
 			return *out
 		}
-		if c.ran >= max(c.route.MaxTargets, 1) || c.arrivals > c.route.MaxTargets+1 || c.unsent > unsentMost {
+		if c.mayHaveRun >= max(c.route.MaxTargets, 1) || c.delivered > c.route.MaxTargets+1 || c.connectFailures > maxConnectFailures {
 			return c.giveUp("attempts used up", g.retryAfter(c))
 		}
 	}
 }
 
-func (g *Gateway) choose(c *call, left time.Duration) (*attempt, refusal) {
+func (g *Gateway) reserveTarget(c *call, left time.Duration) (*attempt, refusal) {
 	if c.keyed {
-		if about := g.expired(c.service, g.clock.Now()); about != "" {
-			c.decidedOn = about
+		if details := g.leasesExpired(c.service, g.clock.Now()); details != "" {
+			c.decidedOn = details
 			return nil, refusedExpired
 		}
-		e, why, about := g.state.chooseOwner(c.service, c.route, c.key, c.misdirected, left)
-		c.refusedOn = about
-		return e, why
+		e, reason, details := g.state.reserveOwner(c.service, c.route, c.key, c.misdirectedBy, left)
+		c.refusedOn = details
+		return e, reason
 	}
-	return g.state.chooseFromPool(c.service, c.route, c.tried, left, g.clock.Now())
+	return g.state.reserveFromPool(c.service, c.route, c.tried, left, g.clock.Now())
 }
 
-// await waits for a change of leases or targets and reports whether to try again.
-func (g *Gateway) await(ctx context.Context, c *call, most time.Duration) bool {
-	left := min(most-c.waited, time.Until(c.until)-leastLeft)
+// awaitRoutingChange waits for a change of leases or targets and reports whether to try again.
+func (g *Gateway) awaitRoutingChange(ctx context.Context, c *call, limit time.Duration) bool {
+	left := min(limit-c.waited, time.Until(c.deadline)-minTimeLeft)
 	if left <= 0 {
 		return false
 	}
@@ -99,65 +99,65 @@
 func (g *Gateway) attempt(ctx context.Context, c *call, e *attempt, left time.Duration) *outcome {
 	c.request.Header.Set(g.headers.TargetID, e.id)
 	c.request.Header.Set(g.headers.DeadlineMs, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
-	sendCtx, cancel := context.WithDeadline(ctx, c.until)
+	sendCtx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	answer, err := e.pool.Exchange(sendCtx, c.request, upstream.AnyConn)
+	resp, err := e.pool.Exchange(sendCtx, c.request, upstream.AnyConn)
 	took := time.Since(e.sent)
 	metrics.GetOrRegisterTimer("step.target."+c.service, g.registry).Update(took)
-	c.note(e, took, answer, err)
+	c.recordAttempt(e, took, resp, err)
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
-		g.state.finish(e, endUnsent)
+		g.state.finish(e, resultNotSent)
 		c.tried[e.id] = true
-		c.unsent++
+		c.connectFailures++
 		if c.keyed {
-			g.await(ctx, c, movingWait)
+			g.awaitRoutingChange(ctx, c, maxMoveWait)
 		}
 		return nil
 	case err != nil:
-		return g.lost(ctx, c, e)
-	case g.headers.notRun(answer):
-		return g.notRun(c, e, answer)
-	}
-	c.arrivals++
-	c.ran++
-	if answer.Status < http.StatusInternalServerError {
-		g.state.finish(e, endAnswered)
-		g.state.harmless(c.content)
-		return &outcome{answer: answer, status: answer.Status, reason: answered}
-	}
-	g.state.finish(e, endFailed)
+		return g.handleLostResponse(ctx, c, e)
+	case g.headers.saysNotRun(resp):
+		return g.handleNotRun(c, e, resp)
+	}
+	c.delivered++
+	c.mayHaveRun++
+	if resp.Status < http.StatusInternalServerError {
+		g.state.finish(e, resultSucceeded)
+		g.state.clearCrashes(c.digest)
+		return &outcome{response: resp, status: resp.Status, reason: reasonAnswered}
+	}
+	g.state.finish(e, resultFailed)
 	c.tried[e.id] = true
-	c.last = answer
-	c.failed = causeFailed
-	if !c.route.Idempotent || answer.Status == http.StatusGatewayTimeout {
+	c.failedResponse = resp
+	c.lastFailure = causeFailed
+	if !c.route.Idempotent || resp.Status == http.StatusGatewayTimeout {
 		out := c.giveUp("target failed", 0)
 		return &out
 	}
 	return nil
 }
 
-// lost handles an answer that is lost: the request may have run.
-func (g *Gateway) lost(ctx context.Context, c *call, e *attempt) *outcome {
-	c.arrivals++
-	c.ran++
-	if endedByStop(ctx) {
-		g.state.finish(e, endLeft)
-		out := c.giveUp(errStopping.Error(), 0)
+// handleLostResponse handles an answer that is lost: the request may have run.
+func (g *Gateway) handleLostResponse(ctx context.Context, c *call, e *attempt) *outcome {
+	c.delivered++
+	c.mayHaveRun++
+	if canceledByShutdown(ctx) {
+		g.state.finish(e, resultAbandoned)
+		out := c.giveUp(errShuttingDown.Error(), 0)
 		return &out
 	}
 	if ctx.Err() != nil {
-		g.state.finish(e, endLeft)
+		g.state.finish(e, resultAbandoned)
 		return &outcome{status: 0, reason: "caller left"}
 	}
-	if time.Until(c.until) < leastLeft {
-		g.state.finish(e, endLeft)
-		out := c.timeOver()
+	if time.Until(c.deadline) < minTimeLeft {
+		g.state.finish(e, resultAbandoned)
+		out := c.timedOut()
 		return &out
 	}
-	g.state.finish(e, endLost)
-	c.failed = causeLost
-	go g.checkCrash(c.content, e)
+	g.state.finish(e, resultResponseLost)
+	c.lastFailure = causeLost
+	go g.recordCrashIfDown(c.digest, e)
 	c.tried[e.id] = true
 	if !c.route.Idempotent {
 		out := c.giveUp("answer lost", 0)
@@ -166,24 +166,24 @@
 	return nil
 }
 
-// notRun handles the refusal of a request by its target.
-func (g *Gateway) notRun(c *call, e *attempt, a *upstream.Answer) *outcome {
-	c.arrivals++
-	if g.headers.another(a, e.id) {
-		g.state.displaced(e)
-	}
-	if a.Status == http.StatusMisdirectedRequest && c.keyed {
-		g.state.finish(e, endLeft)
-		g.state.noteMisdirected(c.service)
+// handleNotRun handles the refusal of a request by its target.
+func (g *Gateway) handleNotRun(c *call, e *attempt, resp *upstream.Answer) *outcome {
+	c.delivered++
+	if g.headers.fromOtherTarget(resp, e.id) {
+		g.state.markDisplaced(e)
+	}
+	if resp.Status == http.StatusMisdirectedRequest && c.keyed {
+		g.state.finish(e, resultAbandoned)
+		g.state.recordMisdirected(c.service)
 		// Only a later version of the leases can name another owner, or the same one anew.
-		c.failed, c.misdirected = causeMisdirected, e.leases
+		c.lastFailure, c.misdirectedBy = causeMisdirected, e.leases
 		return nil
 	}
-	g.state.finish(e, endFailed)
+	g.state.finish(e, resultFailed)
 	c.tried[e.id] = true
-	c.failed = causeRefused
-	c.shedFree = e.load < e.target.Slots
-	if c.keyed && !c.shedFree {
+	c.lastFailure = causeRefused
+	c.refusedWithFreeSlots = e.load < e.target.Slots
+	if c.keyed && !c.refusedWithFreeSlots {
 		out := c.giveUp("owner is full", g.retryAfter(c))
 		return &out
 	}
@@ -195,21 +195,21 @@
 // retryAfter returns when a place should be free.
 // A target that refuses although it has free slots has no lasting reason.
 func (g *Gateway) retryAfter(c *call) time.Duration {
-	if c.shedFree {
-		return soonRetry
+	if c.refusedWithFreeSlots {
+		return immediateRetryAfter
 	}
 	g.state.mu.Lock()
-	usual := g.state.usualLocked(c.service, c.route.Name)
+	usual := g.state.usualDurationLocked(c.service, c.route.Name)
 	g.state.mu.Unlock()
-	return min(max(usual, leastRetry), mostRetry)
+	return min(max(usual, minRetryAfter), maxRetryAfter)
 }
 
-// retryAfterLimit returns when to retry for a key that is hotter than its owner: the owner
+// hotKeyRetryAfter returns when to retry for a key that is hotter than its owner: the owner
 // can do the requests that were refused in the time of one only over several.
-func (g *Gateway) retryAfterLimit(c *call) time.Duration {
-	part := 1.0
+func (g *Gateway) hotKeyRetryAfter(c *call) time.Duration {
+	fraction := 1.0
 	if r := g.state.leases.Of(c.service); r != nil {
-		part = r.LimitOf(c.key).Fraction()
+		fraction = r.LimitOf(c.key).Fraction()
 	}
-	return min(time.Duration(float64(g.retryAfter(c))/part), mostRetry)
+	return min(time.Duration(float64(g.retryAfter(c))/fraction), maxRetryAfter)
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -13,70 +13,70 @@
 )
 
 const (
-	// defaultBody bounds a request's body, bytes, where the configuration does not.
-	defaultBody = 1 << 20
-	// firstPart is what is read first of a body without a stated length, bytes. The
+	// defaultMaxBody bounds a request's body, bytes, where the configuration does not.
+	defaultMaxBody = 1 << 20
+	// initialBuffer is what is read first of a body without a stated length, bytes. The
 	// room is doubled from there.
-	firstPart = 16 << 10
-	// bodyShare is the part of a VM's memory that bodies may take. It leaves room for
+	initialBuffer = 16 << 10
+	// bodyMemoryShare is the part of a VM's memory that bodies may take. It leaves room for
 	// copies while a body without a stated length is read, for what the heap grows before
 	// it is collected (gcPercent), and for the rest of the process, about 30 MB.
-	bodyShare = 0.25
+	bodyMemoryShare = 0.25
 )
 
 var (
 	errBodyTooLarge = errors.New("body over the limit")
-	errNoRoom       = errors.New("no memory for the body")
+	errNoBodyMemory = errors.New("no memory for the body")
 )
 
-// bodyRoom is the memory for bodies that are held while their requests run.
+// bodyMemory is the memory for bodies that are held while their requests run.
 // Bodies are held until their answers. Without a bound, a few large ones use up the memory of a VM. What
 // finds no room is refused as not run.
-type bodyRoom struct{ *semaphore.Weighted }
+type bodyMemory struct{ *semaphore.Weighted }
 
-func newBodyRoom(memoryMB float64) bodyRoom {
-	return bodyRoom{semaphore.NewWeighted(int64(memoryMB * bodyShare * (1 << 20)))}
+func newBodyMemory(memoryMB float64) bodyMemory {
+	return bodyMemory{semaphore.NewWeighted(int64(memoryMB * bodyMemoryShare * (1 << 20)))}
 }
 
-// heldBody is one request's part of the room.
-type heldBody struct {
-	room bodyRoom
-	held int64
+// bodyReservation is one request's part of the room.
+type bodyReservation struct {
+	memory   bodyMemory
+	reserved int64
 }
 
-// grow takes room up to a size.
-func (h *heldBody) grow(size int64) error {
-	if !h.room.TryAcquire(size - h.held) {
-		return errNoRoom
+// reserve takes room up to a size.
+func (h *bodyReservation) reserve(size int64) error {
+	if !h.memory.TryAcquire(size - h.reserved) {
+		return errNoBodyMemory
 	}
-	h.held = size
+	h.reserved = size
 	return nil
 }
 
 // release gives the room back.
-func (h *heldBody) release() {
-	h.room.Release(h.held)
-	h.held = 0
+func (h *bodyReservation) release() {
+	h.memory.Release(h.reserved)
+	h.reserved = 0
 }
 
 // read reads a body of the stated size, -1 where it is not stated.
-func (h *heldBody) read(from io.Reader, size, limit int64) ([]byte, error) {
+func (h *bodyReservation) read(r io.Reader, size, limit int64) ([]byte, error) {
 	if size >= 0 {
 		if size > limit {
 			return nil, errBodyTooLarge
 		}
-		return h.readSized(from, size)
+		return h.readSized(r, size)
 	}
 	var body []byte
 	for {
-		room := min(max(2*h.held, firstPart), limit+1)
-		if err := h.grow(room); err != nil {
+		capacity := min(max(2*h.reserved, initialBuffer), limit+1)
+		if err := h.reserve(capacity); err != nil {
 			return nil, err
 		}
-		larger := make([]byte, room)
-		have := copy(larger, body)
-		got, err := io.ReadFull(from, larger[have:])
-		body = larger[:have+got]
+		buffer := make([]byte, capacity)
+		filled := copy(buffer, body)
+		n, err := io.ReadFull(r, buffer[filled:])
+		body = buffer[:filled+n]
 		switch {
 		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 			return body, nil
@@ -88,12 +88,12 @@
 	}
 }
 
-func (h *heldBody) readSized(from io.Reader, size int64) ([]byte, error) {
-	if err := h.grow(size); err != nil {
+func (h *bodyReservation) readSized(r io.Reader, size int64) ([]byte, error) {
+	if err := h.reserve(size); err != nil {
 		return nil, err
 	}
 	body := make([]byte, size)
-	_, err := io.ReadFull(from, body)
+	_, err := io.ReadFull(r, body)
 	return body, err
 }
 
@@ -101,16 +101,16 @@
 // that is held can be sent again where a target refuses it or the route allows repeats.
 func (g *Gateway) readBody(c *call, w http.ResponseWriter, r *http.Request, limit int64) *outcome {
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBody
 	}
-	body, err := g.readInTime(c, w, r, limit)
+	body, err := g.readBodyByDeadline(c, w, r, limit)
 	switch {
 	case errors.Is(err, errBodyTooLarge):
 		return &outcome{status: http.StatusRequestEntityTooLarge, reason: errBodyTooLarge.Error()}
-	case errors.Is(err, errNoRoom):
-		return &outcome{status: http.StatusServiceUnavailable, reason: errNoRoom.Error(), retry: mostRetry}
-	case endedByStop(r.Context()):
-		return &outcome{status: http.StatusServiceUnavailable, reason: errStopping.Error(), retry: soonRetry}
+	case errors.Is(err, errNoBodyMemory):
+		return &outcome{status: http.StatusServiceUnavailable, reason: errNoBodyMemory.Error(), retryAfter: maxRetryAfter}
+	case canceledByShutdown(r.Context()):
+		return &outcome{status: http.StatusServiceUnavailable, reason: errShuttingDown.Error(), retryAfter: immediateRetryAfter}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &outcome{status: http.StatusRequestTimeout, reason: "body not read in time"}
 	case err != nil:
@@ -120,18 +120,18 @@
 	digest := xxhash.New()
 	_, _ = digest.WriteString(r.Method + " " + r.Host + r.RequestURI + "\n" + r.Header.Get(g.headers.Key) + "\n")
 	_, _ = digest.Write(body)
-	c.content = digest.Sum64()
+	c.digest = digest.Sum64()
 	return nil
 }
 
-// readInTime reads the body until the caller's time is over, or the process stops.
+// readBodyByDeadline reads the body until the caller's time is over, or the process stops.
 // A caller may stop in the middle of its body and keep the connection.
-func (g *Gateway) readInTime(c *call, w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
+func (g *Gateway) readBodyByDeadline(c *call, w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
 	control := http.NewResponseController(w)
-	if err := control.SetReadDeadline(c.until); err != nil && !errors.Is(err, http.ErrNotSupported) {
+	if err := control.SetReadDeadline(c.deadline); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, err
 	}
 	stopReading := context.AfterFunc(r.Context(), func() { _ = control.SetReadDeadline(time.Unix(0, 0)) })
--- a/internal/gateway/body_test.go
+++ b/internal/gateway/body_test.go
@@ -18,12 +18,12 @@
 	"hemlockquay/internal/route"
 )
 
-func TestBodyIsReadWholeOrNot(t *testing.T) {
+func TestReadReturnsWholeBodyOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		body := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*firstPart).Draw(t, "size"))
-		limit := int64(rapid.IntRange(1, 4*firstPart).Draw(t, "limit"))
-		room := newBodyRoom(1)
-		h := heldBody{room: room}
+		body := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*initialBuffer).Draw(t, "size"))
+		limit := int64(rapid.IntRange(1, 4*initialBuffer).Draw(t, "limit"))
+		room := newBodyMemory(1)
+		h := bodyReservation{memory: room}
 		size := int64(len(body))
 		if rapid.Bool().Draw(t, "not stated") {
 			size = -1
@@ -36,38 +36,38 @@
 			require.Len(t, got, len(body))
 		}
 		h.release()
-		require.True(t, room.TryAcquire(1<<20*bodyShare), "all room is given back")
+		require.True(t, room.TryAcquire(1<<20*bodyMemoryShare), "all room is given back")
 	})
 }
 
 // Guards against a part of an upload that a target stores as the whole.
-func TestPartOfABodyIsNotPassedOn(t *testing.T) {
+func TestReadFailsOnPartialBody(t *testing.T) {
 	for _, size := range []int64{100, -1} {
-		h := heldBody{room: newBodyRoom(1)}
+		h := bodyReservation{memory: newBodyMemory(1)}
 		_, err := h.read(io.MultiReader(strings.NewReader("half"), iotest.ErrReader(net.ErrClosed)), size, 1000)
 		require.ErrorIs(t, err, net.ErrClosed)
 	}
 }
 
 // Guards against a VM that ends for want of memory while uploads wait for slow targets.
-func TestBodiesWithoutRoomAreRefused(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
-	require.True(t, b.bodies.TryAcquire(defaultMemory*bodyShare*(1<<20)-10))
-	resp := b.get("once.example", nil, strings.Repeat("x", 50))
+func TestBodyWithoutFreeMemoryIsRefused(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
+	require.True(t, b.bodyMemory.TryAcquire(defaultMemoryMB*bodyMemoryShare*(1<<20)-10))
+	resp := b.send("once.example", nil, strings.Repeat("x", 50))
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Zero(t, b.hits.Load())
-	b.bodies.Release(90)
+	require.Zero(t, b.requests.Load())
+	b.bodyMemory.Release(90)
 	for range 3 {
-		require.Equal(t, http.StatusOK, b.get("once.example", nil, strings.Repeat("x", 50)).StatusCode)
+		require.Equal(t, http.StatusOK, b.send("once.example", nil, strings.Repeat("x", 50)).StatusCode)
 	}
 }
 
 // Guards against a caller that never sends the rest of its body and holds memory for good.
-func TestBodyThatDoesNotComeInTime(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
+func TestStalledBodyTimesOut(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
 	front := httptest.NewServer(b.Gateway)
 	defer front.Close()
 	c, err := net.Dial("tcp", strings.TrimPrefix(front.URL, "http://"))
@@ -80,28 +80,28 @@
 	n, err := c.Read(answer)
 	require.NoError(t, err)
 	require.Contains(t, string(answer[:n]), "408")
-	require.Zero(t, b.hits.Load())
+	require.Zero(t, b.requests.Load())
 	require.Eventually(t, func() bool {
-		if !b.bodies.TryAcquire(defaultMemory * bodyShare * (1 << 20)) {
+		if !b.bodyMemory.TryAcquire(defaultMemoryMB * bodyMemoryShare * (1 << 20)) {
 			return false
 		}
-		b.bodies.Release(defaultMemory * bodyShare * (1 << 20))
+		b.bodyMemory.Release(defaultMemoryMB * bodyMemoryShare * (1 << 20))
 		return true
 	}, 5*time.Second, time.Millisecond)
 }
 
 // Guards against a 404 for a route that exists and that this version cannot read.
-func TestRouteThatIsNotUnderstoodIsRefusedAsNotRun(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
+func TestUnusableRouteIsRefusedAsNotRun(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
 	c := *b.state.view.Load().Routes.Config()
 	c.Version++
 	c.Routes = append([]route.Route{{Name: "odd", Host: "odd.example", Prefix: "/", Unusable: "field TimeoutS missing"}}, c.Routes...)
 	c.Unread = []route.Unread{{Part: "route odd", Field: "TimeoutS"}}
 	b.state.setConfig(&c, "test")
-	resp := b.get("odd.example", nil, "")
+	resp := b.send("odd.example", nil, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Equal(t, http.StatusOK, b.get("safe.example", nil, "").StatusCode)
+	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "").StatusCode)
 	require.Contains(t, b.state.registry.GetAll(), "config.unread")
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -14,78 +14,78 @@
 
 // call is one request of a caller in flight.
 type call struct {
-	id      string
-	route   *route.Route
-	service string
-	keyed   bool
-	key     uint16
-	content uint64
-	request *upstream.Request
-	body    heldBody
-	start   time.Time
-	until   time.Time
+	id       string
+	route    *route.Route
+	service  string
+	keyed    bool
+	key      uint16
+	digest   uint64
+	request  *upstream.Request
+	body     bodyReservation
+	start    time.Time
+	deadline time.Time
 
-	tried    map[string]bool
-	unsent   int
-	arrivals int
-	// ran counts the targets that may have run the request.
-	ran int
-	// failed is how the last arrival failed, misdirected by which version of the leases it was
+	tried           map[string]bool
+	connectFailures int
+	delivered       int
+	// mayHaveRun counts the targets that may have run the request.
+	mayHaveRun int
+	// lastFailure is how the last arrival failed, misdirectedBy by which version of the leases it was
 	// sent where its target did not hold the key.
-	failed      cause
-	misdirected mesh.LeaseMark
-	// last is an answer without success that stands if nothing better comes.
-	last   *upstream.Answer
-	trace  []string
-	waited time.Duration
-	// shedFree says that the last target refused it while it had a free slot.
-	shedFree bool
+	lastFailure   repeatCause
+	misdirectedBy mesh.LeaseMark
+	// failedResponse is an answer without success that stands if nothing better comes.
+	failedResponse *upstream.Answer
+	trace          []string
+	waited         time.Duration
+	// refusedWithFreeSlots says that the last target refused it while it had a free slot.
+	refusedWithFreeSlots bool
 	// refusedOn is what the last refusal of a target was decided on, decidedOn what a refusal
 	// for another reason was: the budget of repeats, or the grantor.
 	refusedOn, decidedOn string
 }
 
-// answered is the reason of an outcome that is the answer of the request's target.
-const answered = "answered"
+// reasonAnswered is the reason of an outcome that is the answer of the request's target.
+const reasonAnswered = "answered"
 
 // outcome is what the caller gets.
 type outcome struct {
-	answer *upstream.Answer
-	status int
-	reason string
-	retry  time.Duration
+	response   *upstream.Answer
+	status     int
+	reason     string
+	retryAfter time.Duration
 }
 
 func (g *Gateway) newCall(r *http.Request, rt *route.Route, service string) *call {
 	now := time.Now()
 	c := &call{
 		id: r.Header.Get(g.headers.RequestID), route: rt, service: service,
-		start: now, tried: make(map[string]bool), body: heldBody{room: g.bodies},
+		start: now, tried: make(map[string]bool), body: bodyReservation{memory: g.bodyMemory},
 	}
-	wait := rt.Timeout
-	if ms, err := strconv.ParseFloat(r.Header.Get(g.headers.DeadlineMs), 64); err == nil && ms >= 0 && ms < float64(wait.Milliseconds()) {
-		wait = time.Duration(ms * float64(time.Millisecond))
+	timeout := rt.Timeout
+	if ms, err := strconv.ParseFloat(r.Header.Get(g.headers.DeadlineMs), 64); err == nil && ms >= 0 && ms < float64(timeout.Milliseconds()) {
+		timeout = time.Duration(ms * float64(time.Millisecond))
 	}
-	c.until = now.Add(wait - answerMargin)
+	c.deadline = now.Add(timeout - responseMargin)
 	c.request = &upstream.Request{
 		Method: r.Method, URI: r.RequestURI, Host: r.Host,
-		Header: forwarded(r.Header, g.headers), ID: c.id, IDHeader: g.headers.RequestID,
+		Header: forwardedHeaders(r.Header, g.headers), ID: c.id, IDHeader: g.headers.RequestID,
 	}
 	return c
 }
 
-// note adds an attempt to the trace that the log line shows.
-func (c *call) note(e *attempt, took time.Duration, a *upstream.Answer, err error) {
-	how := "answered"
+// recordAttempt adds an attempt to the trace that the log line shows.
+func (c *call) recordAttempt(e *attempt, took time.Duration, resp *upstream.Answer, err error) {
+	result := "answered"
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
-		how = "unsent: " + rootCause(err)
+		result = "unsent: " + rootCause(err)
 	case err != nil:
-		how = "lost: " + rootCause(err)
+		result = "lost: " + rootCause(err)
 	default:
-		how = strconv.Itoa(a.Status)
+		result = strconv.Itoa(resp.Status)
 	}
-	c.trace = append(c.trace, fmt.Sprintf("%s load %d expected %dms took %dms %s", e.id, e.load, e.expected.Milliseconds(), took.Milliseconds(), how))
+	c.trace = append(c.trace, fmt.Sprintf("%s load %d expected %dms took %dms %s", e.id, e.load, e.expected.Milliseconds(), took.Milliseconds(), result))
 }
 
 func rootCause(err error) string {
@@ -107,16 +107,16 @@
 // anything else nothing is said.
 func (c *call) giveUp(reason string, retry time.Duration) outcome {
 	switch {
-	case c.ran == 0:
-		return outcome{status: http.StatusServiceUnavailable, reason: reason, retry: retry}
-	case c.last != nil && !promises(c.last.Status):
-		return outcome{answer: c.last, status: c.last.Status, reason: reason}
+	case c.mayHaveRun == 0:
+		return outcome{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retry}
+	case c.failedResponse != nil && !impliesNotRun(c.failedResponse.Status):
+		return outcome{response: c.failedResponse, status: c.failedResponse.Status, reason: reason}
 	}
 	return outcome{status: http.StatusBadGateway, reason: reason}
 }
 
-// promises reports whether callers take a status for "has not run".
-func promises(status int) bool {
+// impliesNotRun reports whether callers take a status for "has not run".
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -124,12 +124,12 @@
 	return false
 }
 
-func (c *call) timeOver() outcome {
-	if c.ran == 0 {
-		return outcome{status: http.StatusServiceUnavailable, reason: "time over before it was sent", retry: leastRetry}
+func (c *call) timedOut() outcome {
+	if c.mayHaveRun == 0 {
+		return outcome{status: http.StatusServiceUnavailable, reason: "time over before it was sent", retryAfter: minRetryAfter}
 	}
-	if c.last != nil && !promises(c.last.Status) {
-		return outcome{answer: c.last, status: c.last.Status, reason: "time over"}
+	if c.failedResponse != nil && !impliesNotRun(c.failedResponse.Status) {
+		return outcome{response: c.failedResponse, status: c.failedResponse.Status, reason: "time over"}
 	}
 	return outcome{status: http.StatusGatewayTimeout, reason: "time over"}
 }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -40,45 +40,45 @@
 	return Headers{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", TargetID: "Target", InstanceID: "Instance", NotRun: "Not-Run"}
 }
 
-// downStore is a store that answers nothing.
-type downStore struct{}
+// unavailableStore is a store that answers nothing.
+type unavailableStore struct{}
 
-func (downStore) Get(context.Context, platform.ID) (platform.Object, error) {
+func (unavailableStore) Get(context.Context, platform.ID) (platform.Object, error) {
 	return platform.Object{}, platform.ErrUnavailable
 }
 
-func (downStore) Put(context.Context, platform.Object) (platform.Object, error) {
+func (unavailableStore) Put(context.Context, platform.Object) (platform.Object, error) {
 	return platform.Object{}, platform.ErrUnavailable
 }
 
-func (downStore) ListKind(context.Context, model.Kind) (platform.Listing, error) {
+func (unavailableStore) ListKind(context.Context, model.Kind) (platform.Listing, error) {
 	return platform.Listing{}, platform.ErrUnavailable
 }
 
-func (downStore) WatchKind(context.Context, model.Kind, uint64, time.Duration) (platform.Changes, error) {
+func (unavailableStore) WatchKind(context.Context, model.Kind, uint64, time.Duration) (platform.Changes, error) {
 	return platform.Changes{}, platform.ErrUnavailable
 }
 
 func (s *routingState) routingOf(service string) *lease.Routing { return s.leases.Of(service) }
 func (s *routingState) updateRouting(u *lease.Update) bool      { return s.leases.Update(u) }
 
-// testGateway is a gateway without goroutines, listeners or a store that answers.
-func testGateway(clock *handClock) *Gateway { return testGatewayWithLink(clock, 0) }
+// newTestGateway is a gateway without goroutines, listeners or a store that answers.
+func newTestGateway(clock *manualClock) *Gateway { return newTestGatewayWithLink(clock, 0) }
 
-func testGatewayWithLink(clock *handClock, mbps float64) *Gateway {
-	return testGatewayNamed(clock, "self", mbps)
+func newTestGatewayWithLink(clock *manualClock, mbps float64) *Gateway {
+	return newTestGatewayNamed(clock, "self", mbps)
 }
 
-func testGatewayNamed(clock *handClock, name string, mbps float64) *Gateway {
-	s := &Settings{Store: "127.0.0.1:1", LinkMbps: mbps, MemoryMB: defaultMemory}
+func newTestGatewayNamed(clock *manualClock, name string, mbps float64) *Gateway {
+	s := &Settings{Store: "127.0.0.1:1", LinkMbps: mbps, MemoryMB: defaultMemoryMB}
 	s.VM, s.DataCentre, s.Peers = name, "a", "127.0.0.1:1"
-	n := newGateway(s, fakeAdapter{store: downStore{}}, clock, quiet(), metrics.NewRegistry())
+	n := newGateway(s, fakeAdapter{store: unavailableStore{}}, clock, discardLogger(), metrics.NewRegistry())
 	n.mesh.Start(n)
 	n.storeUp.Store(true)
 	return n
 }
 
-func (g *Gateway) receive(b mesh.Heartbeat) {
+func (g *Gateway) receiveHeartbeat(b mesh.Heartbeat) {
 	var reply mesh.Heartbeat
 	_ = mesh.Service{Mesh: g.mesh}.Heartbeat(&b, &reply)
 }
--- a/internal/gateway/fetch_test.go
+++ b/internal/gateway/fetch_test.go
@@ -18,16 +18,16 @@
 	"hemlockquay/internal/route"
 )
 
-// peerGateway is a gateway that other VMs can call.
-func peerGateway(t *testing.T, name string, mbps float64) *Gateway {
-	s := &Settings{Store: "127.0.0.1:1", LinkMbps: mbps, MemoryMB: defaultMemory}
+// newPeerGateway is a gateway that other VMs can call.
+func newPeerGateway(t *testing.T, name string, mbps float64) *Gateway {
+	s := &Settings{Store: "127.0.0.1:1", LinkMbps: mbps, MemoryMB: defaultMemoryMB}
 	server, err := peer.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	s.VM, s.DataCentre, s.Peers = name, "a", server.Addr()
-	n := newGateway(s, fakeAdapter{store: downStore{}}, boottime.System{}, quiet(), metrics.NewRegistry())
+	n := newGateway(s, fakeAdapter{store: unavailableStore{}}, boottime.System{}, discardLogger(), metrics.NewRegistry())
 	n.mesh.Start(n)
 	n.peers = server
-	require.NoError(t, n.register())
+	require.NoError(t, n.registerServices())
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() {
 		n.cancel()
@@ -60,8 +60,8 @@
 
 func (g *Gateway) configVersion() uint64 { return g.state.view.Load().ConfigVersion() }
 
-func TestConfigurationIsFetchedFromAnotherVM(t *testing.T) {
-	a, b := peerGateway(t, "a", 0), peerGateway(t, "b", 0)
+func TestConfigIsFetchedFromAnotherVM(t *testing.T) {
+	a, b := newPeerGateway(t, "a", 0), newPeerGateway(t, "b", 0)
 	want := largeConfig(7, 1560)
 	a.state.setConfig(want, sourceStore)
 	b.mesh.Meet(a.self)
@@ -70,40 +70,40 @@
 }
 
 // Guards against a configuration that fills the links between VMs when it grows by many routes.
-func TestLargeConfigurationTakesLittleOfASlowLink(t *testing.T) {
+func TestPackedConfigIsSmall(t *testing.T) {
 	data, err := packed.Encode(largeConfig(7, 1560))
 	require.NoError(t, err)
 	require.Less(t, len(data), 60_000, "bytes: 50 ms at 10 Mbit/s")
 }
 
 func TestTargetsAreFetchedFromAnotherVM(t *testing.T) {
-	a, b := peerGateway(t, "a", 0), peerGateway(t, "b", 0)
+	a, b := newPeerGateway(t, "a", 0), newPeerGateway(t, "b", 0)
 	same := func() bool {
 		return assert.ObjectsAreEqual(a.state.view.Load().Targets, b.state.view.Load().Targets)
 	}
-	a.state.list(5, catalog.Target{ID: "t", Service: "s"}, catalog.Target{ID: "u", Service: "s"})
+	a.state.setTargets(5, catalog.Target{ID: "t", Service: "s"}, catalog.Target{ID: "u", Service: "s"})
 	b.mesh.Meet(a.self)
 	eventually(t, same)
 
-	a.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+	a.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
 		m.Remove("t", 6, now)
 		m.Put(catalog.Target{ID: "v", Service: "s", Revision: 7}, 7)
 	})
-	var reply VersionReply
-	require.NoError(t, View{a}.TargetsSince(&VersionArgs{From: "b", Have: 5}, &reply))
+	var reply FetchReply
+	require.NoError(t, View{a}.TargetsSince(&FetchArgs{Requester: "b", HaveVersion: 5}, &reply))
 	require.NotNil(t, reply.Changes, "only what changed")
 	require.Empty(t, reply.Data)
 	eventually(t, same)
 }
 
 // Guards against a VM that sends a large value to all that ask at once over a full link.
-func TestVMWithABusyLinkNamesOthersThatHaveTheValue(t *testing.T) {
-	n := peerGateway(t, "a", 10)
+func TestBusyVMRefersToOtherHolders(t *testing.T) {
+	n := newPeerGateway(t, "a", 10)
 	n.state.setConfig(largeConfig(7, 10), sourceStore)
 	n.transfers.limiter.SetLimit(0)
-	ask := func(from string) VersionReply {
-		var reply VersionReply
-		require.NoError(t, View{n}.ConfigVersion(&VersionArgs{From: from, Have: 1}, &reply))
+	ask := func(from string) FetchReply {
+		var reply FetchReply
+		require.NoError(t, View{n}.ConfigVersion(&FetchArgs{Requester: from, HaveVersion: 1}, &reply))
 		return reply
 	}
 	require.NotEmpty(t, ask("b").Data)
@@ -116,11 +116,11 @@
 }
 
 // Guards against a configuration that waits for one VM with a busy link.
-func TestVMsFetchFromThoseThatWereServed(t *testing.T) {
-	nodes := []*Gateway{peerGateway(t, "a", 10)}
+func TestVMsFetchFromOtherHolders(t *testing.T) {
+	nodes := []*Gateway{newPeerGateway(t, "a", 10)}
 	nodes[0].state.setConfig(largeConfig(7, 10), sourceStore)
 	for _, name := range []string{"b", "c", "d", "e"} {
-		n := peerGateway(t, name, 0)
+		n := newPeerGateway(t, name, 0)
 		for _, other := range nodes {
 			n.mesh.Meet(other.self)
 		}
@@ -133,23 +133,23 @@
 }
 
 // Guards against announcements by every VM that gets a version from another one.
-func TestOnlyVMsThatReadTheStoreAnnounceAVersion(t *testing.T) {
-	s := testState(newHandClock(0))
+func TestOnlyVMsThatReadTheStoreAnnounceConfig(t *testing.T) {
+	s := newTestState(newManualClock(0))
 	announced := 0
 	s.announce = func() { announced++ }
 	s.setConfig(&route.Config{Version: 2}, "vm")
-	s.list(1, catalog.Target{ID: "t"})
+	s.setTargets(1, catalog.Target{ID: "t"})
 	require.Zero(t, announced)
 	s.setConfig(&route.Config{Version: 3}, sourceStore)
 	require.Equal(t, 1, announced)
 }
 
 // Guards against a fetch that waits for a VM which was cut off after its announcement.
-func TestFetchGoesOnAtVMsThatAnnounceTheSame(t *testing.T) {
-	a, b := peerGateway(t, "a", 0), peerGateway(t, "b", 0)
+func TestFetchTriesOtherVMsThatAnnounceTheVersion(t *testing.T) {
+	a, b := newPeerGateway(t, "a", 0), newPeerGateway(t, "b", 0)
 	a.state.setConfig(largeConfig(7, 10), sourceStore)
 	begun, ended := make(chan struct{}), make(chan error, 1)
-	b.fetch("cut off", "config", func(ctx context.Context, from *fetchRun) error {
+	b.fetch("cut off", "config", func(ctx context.Context, from *fetchSources) error {
 		close(begun)
 		err := b.fetchConfig(ctx, from)
 		ended <- err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,34 +30,34 @@
 
 // Gateway is the daemon's parts joined together.
 type Gateway struct {
-	settings *Settings
-	adapter  Adapter
-	headers  Headers
-	store    platform.ObjectStore
-	clock    boottime.Clock
-	log      *log.Logger
-	registry metrics.Registry
-	life     *daemon.Life
-	self     mesh.Member
-	state    *routingState
-	mesh     *mesh.Mesh
-	counters *counters
-	lines    *requestLines
-	bodies   bodyRoom
+	settings   *Settings
+	adapter    Adapter
+	headers    Headers
+	store      platform.ObjectStore
+	clock      boottime.Clock
+	log        *log.Logger
+	registry   metrics.Registry
+	life       *daemon.Life
+	self       mesh.Member
+	state      *routingState
+	mesh       *mesh.Mesh
+	counters   *counters
+	requestLog *requestLogLimiter
+	bodyMemory bodyMemory
 	// transfers sends configurations and lists of targets to other VMs.
 	transfers *transfers
 	leasing   *leasing.Manager
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// hangups receives SIGHUP.
-	hangups  chan os.Signal
-	fetching sync.Map
-	tags     atomic.Uint64
-	// storeUp reports whether the store answered last, storeAnsweredAt when it did, on
+	// sighups receives SIGHUP.
+	sighups    chan os.Signal
+	fetches    sync.Map
+	writeCount atomic.Uint64
+	// storeUp reports whether the store answered last, storeRespondedAt when it did, on
 	// clock.
-	storeUp         atomic.Bool
-	storeAnsweredAt atomic.Int64
+	storeUp          atomic.Bool
+	storeRespondedAt atomic.Int64
 	// storeRelayedAt is when the store last answered through another VM, on clock.
 	storeRelayedAt atomic.Int64
 	// targetsConfirmedAt is when the store, or a VM that it answers, last confirmed the list of targets,
@@ -75,10 +75,10 @@
 	leavingSince atomic.Int64
 
 	front, ready *http.Server
-	// requests is the context of all callers' requests; endRequests ends those in flight.
-	requests    context.Context
-	endRequests context.CancelCauseFunc
-	peers       *peer.Server
+	// requestCtx is the context of all callers' requests; cancelRequests ends those in flight.
+	requestCtx     context.Context
+	cancelRequests context.CancelCauseFunc
+	peers          *peer.Server
 }
 
 // Module returns the daemon for a platform.
@@ -93,7 +93,7 @@
 	debug.SetGCPercent(kit.Settings.GCPercent)
 	g := newGateway(kit.Settings, a, boottime.System{}, kit.Log, kit.Registry)
 	g.life = kit.Life
-	g.receiveHangups()
+	g.receiveSIGHUP()
 	kit.Life.Section("view", g.dump)
 	kit.LC.Append(fx.Hook{OnStart: g.start, OnStop: g.stop})
 	return nil
@@ -103,21 +103,21 @@
 	g := &Gateway{
 		settings: s, adapter: a, headers: a.Headers(), clock: clock, log: logger, registry: registry,
 		self:     mesh.Member{VM: s.VM, Addr: s.Peers, DataCentre: s.DataCentre, Incarnation: uint64(time.Now().UnixNano()), LinkMbps: uint32(s.LinkMbps)},
-		counters: newCounters(registry), lines: newRequestLines(registry),
-		bodies: newBodyRoom(s.MemoryMB),
+		counters: newCounters(registry), requestLog: newRequestLogLimiter(registry),
+		bodyMemory: newBodyMemory(s.MemoryMB),
 	}
-	g.store = observedStore{ObjectStore: a.Store(s.Store), registry: registry, clock: clock, ended: g.noteStore}
+	g.store = observedStore{ObjectStore: a.Store(s.Store), registry: registry, clock: clock, onResult: g.recordStoreResult}
 	g.transfers = newTransfers(g.self.LinkBytesPerSecond())
-	g.hangups = make(chan os.Signal, 1)
+	g.sighups = make(chan os.Signal, 1)
 	g.grace.Store(int64(s.Grace))
-	g.state = newRoutingState(clock, logger, registry, s.DataCentre, s.limits())
+	g.state = newRoutingState(clock, logger, registry, s.DataCentre, s.repeatLimit())
 	g.mesh = mesh.New(g.self, clock, logger)
 	g.state.announce = g.mesh.Announce
 	// Were all VMs to begin with the same target, they would fill it together.
-	g.state.turn = int(catalog.Hash(s.VM))
-	g.gauges()
+	g.state.startIndex = int(catalog.Hash(s.VM))
+	g.registerGauges()
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.requests, g.endRequests = context.WithCancelCause(context.Background())
+	g.requestCtx, g.cancelRequests = context.WithCancelCause(context.Background())
 	g.front = g.newFront()
 	g.leasing = g.newLeaseManager()
 	return g
@@ -125,14 +125,14 @@
 
 // tag returns a name for a write that no other write has.
 func (g *Gateway) tag() string {
-	return g.self.VM + "/" + strconv.FormatUint(g.self.Incarnation, 36) + "/" + strconv.FormatUint(g.tags.Add(1), 10)
+	return g.self.VM + "/" + strconv.FormatUint(g.self.Incarnation, 36) + "/" + strconv.FormatUint(g.writeCount.Add(1), 10)
 }
 
-// headerTimeout bounds how long a caller may take to send its headers, idleMost
+// headerTimeout bounds how long a caller may take to send its headers, idleTimeout
 // how long its connection may be idle: both above what configurations allow.
 const (
 	headerTimeout = 10 * time.Second
-	idleMost      = 75 * time.Second
+	idleTimeout   = 75 * time.Second
 )
 
 func (g *Gateway) start(context.Context) error {
@@ -142,7 +142,7 @@
 		return err
 	}
 	for _, duty := range []func(context.Context){
-		g.watchConfig, g.watchTargets, g.expireTargets, g.join, g.leasing.Run, g.refreshLoads, g.refreshPlace, g.sweep, g.reload, g.reportRepeats,
+		g.watchConfig, g.watchTargets, g.expireTargets, g.joinMesh, g.leasing.Run, g.refreshLoads, g.refreshPlaces, g.closeIdleConnections, g.watchSettings, g.reportRepeats,
 	} {
 		go duty(g.ctx)
 	}
@@ -154,8 +154,8 @@
 // newFront returns the server for callers.
 func (g *Gateway) newFront() *http.Server {
 	return &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleMost,
-		BaseContext: func(net.Listener) context.Context { return g.requests },
+		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		BaseContext: func(net.Listener) context.Context { return g.requestCtx },
 	}
 }
 
@@ -164,7 +164,7 @@
 	if g.peers, err = peer.Listen(g.settings.Peers); err != nil {
 		return err
 	}
-	if err := g.register(); err != nil {
+	if err := g.registerServices(); err != nil {
 		return err
 	}
 	g.ready = &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -182,8 +182,8 @@
 	return nil
 }
 
-// register publishes what other VMs may call.
-func (g *Gateway) register() error {
+// registerServices publishes what other VMs may call.
+func (g *Gateway) registerServices() error {
 	return errors.Join(
 		g.peers.Register("Mesh", mesh.Service{Mesh: g.mesh}),
 		g.peers.Register("View", View{g}),
@@ -210,15 +210,15 @@
 	}
 }
 
-// checkReady notes that the daemon has what it needs.
-func (g *Gateway) checkReady() {
+// reportReady notes that the daemon has what it needs.
+func (g *Gateway) reportReady() {
 	if g.life != nil && g.state.view.Load().Routes != nil && g.listed.Load() {
 		g.life.Ready()
 	}
 }
 
-// sweep closes idle connections to targets.
-func (g *Gateway) sweep(ctx context.Context) {
+// closeIdleConnections closes idle connections to targets.
+func (g *Gateway) closeIdleConnections(ctx context.Context) {
 	for pause.For(ctx, time.Second) {
 		g.state.mu.Lock()
 		for _, t := range g.state.targets {
--- a/internal/gateway/front.go
+++ b/internal/gateway/handler.go
@@ -10,45 +10,45 @@
 
 // Figures of the front.
 const (
-	// leastLeft is the time below which nothing is sent any more: the answer
+	// minTimeLeft is the time below which nothing is sent any more: the answer
 	// would arrive late.
-	leastLeft = 5 * time.Millisecond
-	// movingWait is how long a request waits at most for a key that changes its
+	minTimeLeft = 5 * time.Millisecond
+	// maxMoveWait is how long a request waits at most for a key that changes its
 	// owner: the work on the key at the old owner ends, then the new one gets it.
-	movingWait = 500 * time.Millisecond
-	// answerMargin is how much earlier than the caller's time ends it gets its
+	maxMoveWait = 500 * time.Millisecond
+	// responseMargin is how much earlier than the caller's time ends it gets its
 	// answer: the way back takes about 3 ms.
-	answerMargin = 10 * time.Millisecond
-	// lostRetry is the part of its time after which a caller may retry for a
+	responseMargin = 10 * time.Millisecond
+	// lostOwnerRetryDivisor is the part of its time after which a caller may retry for a
 	// key whose owner is lost. The key is back within a hold and about a second;
 	// callers wait no longer than this part.
-	lostRetry = 3
+	lostOwnerRetryDivisor = 3
 	// misdirectedPause is the wait after a target said that it does not hold the
 	// key, unless an update of the leases arrives first.
 	misdirectedPause = 150 * time.Millisecond
-	// unsentMost bounds the targets that could not be connected to.
-	unsentMost = 4
-	// unconfiguredRetry is when a caller may retry at a VM that knows no
+	// maxConnectFailures bounds the targets that could not be connected to.
+	maxConnectFailures = 4
+	// unconfiguredRetryAfter is when a caller may retry at a VM that knows no
 	// configuration yet.
-	unconfiguredRetry = 500 * time.Millisecond
-	// leastRetry and mostRetry bound the time after which a refused caller may
+	unconfiguredRetryAfter = 500 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the time after which a refused caller may
 	// retry: a full target has a free place after about a service time.
-	leastRetry = 50 * time.Millisecond
-	mostRetry  = time.Second
-	// soonRetry is when a caller may retry whom a target with free slots refused, or
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Second
+	// immediateRetryAfter is when a caller may retry whom a target with free slots refused, or
 	// a VM that leaves: at once, but for the time that a new connection takes anyway.
-	soonRetry = 10 * time.Millisecond
-	// crashLimit is how many targets a request may have ended before it is
+	immediateRetryAfter = 10 * time.Millisecond
+	// maxCrashedTargets is how many targets a request may have ended before it is
 	// refused. With two, a popular request that ran on two targets that ended for
 	// another reason would be refused everywhere.
-	crashLimit = 3
+	maxCrashedTargets = 3
 )
 
 // ServeHTTP answers one request of a caller.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	view := g.state.view.Load()
 	if view.Routes == nil {
-		g.refuse(w, r, outcome{status: http.StatusServiceUnavailable, reason: "no configuration yet", retry: unconfiguredRetry})
+		g.refuse(w, r, outcome{status: http.StatusServiceUnavailable, reason: "no configuration yet", retryAfter: unconfiguredRetryAfter})
 		return
 	}
 	rt, spread := view.Routes.Find(r.Host, pathOf(r.RequestURI))
@@ -57,7 +57,7 @@
 		return
 	}
 	if rt.Unusable != "" {
-		g.refuse(w, r, outcome{status: http.StatusServiceUnavailable, reason: "route not understood", retry: mostRetry})
+		g.refuse(w, r, outcome{status: http.StatusServiceUnavailable, reason: "route not understood", retryAfter: maxRetryAfter})
 		return
 	}
 	c := g.newCall(r, rt, spread.Next())
@@ -75,8 +75,8 @@
 		c.keyed, c.key = true, uint16(key)
 		g.state.countKey(c.service, c.key)
 	}
-	g.state.request(c.service, rt.Priority, g.clock.Now())
-	out := g.run(r.Context(), c)
+	g.state.recordRequest(c.service, rt.Priority, g.clock.Now())
+	out := g.forward(r.Context(), c)
 	g.logCall(c, out)
 	g.respond(w, r, out)
 }
@@ -95,22 +95,22 @@
 
 // respond writes what the caller gets.
 func (g *Gateway) respond(w http.ResponseWriter, r *http.Request, out outcome) {
-	if out.answer == nil {
+	if out.response == nil {
 		g.refuse(w, r, out)
 		return
 	}
 	h := w.Header()
-	copyAnswer(h, out.answer.Header)
-	g.closeIfLeaving(h)
+	copyResponseHeaders(h, out.response.Header)
+	g.closeConnectionIfLeaving(h)
 	if r.Method != http.MethodHead {
-		h.Set("Content-Length", strconv.Itoa(len(out.answer.Body)))
+		h.Set("Content-Length", strconv.Itoa(len(out.response.Body)))
 	}
 	if h.Get("Content-Type") == "" {
 		h["Content-Type"] = nil
 	}
-	w.WriteHeader(out.answer.Status)
-	if _, err := w.Write(out.answer.Body); err != nil {
-		g.counters.unread.Inc(1)
+	w.WriteHeader(out.response.Status)
+	if _, err := w.Write(out.response.Body); err != nil {
+		g.counters.undelivered.Inc(1)
 	}
 }
 
@@ -122,12 +122,12 @@
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
-	g.closeIfLeaving(h)
+	g.closeConnectionIfLeaving(h)
 	if id := r.Header.Get(g.headers.RequestID); id != "" {
 		h.Set(g.headers.RequestID, id)
 	}
-	if out.retry > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(math.Ceil(out.retry.Seconds()*1000)/1000, 'f', -1, 64))
+	if out.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(math.Ceil(out.retryAfter.Seconds()*1000)/1000, 'f', -1, 64))
 	}
 	http.Error(w, out.reason, out.status)
 }
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/handler_test.go
@@ -18,21 +18,21 @@
 	"hemlockquay/internal/route"
 )
 
-// bench is a gateway with a configuration and targets that a test plays.
-type bench struct {
+// testbed is a gateway with a configuration and targets that a test plays.
+type testbed struct {
 	*Gateway
-	t       *testing.T
-	targets []catalog.Target
-	hits    atomic.Int64
+	t        *testing.T
+	targets  []catalog.Target
+	requests atomic.Int64
 }
 
-func newBench(t *testing.T) *bench {
-	n := testGateway(newHandClock(time.Hour))
+func newTestbed(t *testing.T) *testbed {
+	n := newTestGateway(newManualClock(time.Hour))
 	t.Cleanup(n.mesh.Close)
-	n.state.setLimit(settingsLimit)
+	n.state.setRepeatLimit(testRepeatLimit)
 	n.joined.Store(true)
-	n.earnRepeats("pool", "keyed")
-	b := &bench{Gateway: n, t: t}
+	n.fillRepeatBudget("pool", "keyed")
+	b := &testbed{Gateway: n, t: t}
 	n.state.setConfig(&route.Config{
 		Version: 3,
 		Routes: []route.Route{
@@ -48,32 +48,32 @@
 	return b
 }
 
-var settingsLimit = (&Settings{Repeats: Repeats{Ratio: 0.2, Slack: 100, Window: defaultWindow}}).limits()
+var testRepeatLimit = (&Settings{Repeats: Repeats{Ratio: 0.2, Slack: 100, Window: defaultWindow}}).repeatLimit()
 
-// earnRepeats has requests for the services come that need no repeat.
-func (g *Gateway) earnRepeats(services ...string) {
+// fillRepeatBudget has requests for the services come that need no repeat.
+func (g *Gateway) fillRepeatBudget(services ...string) {
 	for _, service := range services {
 		for range 100 {
-			g.state.budgetLocked(service).AddRequest(g.state.limit, g.clock.Now())
+			g.state.budgetLocked(service).AddRequest(g.state.repeatLimit, g.clock.Now())
 		}
 	}
 }
 
-// target adds a target that answers with play.
-func (b *bench) target(id, service string, play http.HandlerFunc) {
+// addTarget adds a target that answers with play.
+func (b *testbed) addTarget(id, service string, handler http.HandlerFunc) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.hits.Add(1)
+		b.requests.Add(1)
 		w.Header().Set("Id", r.Header.Get("Id"))
-		play(w, r)
+		handler(w, r)
 	}))
 	b.t.Cleanup(server.Close)
 	addr := strings.TrimPrefix(server.URL, "http://")
 	b.targets = append(b.targets, catalog.Target{ID: id, Service: service, Addr: addr, Slots: 2, Born: 1})
-	b.state.list(uint64(len(b.targets)), b.targets...)
+	b.state.setTargets(uint64(len(b.targets)), b.targets...)
 }
 
-// get sends a request through the front.
-func (b *bench) get(host string, header http.Header, body string) *http.Response {
+// send sends a request through the front.
+func (b *testbed) send(host string, header http.Header, body string) *http.Response {
 	b.t.Helper()
 	front := httptest.NewServer(b.Gateway)
 	defer front.Close()
@@ -90,15 +90,15 @@
 	return resp
 }
 
-func works(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) }
+func succeed(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) }
 
-func sheds(w http.ResponseWriter, _ *http.Request) {
+func refuseAsNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breaks ends the connection without an answer.
-func breaks(w http.ResponseWriter, _ *http.Request) {
+// resetConnection ends the connection without an answer.
+func resetConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.(*net.TCPConn).SetLinger(0)
@@ -108,9 +108,9 @@
 
 // firstThen plays first for one request and then for all others.
 func firstThen(first, then http.HandlerFunc) http.HandlerFunc {
-	var played atomic.Bool
+	var served atomic.Bool
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !played.Swap(true) {
+		if !served.Swap(true) {
 			first(w, r)
 			return
 		}
@@ -118,9 +118,9 @@
 	}
 }
 
-func TestAnswerIsPassedOnWhole(t *testing.T) {
-	b := newBench(t)
-	b.target("t", "pool", func(w http.ResponseWriter, r *http.Request) {
+func TestAnswerIsForwarded(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("t", "pool", func(w http.ResponseWriter, r *http.Request) {
 		require.Equal(t, "t", r.Header.Get("Target"))
 		require.Equal(t, "/x?y=1", r.RequestURI)
 		left, err := strconv.Atoi(r.Header.Get("Deadline"))
@@ -130,78 +130,78 @@
 		w.WriteHeader(http.StatusTeapot)
 		_, _ = w.Write([]byte("short and stout"))
 	})
-	resp := b.get("once.example", http.Header{"Deadline": {"500"}, "Target": {"chosen by the caller"}}, "x")
+	resp := b.send("once.example", http.Header{"Deadline": {"500"}, "Target": {"chosen by the caller"}}, "x")
 	require.Equal(t, http.StatusTeapot, resp.StatusCode)
 	require.Equal(t, "s", resp.Header.Get("Stamp"))
 	require.EqualValues(t, 15, resp.ContentLength)
 }
 
 // Guards against a booking that is made twice, or that is reported as not made though it may be.
-func TestRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", breaks)
-	b.target("b", "pool", breaks)
-	resp := b.get("once.example", nil, "")
+func TestNonIdempotentRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", resetConnection)
+	b.addTarget("b", "pool", resetConnection)
+	resp := b.send("once.example", nil, "")
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
-	require.EqualValues(t, 1, b.hits.Load())
+	require.EqualValues(t, 1, b.requests.Load())
 }
 
 // A target refuses a booking without running it. Another one may run it.
-func TestRefusedRequestGoesToAnother(t *testing.T) {
-	b := newBench(t)
-	play := firstThen(sheds, works)
-	b.target("a", "pool", play)
-	b.target("b", "pool", play)
-	resp := b.get("once.example", nil, "")
+func TestRequestRefusedAsNotRunIsSentToAnotherTarget(t *testing.T) {
+	b := newTestbed(t)
+	handler := firstThen(refuseAsNotRun, succeed)
+	b.addTarget("a", "pool", handler)
+	b.addTarget("b", "pool", handler)
+	resp := b.send("once.example", nil, "")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.EqualValues(t, 2, b.hits.Load())
+	require.EqualValues(t, 2, b.requests.Load())
 }
 
 // Guards against callers that wait, or are refused without a time to retry, while all targets are full.
-func TestAllTargetsFullIsATrueRefusal(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", sheds)
-	b.target("b", "pool", sheds)
-	resp := b.get("safe.example", nil, "")
+func TestRequestIsRefusedIfAllTargetsAreFull(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", refuseAsNotRun)
+	b.addTarget("b", "pool", refuseAsNotRun)
+	resp := b.send("safe.example", nil, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 	require.Empty(t, resp.Header.Get("Not-Run"), "what a target said of itself is not ours to say")
 }
 
 // Guards against "not run" for a request whose first target may have run it.
-func TestRefusalAfterALostAnswerPromisesNothing(t *testing.T) {
-	b := newBench(t)
-	play := firstThen(breaks, sheds)
-	b.target("a", "pool", play)
-	b.target("b", "pool", play)
-	resp := b.get("safe.example", nil, "")
+func TestRequestWithLostAnswerIsNotReportedAsNotRun(t *testing.T) {
+	b := newTestbed(t)
+	handler := firstThen(resetConnection, refuseAsNotRun)
+	b.addTarget("a", "pool", handler)
+	b.addTarget("b", "pool", handler)
+	resp := b.send("safe.example", nil, "")
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
 // Guards against a 503 of a target that has run the request.
-func TestFalsePromiseOfATargetIsNotPassedOn(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
-	resp := b.get("once.example", nil, "")
+func TestStatusThatImpliesNotRunIsNotForwarded(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	resp := b.send("once.example", nil, "")
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
 // Guards against callers, and work at targets, beyond the timeout of a route.
-func TestTimeoutOfTheRoute(t *testing.T) {
-	b := newBench(t)
+func TestRouteTimeout(t *testing.T) {
+	b := newTestbed(t)
 	gone := make(chan struct{})
-	b.target("a", "pool", func(_ http.ResponseWriter, r *http.Request) {
+	b.addTarget("a", "pool", func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		close(gone)
 	})
-	resp := b.get("short.example", nil, "")
+	resp := b.send("short.example", nil, "")
 	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
 	<-gone
 }
 
-func TestRefusalsOfTheFront(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
 	for _, c := range []struct {
 		host, body, key string
 		want            int
@@ -212,128 +212,128 @@
 		{"keyed.example", "", "65536", http.StatusBadRequest},
 		{"safe.example", "", "", http.StatusOK},
 	} {
-		resp := b.get(c.host, http.Header{"Key": {c.key}}, c.body)
+		resp := b.send(c.host, http.Header{"Key": {c.key}}, c.body)
 		require.Equal(t, c.want, resp.StatusCode, c)
 	}
-	fresh := testGateway(newHandClock(time.Hour))
+	fresh := newTestGateway(newManualClock(time.Hour))
 	defer fresh.mesh.Close()
-	resp := (&bench{Gateway: fresh, t: t}).get("safe.example", nil, "")
+	resp := (&testbed{Gateway: fresh, t: t}).send("safe.example", nil, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration nothing is known to be missing")
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
 // Guards against requests that wait for a key which nobody can serve in time.
-func TestKeyOfALostOwnerIsRefusedAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.target("k", "keyed", works)
-	b.state.own("keyed", 1, 1, "k", lease.Unserved)
-	resp := b.get("keyed.example", http.Header{"Key": {"7"}}, "")
+func TestRequestForKeyOfLostOwnerIsRefusedAtOnce(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("k", "keyed", succeed)
+	b.state.setOwner("keyed", 1, 1, "k", lease.Unserved)
+	resp := b.send("keyed.example", http.Header{"Key": {"7"}}, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.Zero(t, b.hits.Load())
+	require.Zero(t, b.requests.Load())
 }
 
-// contentOf returns the hash under which a request is suspected.
-func (b *bench) contentOf(body string) uint64 {
+// digestOf returns the hash under which a request is suspected.
+func (b *testbed) digestOf(body string) uint64 {
 	c := b.newCall(httptest.NewRequest(http.MethodPost, "/x?y=1", nil), &route.Route{Timeout: time.Second}, "pool")
 	req := httptest.NewRequest(http.MethodPost, "/x?y=1", strings.NewReader(body))
 	req.Host = "safe.example"
 	require.Nil(b.t, b.readBody(c, httptest.NewRecorder(), req, 100))
-	return c.content
+	return c.digest
 }
 
 // A request ended three targets, seen by two VMs. It must reach no fourth one.
-func TestRequestThatEndsItsTargetsIsStopped(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
-	content := b.contentOf("bad")
-	b.state.suspect(content, "first")
-	b.state.suspect(content, "second")
+func TestRequestThatCrashesTargetsIsRefused(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
+	content := b.digestOf("bad")
+	b.state.recordCrash(content, "first")
+	b.state.recordCrash(content, "second")
 	other := mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 1}
-	b.receive(mesh.Heartbeat{From: other, Crashes: []mesh.Crash{{Content: content, Targets: []uint32{catalog.Hash("third")}}}})
-	require.Equal(t, http.StatusServiceUnavailable, b.get("safe.example", nil, "bad").StatusCode)
-	require.Zero(t, b.hits.Load())
-	require.Equal(t, http.StatusOK, b.get("safe.example", nil, "good").StatusCode)
+	b.receiveHeartbeat(mesh.Heartbeat{From: other, Crashes: []mesh.Crash{{Content: content, Targets: []uint32{catalog.Hash("third")}}}})
+	require.Equal(t, http.StatusServiceUnavailable, b.send("safe.example", nil, "bad").StatusCode)
+	require.Zero(t, b.requests.Load())
+	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "good").StatusCode)
 }
 
 // Guards against one end of a target that counts once for each VM.
-func TestOneLostTargetSeenByManyVMsRefusesNothing(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
-	content := b.contentOf("popular")
-	b.state.suspect(content, "lost")
+func TestCrashedTargetCountsOnceAcrossVMs(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
+	content := b.digestOf("popular")
+	b.state.recordCrash(content, "lost")
 	for _, vm := range []string{"x", "y", "z"} {
-		b.receive(mesh.Heartbeat{
+		b.receiveHeartbeat(mesh.Heartbeat{
 			From:    mesh.Member{VM: vm, Addr: "127.0.0.1:1", Incarnation: 1},
 			Crashes: []mesh.Crash{{Content: content, Targets: []uint32{catalog.Hash("lost")}}},
 		})
 	}
-	require.Equal(t, http.StatusOK, b.get("safe.example", nil, "popular").StatusCode)
+	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "popular").StatusCode)
 }
 
 // Guards against an innocent request that is refused for good.
-func TestSuspicionFades(t *testing.T) {
-	clock := newHandClock(time.Hour)
-	s := testState(clock)
-	n := testGateway(clock)
+func TestCrashRecordsExpire(t *testing.T) {
+	clock := newManualClock(time.Hour)
+	s := newTestState(clock)
+	n := newTestGateway(clock)
 	defer n.mesh.Close()
 	for _, target := range []string{"a", "b", "c"} {
-		s.suspect(7, target)
+		s.recordCrash(7, target)
 	}
-	require.True(t, s.crashing(7, n.mesh))
-	clock.advance(suspicion + time.Second)
-	require.False(t, s.crashing(7, n.mesh))
-	require.Empty(t, s.crashList())
+	require.True(t, s.crashesTargets(7, n.mesh))
+	clock.advance(crashRetention + time.Second)
+	require.False(t, s.crashesTargets(7, n.mesh))
+	require.Empty(t, s.recentCrashes())
 }
 
 // Guards against a refusal for a key whose owner has a free slot a moment later.
-func TestOwnerThatRefusesWithoutReasonIsAskedAgain(t *testing.T) {
-	b := newBench(t)
-	b.target("k", "keyed", firstThen(sheds, works))
-	b.state.own("keyed", 1, 1, "k", lease.Served)
-	resp := b.get("keyed.example", http.Header{"Key": {"7"}}, "")
+func TestRequestIsRepeatedAtOwnerWithFreeSlots(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("k", "keyed", firstThen(refuseAsNotRun, succeed))
+	b.state.setOwner("keyed", 1, 1, "k", lease.Served)
+	resp := b.send("keyed.example", http.Header{"Key": {"7"}}, "")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.EqualValues(t, 2, b.hits.Load())
+	require.EqualValues(t, 2, b.requests.Load())
 }
 
 // Guards against a Retry-After that outlasts the objective though the owner has free slots.
-func TestCallerOfATargetWithFreeSlotsComesBackAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.state.setLimit((&Settings{Repeats: Repeats{Window: defaultWindow}}).limits())
-	for b.repeat(&call{service: "keyed"}).Granted {
+func TestRetryAfterIsShortIfTargetHasFreeSlots(t *testing.T) {
+	b := newTestbed(t)
+	b.state.setRepeatLimit((&Settings{Repeats: Repeats{Window: defaultWindow}}).repeatLimit())
+	for b.takeRepeat(&call{service: "keyed"}).Granted {
 	}
-	b.target("k", "keyed", sheds)
-	b.state.own("keyed", 1, 1, "k", lease.Served)
-	resp := b.get("keyed.example", http.Header{"Key": {"7"}}, "")
+	b.addTarget("k", "keyed", refuseAsNotRun)
+	b.state.setOwner("keyed", 1, 1, "k", lease.Served)
+	resp := b.send("keyed.example", http.Header{"Key": {"7"}}, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.EqualValues(t, 1, b.hits.Load())
+	require.EqualValues(t, 1, b.requests.Load())
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	require.LessOrEqual(t, after, 0.02)
 }
 
 // Guards against an owner that counts as lost after one lost answer.
-func TestOwnerThatLosesAnAnswerIsAskedAgain(t *testing.T) {
-	b := newBench(t)
-	b.target("k", "keyed", firstThen(breaks, works))
-	b.state.own("keyed", 1, 1, "k", lease.Served)
-	resp := b.get("keyed.example", http.Header{"Key": {"7"}}, "")
+func TestIdempotentRequestIsRepeatedAtOwnerAfterLostAnswer(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("k", "keyed", firstThen(resetConnection, succeed))
+	b.state.setOwner("keyed", 1, 1, "k", lease.Served)
+	resp := b.send("keyed.example", http.Header{"Key": {"7"}}, "")
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.EqualValues(t, 2, b.hits.Load())
+	require.EqualValues(t, 2, b.requests.Load())
 }
 
-// misdirects answers that the target does not hold the key.
-func misdirects(w http.ResponseWriter, _ *http.Request) {
+// misdirect answers that the target does not hold the key.
+func misdirect(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusMisdirectedRequest)
 }
 
 // Guards against an owner that is asked again and again for a key that it does not hold.
-func TestOwnerWithoutTheKeyIsNotAskedAgainByTheSameLeases(t *testing.T) {
-	b := newBench(t)
-	b.target("k", "keyed", misdirects)
-	b.state.own("keyed", 1, 1, "k", lease.Served)
-	resp := b.get("keyed.example", http.Header{"Key": {"7"}}, "")
+func TestMisdirectedRequestIsNotRepeatedUnderTheSameLeases(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("k", "keyed", misdirect)
+	b.state.setOwner("keyed", 1, 1, "k", lease.Served)
+	resp := b.send("keyed.example", http.Header{"Key": {"7"}}, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.EqualValues(t, 1, b.hits.Load())
+	require.EqualValues(t, 1, b.requests.Load())
 }
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -6,9 +6,9 @@
 	"hemlockquay/internal/hopbyhop"
 )
 
-// forwarded returns the caller's headers as they go to a target. What the
+// forwardedHeaders returns the caller's headers as they go to a target. What the
 // gateway sets itself is left out, so that a caller cannot choose its target.
-func forwarded(in http.Header, names Headers) http.Header {
+func forwardedHeaders(in http.Header, names Headers) http.Header {
 	out := in.Clone()
 	hopbyhop.Drop(out)
 	for _, name := range []string{"Content-Length", "Expect", "Host", names.TargetID, names.DeadlineMs} {
@@ -17,8 +17,8 @@
 	return out
 }
 
-// copyAnswer copies the headers of a target's answer for the caller.
-func copyAnswer(out, in http.Header) {
+// copyResponseHeaders copies the headers of a target's answer for the caller.
+func copyResponseHeaders(out, in http.Header) {
 	hopbyhop.Drop(in)
 	closing := out.Get("Connection")
 	for name, values := range in {
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/hotkey_test.go
@@ -13,11 +13,11 @@
 )
 
 // Guards against VMs that together send the owner of a hot key far more than it can do.
-func TestOnlyAPartOfTheRequestsForAHotKeyIsSent(t *testing.T) {
-	g := testGateway(newHandClock(time.Hour))
+func TestHotKeyLimitIsAppliedPerKey(t *testing.T) {
+	g := newTestGateway(newManualClock(time.Hour))
 	defer g.mesh.Close()
 	s := g.state
-	s.list(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
+	s.setTargets(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	hot := lease.NewRouting(record, 1, func(int) lease.SliceState { return lease.Served })
 	limit := lease.NewLimit(0.1, lease.Unlimited)
@@ -25,8 +25,8 @@
 	s.leases.Set(hot)
 	sent := func(key uint16) (n int) {
 		for range 1000 {
-			if e, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseMark{}, time.Second); e != nil {
-				s.finish(e, endAnswered)
+			if e, why, _ := s.reserveOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseMark{}, time.Second); e != nil {
+				s.finish(e, resultSucceeded)
 				n++
 			} else {
 				require.Equal(t, refusedHot, why)
@@ -38,5 +38,5 @@
 	require.Equal(t, 1000, sent(0), "the other keys of the owner are served")
 
 	c := &call{service: "s", key: 65535, route: &route.Route{Name: "r"}}
-	require.Greater(t, g.retryAfterLimit(c), g.retryAfter(c), "callers come back when the owner has done what it can")
+	require.Greater(t, g.hotKeyRetryAfter(c), g.retryAfter(c), "callers come back when the owner has done what it can")
 }
--- a/internal/gateway/granting.go
+++ b/internal/gateway/leasingadapter.go
@@ -9,49 +9,51 @@
 )
 
 func (g *Gateway) newLeaseManager() *leasing.Manager {
-	lent := granting{g}
+	state := leasingAdapter{g}
 	return leasing.New(g.ctx, leasing.Deps{
 		Self: g.self, Clock: g.clock, Log: g.log, Registry: g.registry, HoldMost: g.settings.HoldMost.D(),
-		Store: g.leaseStore(), StoreTimeout: storeTimeout, StorePause: storePauseMost,
-		Mesh: g.mesh, Leases: g.state.leases, LocalState: lent, TargetDirectory: lent, Orders: g.adapter,
+		Store: g.leaseStore(), StoreTimeout: storeTimeout, StorePause: maxStoreBackoff,
+		Mesh: g.mesh, Leases: g.state.leases, LocalState: state, TargetDirectory: state, Orders: g.adapter,
 		TargetIDHeader: g.headers.TargetID, InstanceIDHeader: g.headers.InstanceID,
 	})
 }
 
-// granting shows the grantor its part of the gateway.
-type granting struct{ gateway *Gateway }
+// leasingAdapter shows the grantor its part of the gateway.
+type leasingAdapter struct{ gateway *Gateway }
 
 // StoreUp implements leasing.LocalState.
-func (g granting) StoreUp() bool { return g.gateway.storeUp.Load() }
+func (g leasingAdapter) StoreUp() bool { return g.gateway.storeUp.Load() }
 
 // Listed implements leasing.LocalState.
-func (g granting) Listed() bool { return g.gateway.listed.Load() }
+func (g leasingAdapter) Listed() bool { return g.gateway.listed.Load() }
 
 // Leaving implements leasing.LocalState.
-func (g granting) Leaving() bool { return g.gateway.leaving.Load() }
+func (g leasingAdapter) Leaving() bool { return g.gateway.leaving.Load() }
 
 // EndsIn implements leasing.LocalState.
-func (g granting) EndsIn() time.Duration { return g.gateway.endsIn() }
+func (g leasingAdapter) EndsIn() time.Duration { return g.gateway.shutdownTimeLeft() }
 
 // StoreReachable implements leasing.LocalState.
-func (g granting) StoreReachable() bool { return g.gateway.storeUp.Load() || g.gateway.storeRelayed() }
+func (g leasingAdapter) StoreReachable() bool {
+	return g.gateway.storeUp.Load() || g.gateway.storeRelayed()
+}
 
 // Place implements leasing.LocalState.
-func (g granting) Place(service string) int { return g.gateway.leasePlace(service) }
+func (g leasingAdapter) Place(service string) int { return g.gateway.successionPlace(service) }
 
 // Tag implements leasing.LocalState.
-func (g granting) Tag() string { return g.gateway.tag() }
+func (g leasingAdapter) Tag() string { return g.gateway.tag() }
 
 // View implements leasing.TargetDirectory.
-func (g granting) View() *catalog.View { return g.gateway.state.view.Load() }
+func (g leasingAdapter) View() *catalog.View { return g.gateway.state.view.Load() }
 
 // ReadTarget implements leasing.TargetDirectory.
-func (g granting) ReadTarget(o platform.Object) (catalog.Target, bool) {
+func (g leasingAdapter) ReadTarget(o platform.Object) (catalog.Target, bool) {
 	return g.gateway.readTarget(o)
 }
 
 // Slots implements leasing.TargetDirectory.
-func (g granting) Slots(target string) int {
+func (g leasingAdapter) Slots(target string) int {
 	g.gateway.state.mu.Lock()
 	defer g.gateway.state.mu.Unlock()
 	if t := g.gateway.state.targets[target]; t != nil {
@@ -61,7 +63,7 @@
 }
 
 // UsualTime implements leasing.TargetDirectory.
-func (g granting) UsualTime(service string) (time.Duration, bool) {
+func (g leasingAdapter) UsualTime(service string) (time.Duration, bool) {
 	g.gateway.state.mu.Lock()
 	defer g.gateway.state.mu.Unlock()
 	if d := g.gateway.state.durations[service]; d != nil && d.Known() {
@@ -71,9 +73,11 @@
 }
 
 // WarmupCost implements leasing.TargetDirectory.
-func (g granting) WarmupCost(service string) float64 { return g.gateway.state.warmupCostOf(service) }
+func (g leasingAdapter) WarmupCost(service string) float64 {
+	return g.gateway.state.warmupCostFor(service)
+}
 
 // TakeKeyLoad implements leasing.TargetDirectory.
-func (g granting) TakeKeyLoad(service string) leasing.KeyLoad {
+func (g leasingAdapter) TakeKeyLoad(service string) leasing.KeyLoad {
 	return g.gateway.state.takeKeyLoad(service)
 }
--- a/internal/gateway/granting_test.go
+++ b/internal/gateway/leasingadapter_test.go
@@ -10,13 +10,13 @@
 	"hemlockquay/internal/platform"
 )
 
-func TestGrantorSeesWhatItsVMKnows(t *testing.T) {
-	clock := newHandClock(time.Hour)
-	n := testGateway(clock)
+func TestLeasingAdapterReflectsGatewayState(t *testing.T) {
+	clock := newManualClock(time.Hour)
+	n := newTestGateway(clock)
 	defer n.mesh.Close()
 	deps := n.leasing.Deps
 	require.True(t, deps.LocalState.StoreUp())
-	n.noteStore(clock.Now(), platform.ErrUnavailable)
+	n.recordStoreResult(clock.Now(), platform.ErrUnavailable)
 	require.False(t, deps.LocalState.StoreUp())
 	require.False(t, deps.LocalState.Listed())
 	n.listed.Store(true)
@@ -27,13 +27,13 @@
 	require.NotEqual(t, deps.LocalState.Tag(), deps.LocalState.Tag())
 
 	require.Zero(t, deps.TargetDirectory.Slots("t"))
-	n.state.list(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
+	n.state.setTargets(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	require.Equal(t, 2, deps.TargetDirectory.Slots("t"))
 	require.NotNil(t, deps.TargetDirectory.View().ByID["t"])
 	_, known := deps.TargetDirectory.UsualTime("s")
 	require.False(t, known)
 	for range 100 {
-		n.state.learnLocked("s", "r", 30*time.Millisecond)
+		n.state.recordDurationLocked("s", "r", 30*time.Millisecond)
 	}
 	usual, known := deps.TargetDirectory.UsualTime("s")
 	require.True(t, known)
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -11,12 +11,12 @@
 // refreshLoads refreshes what the other VMs have at the targets.
 func (g *Gateway) refreshLoads(ctx context.Context) {
 	for pause.For(ctx, pick.LoadsInterval) {
-		g.state.setOthers(g.mesh.ChangedLoads())
+		g.state.setOtherLoads(g.mesh.ChangedLoads())
 	}
 }
 
-// loads returns how many requests of this VM are at the targets.
-func (s *routingState) loads() []mesh.Load {
+// ownLoads returns how many requests of this VM are at the targets.
+func (s *routingState) ownLoads() []mesh.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []mesh.Load
@@ -28,8 +28,8 @@
 	return out
 }
 
-// setOthers applies what the other VMs have at the targets for which that has changed.
-func (s *routingState) setOthers(changed map[uint32]int) {
+// setOtherLoads applies what the other VMs have at the targets for which that has changed.
+func (s *routingState) setOtherLoads(changed map[uint32]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, requests := range changed {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -27,7 +27,7 @@
 		From: g.self, Leaving: g.leaving.Load(),
 		StoreLost: !g.storeUp.Load(), StoreRelayed: g.storeRelayed(), ConfigVersion: v.ConfigVersion(),
 		TargetsRevision: v.Targets.Revision, Targets: uint16(len(v.Targets.List)),
-		Leases: g.state.leases.Marks(), Loads: g.state.loads(), Crashes: g.state.crashList(),
+		Leases: g.state.leases.Marks(), Loads: g.state.ownLoads(), Crashes: g.state.recentCrashes(),
 	}
 }
 
@@ -42,27 +42,27 @@
 	}
 	// Targets whose entries stayed away after an outage are dropped without a
 	// new revision.
-	fewer := b.TargetsRevision == v.Targets.Revision && int(b.Targets) < len(v.Targets.List)
-	if b.TargetsRevision > v.Targets.Revision || fewer {
-		g.fetch(b.From.VM, "targets", func(ctx context.Context, from *fetchRun) error {
-			return g.fetchTargets(ctx, from, fewer)
+	entriesDropped := b.TargetsRevision == v.Targets.Revision && int(b.Targets) < len(v.Targets.List)
+	if b.TargetsRevision > v.Targets.Revision || entriesDropped {
+		g.fetch(b.From.VM, "targets", func(ctx context.Context, from *fetchSources) error {
+			return g.fetchTargets(ctx, from, entriesDropped)
 		})
 	}
 	for _, mark := range b.Leases {
-		if g.behind(mark) {
-			g.fetch(b.From.VM, mark.Service, func(ctx context.Context, from *fetchRun) error {
+		if g.isStale(mark) {
+			g.fetch(b.From.VM, mark.Service, func(ctx context.Context, from *fetchSources) error {
 				return g.fetchRouting(ctx, from, mark.Service)
 			})
 		}
 	}
 }
 
-// behindLeast is for how long leases are behind before they are fetched: the
+// staleFetchDelay is for how long leases are behind before they are fetched: the
 // grantor's own update is faster, and a heartbeat may overtake it.
-const behindLeast = 100 * time.Millisecond
+const staleFetchDelay = 100 * time.Millisecond
 
-// behind reports whether leases known here have been behind for a while.
-func (g *Gateway) behind(mark mesh.LeaseMark) bool {
+// isStale reports whether leases known here have been behind for a while.
+func (g *Gateway) isStale(mark mesh.LeaseMark) bool {
 	r := g.state.leases.Of(mark.Service)
 	if r == nil || mark.Epoch > r.Epoch {
 		return true
@@ -70,7 +70,7 @@
 	if mark.Epoch < r.Epoch || mark.Seq <= r.Seq {
 		return false
 	}
-	return g.state.leases.StaleFor(r) >= behindLeast
+	return g.state.leases.StaleFor(r) >= staleFetchDelay
 }
 
 // View answers what this VM believes. It is registered for the other VMs.
@@ -79,29 +79,29 @@
 var errUnknown = errors.New("not known here")
 
 // ConfigVersion returns the configuration in force.
-func (v View) ConfigVersion(in *VersionArgs, out *VersionReply) error {
+func (v View) ConfigVersion(in *FetchArgs, out *FetchReply) error {
 	t := v.gateway.state.view.Load().Routes
-	if t == nil || t.Config().Version <= in.Have {
+	if t == nil || t.Config().Version <= in.HaveVersion {
 		return errUnknown
 	}
 	var err error
-	*out, err = v.gateway.transfers.whole("config", valueVersion{revision: t.Config().Version}, in.From, func() any { return t.Config() })
+	*out, err = v.gateway.transfers.reply("config", valueVersion{revision: t.Config().Version}, in.Requester, func() any { return t.Config() })
 	return err
 }
 
 // TargetsSince returns what changed in the list of targets since a revision, or the whole
 // list if that is not known.
-func (v View) TargetsSince(in *VersionArgs, out *VersionReply) error {
-	if changes, known := v.gateway.state.targetsSince(in.Have); known {
+func (v View) TargetsSince(in *FetchArgs, out *FetchReply) error {
+	if changes, known := v.gateway.state.targetsSince(in.HaveVersion); known {
 		out.Changes = &changes
 		return nil
 	}
 	t := v.gateway.state.view.Load().Targets
-	if t.Revision < in.Have {
+	if t.Revision < in.HaveVersion {
 		return errUnknown
 	}
 	var err error
-	*out, err = v.gateway.transfers.whole("targets", valueVersion{t.Revision, len(t.List)}, in.From, func() any { return t })
+	*out, err = v.gateway.transfers.reply("targets", valueVersion{t.Revision, len(t.List)}, in.Requester, func() any { return t })
 	return err
 }
 
@@ -146,23 +146,23 @@
 	return out
 }
 
-// join makes this VM and the others known to each other: it writes its own entry
+// joinMesh makes this VM and the others known to each other: it writes its own entry
 // to the store, reads those of the others and calls them.
-func (g *Gateway) join(ctx context.Context) {
-	go g.joinSeeds(ctx)
-	for wait := storePauseLeast; ; wait = min(2*wait, storePauseMost) {
-		err := g.joinStore(ctx)
+func (g *Gateway) joinMesh(ctx context.Context) {
+	go g.joinThroughSeeds(ctx)
+	for backoff := minStoreBackoff; ; backoff = min(2*backoff, maxStoreBackoff) {
+		err := g.joinThroughStore(ctx)
 		if err == nil {
 			return
 		}
 		g.log.Warn().Str("step", "join").Err(err).Msg("not joined through the store yet")
-		if !pause.For(ctx, wait) {
+		if !pause.For(ctx, backoff) {
 			return
 		}
 	}
 }
 
-func (g *Gateway) joinSeeds(ctx context.Context) {
+func (g *Gateway) joinThroughSeeds(ctx context.Context) {
 	for _, addr := range g.settings.Seeds {
 		if addr == g.self.Addr {
 			continue
@@ -179,7 +179,7 @@
 	}
 }
 
-func (g *Gateway) joinStore(ctx context.Context) error {
+func (g *Gateway) joinThroughStore(ctx context.Context) error {
 	callCtx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	if err := g.writeMember(callCtx); err != nil {
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -13,43 +13,43 @@
 	"hemlockquay/internal/settings"
 )
 
-// reloadEvery is how often the settings file is looked at: it may change without
+// settingsCheckInterval is how often the settings file is looked at: it may change without
 // a signal.
-const reloadEvery = 2 * time.Second
+const settingsCheckInterval = 2 * time.Second
 
-// limits returns the bound of repeats that the settings state.
-func (s *Settings) limits() repeats.Limit {
+// repeatLimit returns the bound of repeats that the settings state.
+func (s *Settings) repeatLimit() repeats.Limit {
 	return repeats.Limit{Ratio: s.Repeats.Ratio, Slack: s.Repeats.Slack, Window: s.Repeats.Window.D()}
 }
 
-// receiveHangups has SIGHUP reload the settings. It stays so to the end of the process: a
+// receiveSIGHUP has SIGHUP reload the settings. It stays so to the end of the process: a
 // SIGHUP that nothing receives ends a process, also one that still starts or already stops.
-func (g *Gateway) receiveHangups() { signal.Notify(g.hangups, syscall.SIGHUP) }
+func (g *Gateway) receiveSIGHUP() { signal.Notify(g.sighups, syscall.SIGHUP) }
 
-// reload puts changed settings in force, after SIGHUP or when the file is
+// watchSettings puts changed settings in force, after SIGHUP or when the file is
 // another one.
-func (g *Gateway) reload(ctx context.Context) {
-	tick := time.NewTicker(reloadEvery)
+func (g *Gateway) watchSettings(ctx context.Context) {
+	tick := time.NewTicker(settingsCheckInterval)
 	defer tick.Stop()
-	last := g.fileTime()
+	last := g.settingsModTime()
 	for {
 		cause := "signal"
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.hangups:
+		case <-g.sighups:
 		case <-tick.C:
 			cause = "file changed"
-			if g.fileTime().Equal(last) {
+			if g.settingsModTime().Equal(last) {
 				continue
 			}
 		}
-		last = g.fileTime()
-		g.readSettings(cause)
+		last = g.settingsModTime()
+		g.reloadSettings(cause)
 	}
 }
 
-func (g *Gateway) fileTime() time.Time {
+func (g *Gateway) settingsModTime() time.Time {
 	info, err := os.Stat(g.settings.source)
 	if err != nil {
 		return time.Time{}
@@ -57,14 +57,14 @@
 	return info.ModTime()
 }
 
-// readSettings reads the file again. What cannot be read changes nothing.
-func (g *Gateway) readSettings(cause string) {
+// reloadSettings reads the file again. What cannot be read changes nothing.
+func (g *Gateway) reloadSettings(cause string) {
 	next := new(Settings)
 	if err := settings.Load(g.settings.source, next); err != nil {
 		g.log.Error().Str("step", "reload").Str("cause", cause).Err(err).Msg("settings refused, the old ones stay in force")
 		return
 	}
-	g.state.setLimit(next.limits())
+	g.state.setRepeatLimit(next.repeatLimit())
 	g.log.SetLevel(log.ParseLevel(next.Log))
 	if !g.leaving.Load() {
 		g.grace.Store(int64(next.Grace))
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -12,27 +12,27 @@
 )
 
 // Guards against a SIGHUP that ends the process before its settings are watched, or after.
-func TestHangupDuringStartOrStopDoesNotEndTheProcess(t *testing.T) {
-	g := testGateway(newHandClock(time.Hour))
+func TestSIGHUPDuringStartOrStopDoesNotEndTheProcess(t *testing.T) {
+	g := newTestGateway(newManualClock(time.Hour))
 	t.Cleanup(g.mesh.Close)
-	g.receiveHangups()
+	g.receiveSIGHUP()
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	g.reload(ctx)
+	g.watchSettings(ctx)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	require.Equal(t, syscall.SIGHUP, <-g.hangups)
+	require.Equal(t, syscall.SIGHUP, <-g.sighups)
 }
 
 // Guards against a stop that takes requests by another grace than the one it ends by.
-func TestReloadDoesNotChangeTheGraceOfAStop(t *testing.T) {
-	g := testGateway(newHandClock(time.Hour))
+func TestReloadDoesNotChangeGraceDuringShutdown(t *testing.T) {
+	g := newTestGateway(newManualClock(time.Hour))
 	t.Cleanup(g.mesh.Close)
 	file := filepath.Join(t.TempDir(), "gateway.jsonc")
 	g.settings.SetSource(file)
 	write := func(grace string) {
 		require.NoError(t, os.WriteFile(file, []byte(`{"vm": "self", "dataCentre": "a", "admin": "127.0.0.1:1", "front": "127.0.0.1:1",
 			"ready": "127.0.0.1:1", "peers": "127.0.0.1:1", "store": "127.0.0.1:1", "grace": "`+grace+`"}`), 0o600))
-		g.readSettings("test")
+		g.reloadSettings("test")
 	}
 	write("5s")
 	require.Equal(t, 5*time.Second, time.Duration(g.grace.Load()))
--- a/internal/gateway/repeating.go
+++ b/internal/gateway/repeats.go
@@ -10,36 +10,36 @@
 	"hemlockquay/internal/pause"
 )
 
-// noRepeats is the reason of a refusal for want of repeats.
-const noRepeats = "no repeats left"
+// reasonNoRepeats is the reason of a refusal for want of repeats.
+const reasonNoRepeats = "no repeats left"
 
-// cause is how the arrival failed after which a request is sent again.
-type cause string
+// repeatCause is how the arrival failed after which a request is sent again.
+type repeatCause string
 
 // The causes of repeats.
 const (
 	// causeMisdirected: the target does not hold the key, and no later version of the leases is known.
-	causeMisdirected cause = "misdirected"
+	causeMisdirected repeatCause = "misdirected"
 	// causeMoved: the target did not hold the key, and a later version of the leases is known.
-	causeMoved cause = "moved"
+	causeMoved repeatCause = "moved"
 	// causeRefused: the target did not run it.
-	causeRefused cause = "refused"
+	causeRefused repeatCause = "refused"
 	// causeLost: the answer was lost.
-	causeLost cause = "lost"
+	causeLost repeatCause = "lost"
 	// causeFailed: the target answered without success.
-	causeFailed cause = "failed"
+	causeFailed repeatCause = "failed"
 )
 
-var causes = []cause{causeMisdirected, causeMoved, causeRefused, causeLost, causeFailed}
+var repeatCauses = []repeatCause{causeMisdirected, causeMoved, causeRefused, causeLost, causeFailed}
 
-// repeat takes a repeat of a request from the service's budget, and counts it by its cause.
-func (g *Gateway) repeat(c *call) repeats.Decision {
+// takeRepeat takes a repeat of a request from the service's budget, and counts it by its cause.
+func (g *Gateway) takeRepeat(c *call) repeats.Decision {
 	now, vms := g.clock.Now(), g.fleetSize()
 	g.state.mu.Lock()
-	d := g.state.budgetLocked(c.service).TakeRepeat(g.state.limit, vms, now)
+	d := g.state.budgetLocked(c.service).TakeRepeat(g.state.repeatLimit, vms, now)
 	g.state.mu.Unlock()
 	if d.Granted {
-		g.repeatCounter(c.service, g.causeOf(c)).Inc(1)
+		g.repeatCounter(c.service, g.repeatCauseOf(c)).Inc(1)
 	}
 	return d
 }
@@ -52,19 +52,19 @@
 	return g.mesh.Size()
 }
 
-// causeOf returns the cause of a repeat, as it is now.
-func (g *Gateway) causeOf(c *call) cause {
-	if c.failed != causeMisdirected {
-		return c.failed
+// repeatCauseOf returns the cause of a repeat, as it is now.
+func (g *Gateway) repeatCauseOf(c *call) repeatCause {
+	if c.lastFailure != causeMisdirected {
+		return c.lastFailure
 	}
-	if r := g.state.leases.Of(c.service); r != nil && r.After(c.misdirected.Epoch, c.misdirected.Seq) {
+	if r := g.state.leases.Of(c.service); r != nil && r.After(c.misdirectedBy.Epoch, c.misdirectedBy.Seq) {
 		return causeMoved
 	}
 	return causeMisdirected
 }
 
-func (g *Gateway) repeatCounter(service string, why cause) metrics.Counter {
-	return metrics.GetOrRegisterCounter("repeats."+service+"."+string(why), g.registry)
+func (g *Gateway) repeatCounter(service string, cause repeatCause) metrics.Counter {
+	return metrics.GetOrRegisterCounter("repeats."+service+"."+string(cause), g.registry)
 }
 
 // budgetLocked needs s.mu.
@@ -77,17 +77,17 @@
 	return b
 }
 
-// reportEvery is the time between two log lines on the repeats of a service.
-const reportEvery = time.Second
+// repeatsReportInterval is the time between two log lines on the repeats of a service.
+const repeatsReportInterval = time.Second
 
 // reportRepeats shows the budgets of repeats as metrics, and logs those that were used.
 func (g *Gateway) reportRepeats(ctx context.Context) {
 	logged := make(map[string]int64)
-	for pause.For(ctx, reportEvery) {
+	for pause.For(ctx, repeatsReportInterval) {
 		for service, d := range g.budgetStates() {
 			metrics.GetOrRegisterGaugeFloat64("repeats."+service+".saved", g.registry).Update(d.Saved)
 			metrics.GetOrRegisterGaugeFloat64("repeats."+service+".most", g.registry).Update(d.MaxSaved)
-			if total := g.repeatsOf(service); total != logged[service] {
+			if total := g.repeatCount(service); total != logged[service] {
 				logged[service] = total
 				g.logRepeats(service, d)
 			}
@@ -101,15 +101,15 @@
 	defer g.state.mu.Unlock()
 	out := make(map[string]repeats.Decision, len(g.state.budgets))
 	for service, b := range g.state.budgets {
-		out[service] = b.State(g.state.limit, vms, now)
+		out[service] = b.State(g.state.repeatLimit, vms, now)
 	}
 	return out
 }
 
-// repeatsOf returns how often this process has sent a request for a service again.
-func (g *Gateway) repeatsOf(service string) (total int64) {
-	for _, why := range causes {
-		total += g.repeatCounter(service, why).Count()
+// repeatCount returns how often this process has sent a request for a service again.
+func (g *Gateway) repeatCount(service string) (total int64) {
+	for _, cause := range repeatCauses {
+		total += g.repeatCounter(service, cause).Count()
 	}
 	return total
 }
@@ -117,9 +117,9 @@
 // logRepeats writes a service's repeats by cause since the process began, and its budget.
 func (g *Gateway) logRepeats(service string, d repeats.Decision) {
 	e := g.log.Info().Str("step", "repeats").Str("service", service).Str("budget", d.String())
-	for _, why := range causes {
-		if n := g.repeatCounter(service, why).Count(); n > 0 {
-			e = e.Int64(string(why), n)
+	for _, cause := range repeatCauses {
+		if n := g.repeatCounter(service, cause).Count(); n > 0 {
+			e = e.Int64(string(cause), n)
 		}
 	}
 	e.Msg("repeats")
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -13,12 +13,12 @@
 
 // counters are the figures of the front.
 type counters struct {
-	registry metrics.Registry
-	unread   metrics.Counter
+	registry    metrics.Registry
+	undelivered metrics.Counter
 }
 
 func newCounters(r metrics.Registry) *counters {
-	return &counters{registry: r, unread: metrics.GetOrRegisterCounter("answers.unread", r)}
+	return &counters{registry: r, undelivered: metrics.GetOrRegisterCounter("answers.unread", r)}
 }
 
 // count counts an outcome by its reason and status.
@@ -26,35 +26,35 @@
 	metrics.GetOrRegisterCounter("outcome."+strconv.Itoa(out.status)+"."+out.reason, c.registry).Inc(1)
 }
 
-// requestLines bounds the log lines on requests.
+// requestLogLimiter bounds the log lines on requests.
 // In overload a line for each refusal costs more than the refusal. Requests without success have a bound
 // of their own, so that successes cannot crowd them out. Omitted lines are counted.
-type requestLines struct {
-	served, failed *rate.Limiter
-	omitted        metrics.Counter
+type requestLogLimiter struct {
+	successes, failures *rate.Limiter
+	omitted             metrics.Counter
 }
 
 const (
-	// servedLines and failedLines are lines a second: at about 20 microseconds a
+	// maxSuccessLines and maxFailureLines are lines a second: at about 20 microseconds a
 	// line they take at most 0.5% of a core each.
-	servedLines = 200
-	failedLines = 200
+	maxSuccessLines = 200
+	maxFailureLines = 200
 )
 
-func newRequestLines(r metrics.Registry) *requestLines {
-	return &requestLines{
-		served: rate.NewLimiter(servedLines, servedLines), failed: rate.NewLimiter(failedLines, failedLines),
+func newRequestLogLimiter(r metrics.Registry) *requestLogLimiter {
+	return &requestLogLimiter{
+		successes: rate.NewLimiter(maxSuccessLines, maxSuccessLines), failures: rate.NewLimiter(maxFailureLines, maxFailureLines),
 		omitted: metrics.GetOrRegisterCounter("log.requests.omitted", r),
 	}
 }
 
 // allow reports whether a line may be written for an outcome.
-func (l *requestLines) allow(out outcome) bool {
-	bound := l.failed
-	if out.answer != nil {
-		bound = l.served
+func (l *requestLogLimiter) allow(out outcome) bool {
+	limiter := l.failures
+	if out.response != nil {
+		limiter = l.successes
 	}
-	if bound.Allow() {
+	if limiter.Allow() {
 		return true
 	}
 	l.omitted.Inc(1)
@@ -66,17 +66,17 @@
 func (g *Gateway) logCall(c *call, out outcome) {
 	took := time.Since(c.start)
 	metrics.GetOrRegisterTimer("route."+c.route.Name+".time", g.registry).Update(took)
-	if out.answer != nil {
+	if out.response != nil {
 		g.counters.count(out)
 	}
-	if !g.lines.allow(out) {
+	if !g.requestLog.allow(out) {
 		return
 	}
 	v := g.state.view.Load()
 	e := g.log.Info().Str("step", "request").Str("id", c.id).Str("route", c.route.Name).Str("service", c.service).
 		Int("status", out.status).Str("reason", out.reason).Dur("took", took).Strs("attempts", c.trace).
-		Dur("waited", c.waited).Dur("patience", c.until.Sub(c.start)).Uint64("config", v.ConfigVersion()).Uint64("targets", v.Targets.Revision)
-	if out.reason != answered && c.refusedOn != "" {
+		Dur("waited", c.waited).Dur("patience", c.deadline.Sub(c.start)).Uint64("config", v.ConfigVersion()).Uint64("targets", v.Targets.Revision)
+	if out.reason != reasonAnswered && c.refusedOn != "" {
 		e = e.Str("refusedOn", c.refusedOn)
 	}
 	if c.decidedOn != "" {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -65,14 +65,14 @@
 
 // Defaults of the settings.
 const (
-	defaultGrace    = model.Duration(6 * time.Second)
-	defaultHoldMost = model.Duration(10 * time.Second)
-	defaultMemory   = 256
-	defaultGC       = 30
-	defaultRatio    = 0.1
-	defaultSlack    = 10
-	defaultWindow   = model.Duration(10 * time.Second)
-	leastHold       = model.Duration(time.Second)
+	defaultGrace     = model.Duration(6 * time.Second)
+	defaultHoldMost  = model.Duration(10 * time.Second)
+	defaultMemoryMB  = 256
+	defaultGCPercent = 30
+	defaultRatio     = 0.1
+	defaultSlack     = 10
+	defaultWindow    = model.Duration(10 * time.Second)
+	minHold          = model.Duration(time.Second)
 )
 
 // Check implements settings.Checker.
@@ -89,8 +89,8 @@
 	}
 	setDefault(&s.Grace, defaultGrace)
 	setDefault(&s.HoldMost, defaultHoldMost)
-	setDefault(&s.MemoryMB, defaultMemory)
-	setDefault(&s.GCPercent, defaultGC)
+	setDefault(&s.MemoryMB, defaultMemoryMB)
+	setDefault(&s.GCPercent, defaultGCPercent)
 	setDefault(&s.Repeats.Ratio, defaultRatio)
 	setDefault(&s.Repeats.Slack, defaultSlack)
 	setDefault(&s.Repeats.Window, defaultWindow)
@@ -103,8 +103,8 @@
 		return settings.Impossible("/gcPercent", "%v is under 1", s.GCPercent)
 	case s.MemoryMB < 0:
 		return settings.Impossible("/memoryMB", "%v is negative", s.MemoryMB)
-	case s.HoldMost < leastHold:
-		return settings.Impossible("/holdMost", "%v is under %v", s.HoldMost, leastHold)
+	case s.HoldMost < minHold:
+		return settings.Impossible("/holdMost", "%v is under %v", s.HoldMost, minHold)
 	case s.Repeats.Ratio < 0 || s.Repeats.Slack < 0 || s.Repeats.Window < 0:
 		return settings.Impossible("/repeats", "a value is negative")
 	}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,42 +13,42 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stopping is a gateway that was asked to stop so long ago, with six seconds of grace, and one
+// newLeavingTestbed is a gateway that was asked to stop so long ago, with six seconds of grace, and one
 // target that answers at once.
-func stopping(t *testing.T, since time.Duration) *bench {
-	b := newBench(t)
-	b.target("a", "pool", works)
+func newLeavingTestbed(t *testing.T, since time.Duration) *testbed {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
 	b.grace.Store(int64(6 * time.Second))
 	b.beginLeaving()
-	b.clock.(*handClock).advance(since)
+	b.clock.(*manualClock).advance(since)
 	return b
 }
 
-// leavesThen plays a target during whose work the VM is found to have been asked to stop so
+// beginShutdownThen plays a target during whose work the VM is found to have been asked to stop so
 // long ago.
-func (b *bench) leavesThen(since time.Duration, play http.HandlerFunc) http.HandlerFunc {
+func (b *testbed) beginShutdownThen(since time.Duration, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		b.leavingSince.Store(int64(b.clock.Now() - since))
 		b.leaving.Store(true)
-		play(w, r)
+		handler(w, r)
 	}
 }
 
 // Guards against a request without an answer: it outlasts the VM that was asked to stop.
-func TestStoppingVMRefusesWhatMayNotEnd(t *testing.T) {
-	b := stopping(t, 3200*time.Millisecond)
-	resp := b.get("patient.example", nil, "")
+func TestLeavingVMRefusesRequestThatMayOutlastIt(t *testing.T) {
+	b := newLeavingTestbed(t, 3200*time.Millisecond)
+	resp := b.send("patient.example", nil, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.True(t, resp.Close)
 	after, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	require.LessOrEqual(t, after, 0.02)
-	require.Zero(t, b.hits.Load(), "refused as not run")
+	require.Zero(t, b.requests.Load(), "refused as not run")
 }
 
 // Guards against refusals of what surely ends before the VM does.
-func TestStoppingVMServesWhatEndsInTime(t *testing.T) {
-	b := stopping(t, 3200*time.Millisecond)
+func TestLeavingVMServesRequestThatEndsInTime(t *testing.T) {
+	b := newLeavingTestbed(t, 3200*time.Millisecond)
 	for _, c := range []struct {
 		host   string
 		header http.Header
@@ -56,72 +56,72 @@
 		{"safe.example", nil},
 		{"patient.example", http.Header{"Deadline": {"1500"}}},
 	} {
-		resp := b.get(c.host, c.header, "")
+		resp := b.send(c.host, c.header, "")
 		require.Equal(t, http.StatusOK, resp.StatusCode, c.host)
 		require.True(t, resp.Close, "the caller's next request goes elsewhere")
 	}
 }
 
 // Guards against refusals by a VM that does not know yet how long requests take.
-func TestStoppingVMRefusesNothingByAGuess(t *testing.T) {
-	b := stopping(t, 2*time.Second)
-	require.Equal(t, http.StatusOK, b.get("patient.example", nil, "").StatusCode)
+func TestLeavingVMAcceptsRequestOfUnknownDuration(t *testing.T) {
+	b := newLeavingTestbed(t, 2*time.Second)
+	require.Equal(t, http.StatusOK, b.send("patient.example", nil, "").StatusCode)
 }
 
 // Guards against requests that usually take longer than the VM has left.
-func TestStoppingVMRefusesWhatUsuallyTakesLonger(t *testing.T) {
-	b := stopping(t, 2*time.Second)
+func TestLeavingVMRefusesRequestThatUsuallyTakesLonger(t *testing.T) {
+	b := newLeavingTestbed(t, 2*time.Second)
 	for range 10 {
-		b.state.learnLocked("pool", "patient", 3*time.Second)
+		b.state.recordDurationLocked("pool", "patient", 3*time.Second)
 	}
-	require.Equal(t, http.StatusServiceUnavailable, b.get("patient.example", nil, "").StatusCode)
-	require.Zero(t, b.hits.Load())
-	require.Equal(t, http.StatusOK, b.get("patient.example", http.Header{"Deadline": {"3000"}}, "").StatusCode)
+	require.Equal(t, http.StatusServiceUnavailable, b.send("patient.example", nil, "").StatusCode)
+	require.Zero(t, b.requests.Load())
+	require.Equal(t, http.StatusOK, b.send("patient.example", http.Header{"Deadline": {"3000"}}, "").StatusCode)
 }
 
 // Guards against a second sending of a booking that may outlast the VM.
-func TestStoppingVMSendsNothingAgainThatMayOutlastIt(t *testing.T) {
-	b := newBench(t)
+func TestLeavingVMDoesNotRepeatRefusedRequestThatMayOutlastIt(t *testing.T) {
+	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
-	play := firstThen(b.leavesThen(3200*time.Millisecond, sheds), works)
-	b.target("a", "pool", play)
-	b.target("b", "pool", play)
-	resp := b.get("patient.example", nil, "")
+	handler := firstThen(b.beginShutdownThen(3200*time.Millisecond, refuseAsNotRun), succeed)
+	b.addTarget("a", "pool", handler)
+	b.addTarget("b", "pool", handler)
+	resp := b.send("patient.example", nil, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
-	require.EqualValues(t, 1, b.hits.Load())
+	require.EqualValues(t, 1, b.requests.Load())
 }
 
 // Guards against a lost answer that another target could still replace.
-func TestStoppingVMSendsAgainWhatMayHaveRun(t *testing.T) {
-	b := newBench(t)
+func TestLeavingVMRepeatsRequestThatMayHaveRun(t *testing.T) {
+	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
-	play := firstThen(b.leavesThen(3200*time.Millisecond, breaks), works)
-	b.target("a", "pool", play)
-	b.target("b", "pool", play)
-	require.Equal(t, http.StatusOK, b.get("patient.example", nil, "").StatusCode)
-	require.EqualValues(t, 2, b.hits.Load())
+	handler := firstThen(b.beginShutdownThen(3200*time.Millisecond, resetConnection), succeed)
+	b.addTarget("a", "pool", handler)
+	b.addTarget("b", "pool", handler)
+	require.Equal(t, http.StatusOK, b.send("patient.example", nil, "").StatusCode)
+	require.EqualValues(t, 2, b.requests.Load())
 }
 
 // Guards against a repeat so shortly before the VM ends that its caller gets no answer.
-func TestStoppingVMDoesNotSendAgainWhatMayOutlastIt(t *testing.T) {
-	b := newBench(t)
+func TestLeavingVMDoesNotRepeatRequestShortlyBeforeItsEnd(t *testing.T) {
+	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
 	fails := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Stamp", "first")
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	play := firstThen(b.leavesThen(5200*time.Millisecond, fails), works)
-	b.target("a", "pool", play)
-	b.target("b", "pool", play)
-	resp := b.get("patient.example", nil, "")
+	handler := firstThen(b.beginShutdownThen(5200*time.Millisecond, fails), succeed)
+	b.addTarget("a", "pool", handler)
+	b.addTarget("b", "pool", handler)
+	resp := b.send("patient.example", nil, "")
 	require.Equal(t, http.StatusInternalServerError, resp.StatusCode)
 	require.Equal(t, "first", resp.Header.Get("Stamp"), "the answer of the target that ran it")
 	require.True(t, resp.Close)
-	require.EqualValues(t, 1, b.hits.Load())
+	require.EqualValues(t, 1, b.requests.Load())
 }
 
 // dialFront serves the gateway's own front and opens a connection of a caller to it.
-func (b *bench) dialFront() (net.Conn, *bufio.Reader) {
+func (b *testbed) dialFront() (net.Conn, *bufio.Reader) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b.t, err)
 	served := make(chan struct{})
@@ -140,10 +140,10 @@
 }
 
 // Guards against a request that is cut off without an answer when the VM ends.
-func TestRequestInFlightAtTheEndOfAStopGetsAnAnswer(t *testing.T) {
-	b := newBench(t)
+func TestRequestInFlightAtShutdownIsAnswered(t *testing.T) {
+	b := newTestbed(t)
 	reached, left := make(chan struct{}), make(chan struct{})
-	b.target("a", "pool", func(_ http.ResponseWriter, r *http.Request) {
+	b.addTarget("a", "pool", func(_ http.ResponseWriter, r *http.Request) {
 		close(reached)
 		<-r.Context().Done()
 		close(left)
@@ -153,7 +153,7 @@
 	require.NoError(t, err)
 	<-reached
 	b.beginLeaving()
-	require.NoError(t, b.closeFront(context.Background(), 0))
+	require.NoError(t, b.shutdownFront(context.Background(), 0))
 	resp, err := http.ReadResponse(answers, nil)
 	require.NoError(t, err)
 	defer resp.Body.Close()
@@ -163,9 +163,9 @@
 }
 
 // Guards against a caller that is cut off in the middle of its body when the VM ends.
-func TestBodyInFlightAtTheEndOfAStopIsRefused(t *testing.T) {
-	b := newBench(t)
-	b.target("a", "pool", works)
+func TestRequestWithPartialBodyAtShutdownIsRefused(t *testing.T) {
+	b := newTestbed(t)
+	b.addTarget("a", "pool", succeed)
 	conn, answers := b.dialFront()
 	_, err := io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: patient.example\r\nId: r-1\r\nContent-Length: 20\r\nExpect: 100-continue\r\n\r\n")
 	require.NoError(t, err)
@@ -174,11 +174,11 @@
 	_, err = io.WriteString(conn, "half")
 	require.NoError(t, err)
 	b.beginLeaving()
-	require.NoError(t, b.closeFront(context.Background(), 0))
+	require.NoError(t, b.shutdownFront(context.Background(), 0))
 	resp, err := http.ReadResponse(answers, nil)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Zero(t, b.hits.Load())
+	require.Zero(t, b.requests.Load())
 }
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -22,23 +22,23 @@
 
 // routingState is what the VM believes and has running. It is safe for concurrent use.
 type routingState struct {
-	clock    boottime.Clock
-	log      *log.Logger
-	registry metrics.Registry
-	near     string
-	limit    repeats.Limit
+	clock       boottime.Clock
+	log         *log.Logger
+	registry    metrics.Registry
+	dataCentre  string
+	repeatLimit repeats.Limit
 
 	view atomic.Pointer[catalog.View]
 	// leases have a lock of their own, which is taken after mu where both are.
 	leases *published.Leases
 
 	mu sync.Mutex
-	// turn rises with each choice of a target.
-	turn int
-	// members decide which targets exist.
-	members *catalog.Members
-	// configuredAt is when the configuration last changed.
-	configuredAt time.Duration
+	// startIndex rises with each choice of a target.
+	startIndex int
+	// membership decide which targets exist.
+	membership *catalog.Members
+	// configChangedAt is when the configuration last changed.
+	configChangedAt time.Duration
 	// changed is closed and replaced when routing or view change.
 	changed chan struct{}
 	// announce is called when the VM believes something new that others may not know.
@@ -74,22 +74,22 @@
 	// displaced reports whether another target answers at the address: this life is
 	// over, though its entry is still listed.
 	displaced bool
-	// leavesAt is until when a target that leaves may still get requests.
-	leavesAt time.Duration
-	pick     pick.State
-	// sharers is how many VMs have the target in their part of its pool; 0 while this VM has
+	// drainsUntil is until when a target that leaves may still get requests.
+	drainsUntil time.Duration
+	pick        pick.State
+	// vmsUsing is how many VMs have the target in their part of its pool; 0 while this VM has
 	// not.
-	sharers int
+	vmsUsing int
 }
 
 // maxKeysCounted bounds the keys that are counted for a service: as many as a VM
 // sees requests in some seconds. While no grantor asks, more are not counted.
 const maxKeysCounted = 4096
 
-func newRoutingState(clock boottime.Clock, logger *log.Logger, registry metrics.Registry, near string, limit repeats.Limit) *routingState {
+func newRoutingState(clock boottime.Clock, logger *log.Logger, registry metrics.Registry, dataCentre string, repeatLimit repeats.Limit) *routingState {
 	s := &routingState{
-		clock: clock, log: logger, registry: registry, near: near, limit: limit, fleet: onlyVM,
-		members: catalog.NewMembers(), changed: make(chan struct{}), announce: func() {},
+		clock: clock, log: logger, registry: registry, dataCentre: dataCentre, repeatLimit: repeatLimit, fleet: onlyVM,
+		membership: catalog.NewMembers(), changed: make(chan struct{}), announce: func() {},
 		targets: make(map[string]*targetState), byHash: make(map[uint32]*targetState),
 		inUse: make(map[*targetState]struct{}), budgets: make(map[string]*repeats.Budget),
 		durations: make(map[string]*duration.Table), warmupCost: make(map[string]float64), urgency: make(map[string]*urgency.Meter),
@@ -97,19 +97,19 @@
 		misdirectedAt: make(map[string]time.Duration), keyLoad: make(map[string]map[uint16]uint16),
 	}
 	s.view.Store(catalog.NewView(nil, catalog.Targets{}))
-	s.leases = published.New(clock, registry, s.notify)
+	s.leases = published.New(clock, registry, s.notifyChanged)
 	return s
 }
 
-// notify wakes who waits for a change.
-func (s *routingState) notify() {
+// notifyChanged wakes who waits for a change.
+func (s *routingState) notifyChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notifyLocked()
+	s.notifyChangedLocked()
 }
 
-// notifyLocked needs s.mu.
-func (s *routingState) notifyLocked() {
+// notifyChangedLocked needs s.mu.
+func (s *routingState) notifyChangedLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -125,33 +125,33 @@
 	}
 	s.log.Info().Str("step", "config").Uint64("version", c.Version).Uint64("before", old.ConfigVersion()).
 		Int("routes", len(c.Routes)).Int("unread", len(c.Unread)).Str("source", source).Msg("configuration in force")
-	s.noteUnread(c)
+	s.reportUnread(c)
 	s.view.Store(catalog.NewView(route.NewTable(c, old.Routes), old.Targets))
-	s.configuredAt = s.clock.Now()
-	s.notifyLocked()
+	s.configChangedAt = s.clock.Now()
+	s.notifyChangedLocked()
 	if source == sourceStore {
 		s.announce()
 	}
 }
 
-// unreadLines bounds the log lines on one version's values that were not understood.
-const unreadLines = 20
+// maxUnreadLines bounds the log lines on one version's values that were not understood.
+const maxUnreadLines = 20
 
-// noteUnread logs what was not understood of a configuration. The metric counts
+// reportUnread logs what was not understood of a configuration. The metric counts
 // what is in force, not what was seen.
-func (s *routingState) noteUnread(c *route.Config) {
+func (s *routingState) reportUnread(c *route.Config) {
 	metrics.GetOrRegisterGauge("config.unread", s.registry).Update(int64(len(c.Unread)))
-	for _, u := range c.Unread[:min(len(c.Unread), unreadLines)] {
+	for _, u := range c.Unread[:min(len(c.Unread), maxUnreadLines)] {
 		s.log.Error().Str("step", "config").Uint64("version", c.Version).Str("part", u.Part).Str("field", u.Field).
 			Str("value", u.Value).Str("takenAs", u.TakenAs).Msg("not understood")
 	}
 }
 
-// changeTargets applies a change to the list of targets and puts it in force.
-func (s *routingState) changeTargets(source string, change func(m *catalog.Members, now time.Duration)) {
+// updateTargets applies a change to the list of targets and puts it in force.
+func (s *routingState) updateTargets(source string, change func(m *catalog.Members, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(s.members, s.clock.Now())
+	change(s.membership, s.clock.Now())
 	s.publishLocked(source)
 }
 
@@ -160,13 +160,13 @@
 func (s *routingState) targetsSince(revision uint64) (catalog.Changes, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.members.ChangesSince(revision)
+	return s.membership.ChangesSince(revision)
 }
 
 // publishLocked needs s.mu.
 func (s *routingState) publishLocked(source string) {
 	old := s.view.Load()
-	view := catalog.NewView(old.Routes, s.members.Snapshot())
+	view := catalog.NewView(old.Routes, s.membership.Snapshot())
 	for i := range view.Targets.List {
 		s.trackLocked(view.Targets.List[i], source)
 	}
@@ -179,7 +179,7 @@
 	}
 	s.view.Store(view)
 	s.subsetLocked()
-	s.notifyLocked()
+	s.notifyChangedLocked()
 	if source == sourceStore {
 		s.announce()
 	}
@@ -195,7 +195,7 @@
 				Bool("draining", t.Draining).Uint64("revision", t.Revision).Str("source", source).Msg("target changed")
 		}
 		if t.Draining && !old.Draining {
-			old.leavesAt = s.clock.Now() + leavingMost
+			old.drainsUntil = s.clock.Now() + drainingOwnerGrace
 		}
 		old.Target = t
 		old.pick.Slots = t.Slots
@@ -207,16 +207,16 @@
 	}
 	s.log.Info().Str("step", "targets").Str("target", t.ID).Str("service", t.Service).Str("addr", t.Addr).Int64("born", t.Born).
 		Bool("draining", t.Draining).Uint64("revision", t.Revision).Str("source", source).Msg("target known")
-	now := &targetState{
+	state := &targetState{
 		Target: t, hash: catalog.Hash(t.ID),
 		pool: upstream.NewPool(t.Addr, metrics.GetOrRegisterCounter("connections.opened", s.registry)),
-		pick: pick.State{Slots: t.Slots, Near: t.DataCentre == s.near},
+		pick: pick.State{Slots: t.Slots, Near: t.DataCentre == s.dataCentre},
 	}
 	if t.Draining {
-		now.leavesAt = s.clock.Now() + leavingMost
+		state.drainsUntil = s.clock.Now() + drainingOwnerGrace
 	}
-	s.targets[t.ID] = now
-	s.byHash[mesh.LoadKey(now.hash)] = now
+	s.targets[t.ID] = state
+	s.byHash[mesh.LoadKey(state.hash)] = state
 }
 
 // untrackLocked needs s.mu.
@@ -228,14 +228,14 @@
 	}
 }
 
-// leavingMost is how long an owner that leaves may still get requests for its
+// drainingOwnerGrace is how long an owner that leaves may still get requests for its
 // keys, until they have another owner. Targets must get none two seconds after
 // their leaving was accepted.
-const leavingMost = 1500 * time.Millisecond
+const drainingOwnerGrace = 1500 * time.Millisecond
 
-// setLimit changes the bound of repeats.
-func (s *routingState) setLimit(l repeats.Limit) {
+// setRepeatLimit changes the bound of repeats.
+func (s *routingState) setRepeatLimit(l repeats.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit = l
+	s.repeatLimit = l
 }
--- a/internal/gateway/storecalls.go
+++ b/internal/gateway/storecalls.go
@@ -18,20 +18,20 @@
 	platform.ObjectStore
 	registry metrics.Registry
 	clock    boottime.Clock
-	// ended handles the end of a call that was sent at that time.
-	ended func(sent time.Duration, err error)
+	// onResult handles the end of a call that was sent at that time.
+	onResult func(sent time.Duration, err error)
 }
 
 // observe runs a call.
-func observe[T any](s observedStore, what string, kind model.Kind, call func() (T, error)) (T, error) {
+func observe[T any](s observedStore, operation string, kind model.Kind, call func() (T, error)) (T, error) {
 	begin, sent := time.Now(), s.clock.Now()
 	out, err := call()
-	metrics.GetOrRegisterTimer("step.store."+what, s.registry).UpdateSince(begin)
-	metrics.GetOrRegisterCounter("store.calls."+what+"."+string(kind), s.registry).Inc(1)
+	metrics.GetOrRegisterTimer("step.store."+operation, s.registry).UpdateSince(begin)
+	metrics.GetOrRegisterCounter("store.calls."+operation+"."+string(kind), s.registry).Inc(1)
 	if err != nil {
-		metrics.GetOrRegisterCounter("store.failures."+what+"."+string(kind), s.registry).Inc(1)
+		metrics.GetOrRegisterCounter("store.failures."+operation+"."+string(kind), s.registry).Inc(1)
 	}
-	s.ended(sent, err)
+	s.onResult(sent, err)
 	return out, err
 }
 
@@ -51,31 +51,31 @@
 	return observe(s, "watch", kind, func() (platform.Changes, error) { return s.ObjectStore.WatchKind(ctx, kind, from, wait) })
 }
 
-// gauges shows what the VM believes, and how old it is.
-func (g *Gateway) gauges() {
+// registerGauges shows what the VM believes, and how old it is.
+func (g *Gateway) registerGauges() {
 	for name, value := range map[string]func() int64{
 		"config.version":  func() int64 { return int64(g.state.view.Load().ConfigVersion()) },
-		"config.age":      func() int64 { return g.state.ageOf(g.state.configAt()) },
+		"config.age":      func() int64 { return g.state.ageMillis(g.state.lastConfigChange()) },
 		"targets.listed":  func() int64 { return int64(len(g.state.view.Load().Targets.List)) },
 		"targets.age":     func() int64 { return (g.clock.Now() - time.Duration(g.targetsConfirmedAt.Load())).Milliseconds() },
 		"mesh.live":       func() int64 { return int64(len(g.mesh.Live())) },
 		"subset.targets":  g.state.subsetSize,
-		"store.reachable": func() int64 { return boolGauge(g.storeUp.Load()) },
+		"store.reachable": func() int64 { return boolToInt(g.storeUp.Load()) },
 	} {
 		g.registry.GetOrRegister(name, metrics.NewFunctionalGauge(value))
 	}
 }
 
-// ageOf returns how long ago a reading of the clock was, milliseconds.
-func (s *routingState) ageOf(at time.Duration) int64 { return (s.clock.Now() - at).Milliseconds() }
+// ageMillis returns how long ago a reading of the clock was, milliseconds.
+func (s *routingState) ageMillis(at time.Duration) int64 { return (s.clock.Now() - at).Milliseconds() }
 
-func (s *routingState) configAt() time.Duration {
+func (s *routingState) lastConfigChange() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.configuredAt
+	return s.configChangedAt
 }
 
-func boolGauge(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/internal/gateway/storestate_test.go
+++ b/internal/gateway/storestate_test.go
@@ -12,22 +12,22 @@
 )
 
 // Guards against a succession because a call of before the outage times out after it.
-func TestCallsFromBeforeTheStoreReturnedDoNotLoseItAgain(t *testing.T) {
-	clock := newHandClock(time.Hour)
-	n := testGateway(clock)
+func TestFailuresOfOlderStoreCallsAreIgnored(t *testing.T) {
+	clock := newManualClock(time.Hour)
+	n := newTestGateway(clock)
 	defer n.mesh.Close()
 	sent := clock.Now()
-	n.noteStore(sent, platform.ErrUnavailable)
+	n.recordStoreResult(sent, platform.ErrUnavailable)
 	require.True(t, n.Heartbeat().StoreLost)
 	clock.advance(time.Second)
-	n.noteStore(clock.Now(), nil)
+	n.recordStoreResult(clock.Now(), nil)
 	require.False(t, n.Heartbeat().StoreLost)
-	n.noteStore(sent, platform.ErrAmbiguous)
+	n.recordStoreResult(sent, platform.ErrAmbiguous)
 	require.False(t, n.Heartbeat().StoreLost, "the call is older than the latest answer")
-	n.noteStore(clock.Now(), platform.ErrAmbiguous)
+	n.recordStoreResult(clock.Now(), platform.ErrAmbiguous)
 	require.True(t, n.Heartbeat().StoreLost)
-	n.noteStore(clock.Now(), platform.ErrGone)
+	n.recordStoreResult(clock.Now(), platform.ErrGone)
 	require.False(t, n.Heartbeat().StoreLost, "a store that has dropped its history answers")
-	n.noteStore(clock.Now(), errors.Join(platform.ErrAmbiguous, context.Canceled))
+	n.recordStoreResult(clock.Now(), errors.Join(platform.ErrAmbiguous, context.Canceled))
 	require.False(t, n.Heartbeat().StoreLost, "a call that was given up says nothing")
 }
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -36,18 +36,18 @@
 	c.states = append(c.states, &t.pick)
 }
 
-// refreshPlace keeps this VM's place in the fleet up to date.
-func (g *Gateway) refreshPlace(ctx context.Context) {
+// refreshPlaces keeps this VM's place in the fleet up to date.
+func (g *Gateway) refreshPlaces(ctx context.Context) {
 	for {
-		g.takePlace(g.mesh.Members())
+		g.updatePlaces(g.mesh.Members())
 		if !pause.For(ctx, subset.RefreshEvery) {
 			return
 		}
 	}
 }
 
-// takePlace chooses the subsets and neighbours of this VM in a fleet of these members.
-func (g *Gateway) takePlace(members []mesh.Member) {
+// updatePlaces chooses the subsets and neighbours of this VM in a fleet of these members.
+func (g *Gateway) updatePlaces(members []mesh.Member) {
 	slices.SortFunc(members, func(a, b mesh.Member) int {
 		return cmp.Or(cmp.Compare(catalog.Hash(a.VM), catalog.Hash(b.VM)), cmp.Compare(a.VM, b.VM))
 	})
@@ -80,7 +80,7 @@
 		s.fleet = place
 		s.subsetLocked()
 	}
-	return s.nearTargetsLocked()
+	return s.minNearTargetsLocked()
 }
 
 // subsetLocked chooses the targets of each pool that this VM uses: some of its data centre, and
@@ -99,7 +99,7 @@
 	var near, far []*targetState
 	for _, t := range list {
 		state := s.targets[t.ID]
-		state.sharers = 0
+		state.vmsUsing = 0
 		p.all.add(state)
 		if state.pick.Near {
 			near = append(near, state)
@@ -107,24 +107,24 @@
 			far = append(far, state)
 		}
 	}
-	p.use(near, s.fleet.near)
-	p.use(far, s.fleet.all)
+	p.addWindow(near, s.fleet.near)
+	p.addWindow(far, s.fleet.all)
 	return p
 }
 
-// use adds the window of a VM at this place to the subset.
-func (p *servicePool) use(list []*targetState, place subset.Place) {
+// addWindow adds the window of a VM at this place to the subset.
+func (p *servicePool) addWindow(list []*targetState, place subset.Place) {
 	slices.SortFunc(list, func(a, b *targetState) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID))
 	})
 	for _, i := range place.Window(len(list)) {
-		list[i].sharers = subset.Sharers(len(list), place.VMs)
+		list[i].vmsUsing = subset.Sharers(len(list), place.VMs)
 		p.subset.add(list[i])
 	}
 }
 
-// nearTargetsLocked needs s.mu.
-func (s *routingState) nearTargetsLocked() int {
+// minNearTargetsLocked needs s.mu.
+func (s *routingState) minNearTargetsLocked() int {
 	least := 0
 	for _, p := range s.pools {
 		near := 0
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -13,56 +13,56 @@
 	"hemlockquay/internal/route"
 )
 
-// largePool is the state of one of 200 VMs in two data centres with 200 targets.
-func largePool(t *testing.T) *routingState {
-	s := testState(newHandClock(0))
+// newLargePool is the state of one of 200 VMs in two data centres with 200 targets.
+func newLargePool(t *testing.T) *routingState {
+	s := newTestState(newManualClock(0))
 	var list []catalog.Target
 	for i := range 200 {
 		list = append(list, catalog.Target{ID: fmt.Sprint(i), Service: "s", Addr: "127.0.0.1:1", Slots: 2, DataCentre: []string{"a", "b"}[i%2]})
 	}
-	s.list(1, list...)
+	s.setTargets(1, list...)
 	s.setPlace(fleetPlace{all: subset.Place{Index: 90, VMs: 200}, near: subset.Place{Index: 40, VMs: 100}})
 	require.Less(t, len(s.pools["s"].subset.targets), 20)
 	return s
 }
 
-func (s *routingState) choose(t *testing.T) *attempt {
-	e, why := s.chooseFromPool("s", &route.Route{Name: "r"}, nil, time.Second, 0)
-	require.Equal(t, refusedNone, why)
+func (s *routingState) reserveOne(t *testing.T) *attempt {
+	e, why := s.reserveFromPool("s", &route.Route{Name: "r"}, nil, time.Second, 0)
+	require.Equal(t, notRefused, why)
 	return e
 }
 
 // Guards against a new connection for nearly every request in a large fleet.
-func TestVMOfALargeFleetUsesFewTargets(t *testing.T) {
-	s := largePool(t)
+func TestVMInLargeFleetUsesFewTargets(t *testing.T) {
+	s := newLargePool(t)
 	used := make(map[string]bool)
 	for range 500 {
-		e := s.choose(t)
+		e := s.reserveOne(t)
 		used[e.id] = true
-		s.finish(e, endAnswered)
+		s.finish(e, resultSucceeded)
 	}
 	require.Less(t, len(used), 20)
 }
 
 // Guards against requests that are refused while targets outside of the VM's subset are free.
 func TestWholePoolIsUsedOnceTheSubsetIsFull(t *testing.T) {
-	s := largePool(t)
+	s := newLargePool(t)
 	for _, at := range s.pools["s"].subset.targets {
 		at.pick.Others = 100
 	}
-	require.Zero(t, s.choose(t).target.sharers)
+	require.Zero(t, s.reserveOne(t).target.vmsUsing)
 }
 
-func TestSmallFleetUsesAllTargetsOfAPool(t *testing.T) {
-	s := testState(newHandClock(0))
+func TestSmallFleetUsesAllTargets(t *testing.T) {
+	s := newTestState(newManualClock(0))
 	for i := range 10 {
-		s.list(uint64(i+1), targetsOf(i+1)...)
+		s.setTargets(uint64(i+1), testTargets(i+1)...)
 	}
 	s.setPlace(fleetPlace{all: subset.Place{Index: 3, VMs: 8}, near: subset.Place{Index: 1, VMs: 2}})
 	require.Len(t, s.pools["s"].subset.targets, 10)
 }
 
-func targetsOf(n int) []catalog.Target {
+func testTargets(n int) []catalog.Target {
 	var list []catalog.Target
 	for i := range n {
 		list = append(list, catalog.Target{ID: fmt.Sprint(i), Service: "s", Addr: "127.0.0.1:1", Slots: 2, DataCentre: []string{"a", "b"}[i%2]})
@@ -71,30 +71,30 @@
 }
 
 // Guards against a target that keeps the load of requests that have ended.
-func TestEndedRequestsLeaveNoLoad(t *testing.T) {
-	s := largePool(t)
+func TestFinishedRequestsLeaveNoLoad(t *testing.T) {
+	s := newLargePool(t)
 	var sent []*attempt
 	for range 30 {
-		sent = append(sent, s.choose(t))
+		sent = append(sent, s.reserveOne(t))
 	}
-	require.NotEmpty(t, s.loads())
+	require.NotEmpty(t, s.ownLoads())
 	s.setPlace(fleetPlace{all: subset.Place{Index: 10, VMs: 150}, near: subset.Place{Index: 9, VMs: 70}})
 	for _, e := range sent {
-		s.finish(e, endAnswered)
+		s.finish(e, resultSucceeded)
 	}
-	s.setOthers(nil)
-	require.Empty(t, s.loads())
+	s.setOtherLoads(nil)
+	require.Empty(t, s.ownLoads())
 	require.Empty(t, s.inUse)
 	for _, at := range s.targets {
 		require.Zero(t, at.pick.Load())
 	}
 }
 
-func TestLoadsOfOtherVMsReachTheTargets(t *testing.T) {
-	s := largePool(t)
+func TestLoadsOfOtherVMsAreApplied(t *testing.T) {
+	s := newLargePool(t)
 	key := mesh.LoadKey(catalog.Hash("7"))
-	s.setOthers(map[uint32]int{key: 4})
+	s.setOtherLoads(map[uint32]int{key: 4})
 	require.Equal(t, 4, s.targets["7"].pick.Others)
-	s.setOthers(map[uint32]int{key: 0})
+	s.setOtherLoads(map[uint32]int{key: 0})
 	require.Zero(t, s.targets["7"].pick.Others)
 }
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -18,20 +18,20 @@
 	// transferBurst is how long the link may be taken up by transfers in one go, at its
 	// full speed.
 	transferBurst = 250 * time.Millisecond
-	// holdersMost bounds the VMs that a busy VM names as other sources.
-	holdersMost = 16
+	// maxHolders bounds the VMs that a busy VM names as other sources.
+	maxHolders = 16
 )
 
-// VersionArgs asks for a value.
-type VersionArgs struct {
-	// From is the VM that asks.
-	From string `msgpack:"f"`
-	// Have is the version that it has, 0 for none.
-	Have uint64 `msgpack:"h"`
+// FetchArgs asks for a value.
+type FetchArgs struct {
+	// Requester is the VM that asks.
+	Requester string `msgpack:"f"`
+	// HaveVersion is the version that it has, 0 for none.
+	HaveVersion uint64 `msgpack:"h"`
 }
 
-// VersionReply is a value, or says why there is none.
-type VersionReply struct {
+// FetchReply is a value, or says why there is none.
+type FetchReply struct {
 	// Busy says that the link is taken up by transfers to others.
 	Busy bool `msgpack:"b"`
 	// Holders are VMs that have got the value from here.
@@ -76,20 +76,20 @@
 	}
 }
 
-// whole replies with a version of a value, or that the link is busy. get returns the value.
-func (t *transfers) whole(name string, version valueVersion, from string, get func() any) (VersionReply, error) {
+// reply replies with a version of a value, or that the link is busy. get returns the value.
+func (t *transfers) reply(name string, version valueVersion, requester string, get func() any) (FetchReply, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v, err := t.packLocked(name, version, get)
 	if err != nil {
-		return VersionReply{}, err
+		return FetchReply{}, err
 	}
 	if !t.allow(len(v.data)) {
-		return VersionReply{Busy: true, Holders: slices.Clone(v.holders)}, nil
+		return FetchReply{Busy: true, Holders: slices.Clone(v.holders)}, nil
 	}
-	v.holders = append(v.holders, from)
-	v.holders = v.holders[max(0, len(v.holders)-holdersMost):]
-	return VersionReply{Data: v.data}, nil
+	v.holders = append(v.holders, requester)
+	v.holders = v.holders[max(0, len(v.holders)-maxHolders):]
+	return FetchReply{Data: v.data}, nil
 }
 
 // allow reports whether the link has room for so many bytes, and takes it. A value that is
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -10,9 +10,9 @@
 // three, and within a second of many cold keys the mean of their spread.
 const warmupSamples = 8
 
-// warmupCostOf returns how many usual requests one for a cold key is worth; 1 until it
+// warmupCostFor returns how many usual requests one for a cold key is worth; 1 until it
 // was measured.
-func (s *routingState) warmupCostOf(service string) float64 {
+func (s *routingState) warmupCostFor(service string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.warmupCostLocked(service)
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,40 +14,40 @@
 
 // Timeouts and limits of the watches.
 const (
-	// watchWait is how long a watch waits for changes. The store may drop its
+	// watchDuration is how long a watch waits for changes. The store may drop its
 	// history and leave a waiting watch without an earlier change; the next
 	// call finds out. A change must be known within about two seconds.
-	watchWait = 1300 * time.Millisecond
-	// watchSlack is what the answer may take on top.
-	watchSlack = 500 * time.Millisecond
-	// eventsPause is the pause after changes, so that a series of them, as when
+	watchDuration = 1300 * time.Millisecond
+	// watchTimeoutMargin is what the answer may take on top.
+	watchTimeoutMargin = 500 * time.Millisecond
+	// batchPause is the pause after changes, so that a series of them, as when
 	// all targets start, comes with a few calls.
-	eventsPause = 80 * time.Millisecond
-	// watchers is how many VMs watch the store; the others learn from them.
+	batchPause = 80 * time.Millisecond
+	// watcherCount is how many VMs watch the store; the others learn from them.
 	// Each call to the store counts, and with three the loss of one delays
 	// nothing.
-	watchers = 3
-	// idleStep is the time between two checks of a VM whether it is to watch.
-	idleStep = 100 * time.Millisecond
-	// storePauseLeast and storePauseMost bound the pause after a failed call:
+	watcherCount = 3
+	// watchCheckInterval is the time between two checks of a VM whether it is to watch.
+	watchCheckInterval = 100 * time.Millisecond
+	// minStoreBackoff and maxStoreBackoff bound the pause after a failed call:
 	// short, since changes bind the VM soon after the store's return.
-	storePauseLeast = 50 * time.Millisecond
-	storePauseMost  = 400 * time.Millisecond
+	minStoreBackoff = 50 * time.Millisecond
+	maxStoreBackoff = 400 * time.Millisecond
 )
 
 // watch keeps one kind up to date until the context ends: it lists, then follows
 // the changes; when the history is gone or the store was away it lists again.
 func (g *Gateway) watch(ctx context.Context, kind model.Kind, list func(platform.Listing), change func(platform.Changes)) {
-	wait := storePauseLeast
+	backoff := minStoreBackoff
 	for ctx.Err() == nil {
-		if !g.watching() {
-			pause.For(ctx, idleStep)
+		if !g.shouldWatch() {
+			pause.For(ctx, watchCheckInterval)
 			continue
 		}
-		revision, err := g.listOnce(ctx, kind, list)
+		revision, err := g.listKind(ctx, kind, list)
 		if err == nil {
-			wait = storePauseLeast
-			err = g.follow(ctx, kind, revision, change)
+			backoff = minStoreBackoff
+			err = g.followChanges(ctx, kind, revision, change)
 		}
 		if ctx.Err() != nil {
 			return
@@ -59,20 +59,20 @@
 			g.log.Warn().Str("step", "watch").Str("kind", string(kind)).Err(err).Msg("history gone, listing again")
 			continue
 		}
-		pause.For(ctx, wait)
-		wait = min(2*wait, storePauseMost)
+		pause.For(ctx, backoff)
+		backoff = min(2*backoff, maxStoreBackoff)
 	}
 }
 
-// watching reports whether this VM is one of those that watch the store: the
+// shouldWatch reports whether this VM is one of those that watch the store: the
 // grantors, which must know soon when it turns them away, and others to make up
 // the number. One that the store turned away is passed over, and goes on trying.
-func (g *Gateway) watching() bool {
+func (g *Gateway) shouldWatch() bool {
 	if !g.storeUp.Load() {
 		return true
 	}
 	grantors := g.state.leases.Grantors()
-	return grantors[g.self.VM] || g.place("watch", g.mesh.ReachesStore) < watchers-len(grantors)
+	return grantors[g.self.VM] || g.place("watch", g.mesh.ReachesStore) < watcherCount-len(grantors)
 }
 
 // place returns this VM's place, from 0, in the order for a duty of the live VMs that
@@ -80,18 +80,18 @@
 // hundreds of ranges compete with requests.
 func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Place(duty, fit) }
 
-// leasePlace returns this VM's place in the succession of a service's grantor. VMs that the
+// successionPlace returns this VM's place in the succession of a service's grantor. VMs that the
 // store turns away have a place as well: they may be grantors through a relay, and while
 // nobody reaches the store, not all VMs have the first place and try at the same time.
 // A VM that leaves has a place among those that leave.
-func (g *Gateway) leasePlace(service string) int {
+func (g *Gateway) successionPlace(service string) int {
 	if g.leaving.Load() {
 		return g.mesh.PlaceAmongLeaving(service)
 	}
 	return g.place(service, func(string) bool { return true })
 }
 
-func (g *Gateway) listOnce(ctx context.Context, kind model.Kind, list func(platform.Listing)) (uint64, error) {
+func (g *Gateway) listKind(ctx context.Context, kind model.Kind, list func(platform.Listing)) (uint64, error) {
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	l, err := g.store.ListKind(callCtx, kind)
@@ -102,10 +102,10 @@
 	return l.Revision, nil
 }
 
-func (g *Gateway) follow(ctx context.Context, kind model.Kind, revision uint64, change func(platform.Changes)) error {
-	for ctx.Err() == nil && g.watching() {
-		callCtx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
-		changes, err := g.store.WatchKind(callCtx, kind, revision, watchWait)
+func (g *Gateway) followChanges(ctx context.Context, kind model.Kind, revision uint64, change func(platform.Changes)) error {
+	for ctx.Err() == nil && g.shouldWatch() {
+		callCtx, cancel := context.WithTimeout(ctx, watchDuration+watchTimeoutMargin)
+		changes, err := g.store.WatchKind(callCtx, kind, revision, watchDuration)
 		cancel()
 		if err != nil {
 			return fmt.Errorf("watch %s from %d: %w", kind, revision, err)
@@ -113,18 +113,18 @@
 		g.targetsConfirmedAt.Store(int64(g.clock.Now()))
 		if len(changes.Events) > 0 {
 			change(changes)
-			pause.For(ctx, eventsPause)
+			pause.For(ctx, batchPause)
 		}
 		revision = max(revision, changes.Revision)
 	}
 	return ctx.Err()
 }
 
-// changeMembersQuietly applies what changes no target by itself.
-func (s *routingState) changeMembersQuietly(change func(m *catalog.Members, now time.Duration)) {
+// updateMembership applies what changes no target by itself.
+func (s *routingState) updateMembership(change func(m *catalog.Members, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(s.members, s.clock.Now())
+	change(s.membership, s.clock.Now())
 }
 
 const sourceStore = "store"
@@ -138,11 +138,11 @@
 				t.List = append(t.List, e)
 			}
 		}
-		g.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
+		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
 		g.listed.Store(true)
-		g.checkReady()
+		g.reportReady()
 	}, func(c platform.Changes) {
-		g.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
 			for _, ev := range c.Events {
 				g.applyTarget(m, ev, now)
 			}
@@ -201,7 +201,7 @@
 		return
 	}
 	g.state.setConfig(c, sourceStore)
-	g.checkReady()
+	g.reportReady()
 }
 
 // expireTargets drops targets whose entries stayed away after an outage.
@@ -209,7 +209,7 @@
 	const every = 100 * time.Millisecond
 	for pause.For(ctx, every) {
 		g.state.mu.Lock()
-		if g.state.members.Waiting() && g.state.members.Expire(g.clock.Now()) {
+		if g.state.membership.Waiting() && g.state.membership.Expire(g.clock.Now()) {
 			g.state.publishLocked("still missing after an outage")
 		}
 		g.state.mu.Unlock()
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -11,12 +11,12 @@
 )
 
 // Guards against a grantor on a slow link while others have fast ones.
-func TestVMsWithMuchFasterLinksComeFirstForDuties(t *testing.T) {
+func TestVMsWithFasterLinksHaveLowerPlaces(t *testing.T) {
 	place := func(own float64, others ...uint32) int {
-		n := testGatewayWithLink(newHandClock(time.Hour), own)
+		n := newTestGatewayWithLink(newManualClock(time.Hour), own)
 		defer n.mesh.Close()
 		for i, link := range others {
-			n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1, LinkMbps: link}})
+			n.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1, LinkMbps: link}})
 		}
 		return n.place("s", n.mesh.ReachesStore)
 	}
@@ -27,35 +27,35 @@
 }
 
 // Guards against VMs that all try to become the grantor at the same moment.
-func TestVMsHaveTheirOwnPlacesWhileNobodyReachesTheStore(t *testing.T) {
+func TestPlacesAreDistinctWhileNoVMReachesTheStore(t *testing.T) {
 	taken := make(map[int]bool)
 	for i := range 5 {
-		n := testGatewayNamed(newHandClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
+		n := newTestGatewayNamed(newManualClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
 		defer n.mesh.Close()
 		for j := range 5 {
 			if j != i {
-				n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, StoreLost: true})
+				n.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, StoreLost: true})
 			}
 		}
-		taken[n.leasePlace("s")] = true
+		taken[n.successionPlace("s")] = true
 	}
 	require.Len(t, taken, 5)
 }
 
 // Guards against VMs that all stop, and all try to become the grantor at the same moment.
-func TestVMsThatLeaveHaveTheirOwnPlacesInASuccession(t *testing.T) {
+func TestLeavingVMsHaveDistinctSuccessionPlaces(t *testing.T) {
 	taken := make(map[int]bool)
 	for i := range 5 {
-		n := testGatewayNamed(newHandClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
+		n := newTestGatewayNamed(newManualClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
 		defer n.mesh.Close()
 		n.leaving.Store(true)
 		for j := range 8 {
 			if j != i {
-				n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, Leaving: j < 5})
+				n.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, Leaving: j < 5})
 			}
 		}
 		require.Equal(t, 3, n.mesh.Staying())
-		taken[n.leasePlace("s")] = true
+		taken[n.successionPlace("s")] = true
 	}
 	require.Len(t, taken, 5)
 	require.Contains(t, taken, 0)
