--- a/internal/gateway/adapter.go
+++ b/internal/gateway/adapter.go
@@ -14,52 +14,52 @@
 
 // Adapter translates between a platform and the gateway.
 type Adapter interface {
-	// Store returns the client of the platform's store at addr.
+	// Store returns a client for the platform's object store at addr.
 	Store(addr string) platform.ObjectStore
-	// ConfigID names the object that holds the configuration.
+	// ConfigID returns the ID of the object that holds the configuration.
 	ConfigID() platform.ID
-	// TargetKind is the kind of the targets' entries.
+	// TargetKind returns the kind of the objects that describe targets.
 	TargetKind() model.Kind
-	// Config reads the configuration.
+	// Config decodes the configuration.
 	Config(o platform.Object) (*route.Config, error)
-	// Target reads a target's entry.
+	// Target decodes the object of a target.
 	Target(o platform.Object) (catalog.Target, error)
-	// Headers returns the names of the headers.
+	// Headers returns the names of the platform's HTTP headers.
 	Headers() Headers
-	// Order renders an order on leases.
+	// Order encodes an order about leases as a request to a target.
 	Order(o lease.Order) (*upstream.Request, error)
-	// OrderResult reads the answer to an order.
+	// OrderResult decodes a target's response to an order.
 	OrderResult(a *upstream.Answer) (result lease.Result, handover string, err error)
 }
 
-// Headers are the names of the headers that the gateway reads or sets.
+// Headers holds the names of the HTTP headers that the gateway reads or sets.
 type Headers struct {
-	// RequestID names the request, one for each attempt of a caller.
+	// RequestID identifies the request. A caller that retries uses a new ID for each attempt.
 	RequestID string
-	// DeadlineMs is how many milliseconds the caller will wait.
+	// DeadlineMs is the time that the caller will wait, in milliseconds.
 	DeadlineMs string
 	// Key is the key of a request to a keyed service.
 	Key string
-	// TargetID is the id of the target that is meant; any other refuses.
+	// TargetID is the ID of the target that the request is meant for; any other target refuses it.
 	TargetID string
-	// InstanceID is the id of the target that answers, where it says so.
+	// InstanceID is the ID of the target that responds, if the target sets it.
 	InstanceID string
-	// NotRun marks an answer of a target that has not run the request.
+	// NotRun marks a response of a target that has not run the request.
 	NotRun string
 }
 
-// saysNotRun reports whether an answer says that the target has not run the request.
+// saysNotRun reports whether the response says that the target has not run the request.
 func (h Headers) saysNotRun(a *upstream.Answer) bool {
 	return a.Header.Get(h.NotRun) != "" || a.Status == http.StatusMisdirectedRequest
 }
 
-// fromOtherTarget reports whether the answer comes from another target than was meant: the
-// address has passed on.
+// fromOtherTarget reports whether the response comes from a target other than id, which means that
+// the address was reassigned.
 func (h Headers) fromOtherTarget(a *upstream.Answer, id string) bool {
 	got := a.Header.Get(h.InstanceID)
 	return a.Status == http.StatusMisdirectedRequest && got != "" && got != id
 }
 
-// storeTimeout bounds a call to the store. Its usual answer takes 4 ms, one of
-// a slow store about a hundred times that.
+// storeTimeout bounds a call to the store. A response usually takes 4 ms, and about a hundred
+// times as long if the store is slow.
 const storeTimeout = time.Second
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,7 +12,8 @@
 	"hemlockquay/internal/upstream"
 )
 
-// forward sends the request until there is an answer, or a reason to give up.
+// forward sends the request to targets until one of them responds or no further attempt is
+// allowed.
 func (g *Gateway) forward(ctx context.Context, c *call) outcome {
 	for {
 		timeLeft := time.Until(c.deadline)
@@ -68,7 +69,9 @@
 	return g.state.reserveFromPool(c.service, c.route, c.tried, left, g.clock.Now())
 }
 
-// awaitRoutingChange waits for a change of leases or targets and reports whether to try again.
+// awaitRoutingChange waits for a change of the leases or targets, for at most misdirectedPause. It
+// reports whether to try again: false if the request has no time left or has waited for limit in
+// total.
 func (g *Gateway) awaitRoutingChange(ctx context.Context, c *call, limit time.Duration) bool {
 	left := min(limit-c.waited, time.Until(c.deadline)-minTimeLeft)
 	if left <= 0 {
@@ -94,8 +97,7 @@
 	return true
 }
 
-// attempt sends the request to one target. It returns nil where another attempt
-// may follow.
+// attempt sends the request to one target. It returns nil if another attempt may follow.
 func (g *Gateway) attempt(ctx context.Context, c *call, e *attempt, left time.Duration) *outcome {
 	c.request.Header.Set(g.headers.TargetID, e.id)
 	c.request.Header.Set(g.headers.DeadlineMs, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
@@ -137,7 +139,7 @@
 	return nil
 }
 
-// handleLostResponse handles an answer that is lost: the request may have run.
+// handleLostResponse handles a response that was lost. The request may have run.
 func (g *Gateway) handleLostResponse(ctx context.Context, c *call, e *attempt) *outcome {
 	c.delivered++
 	c.mayHaveRun++
@@ -166,7 +168,7 @@
 	return nil
 }
 
-// handleNotRun handles the refusal of a request by its target.
+// handleNotRun handles a response that says that the target has not run the request.
 func (g *Gateway) handleNotRun(c *call, e *attempt, resp *upstream.Answer) *outcome {
 	c.delivered++
 	if g.headers.fromOtherTarget(resp, e.id) {
@@ -175,7 +177,7 @@
 	if resp.Status == http.StatusMisdirectedRequest && c.keyed {
 		g.state.finish(e, resultAbandoned)
 		g.state.recordMisdirected(c.service)
-		// Only a later version of the leases can name another owner, or the same one anew.
+		// Only a later version of the leases can name another owner, or confirm this one.
 		c.lastFailure, c.misdirectedBy = causeMisdirected, e.leases
 		return nil
 	}
@@ -187,13 +189,12 @@
 		out := c.giveUp("owner is full", g.retryAfter(c))
 		return &out
 	}
-	// An owner with free slots that refuses has no lasting reason: it may take
-	// the request a moment later.
+	// An owner that refuses although it has free slots may accept the request a moment later.
 	return nil
 }
 
-// retryAfter returns when a place should be free.
-// A target that refuses although it has free slots has no lasting reason.
+// retryAfter returns the time after which a slot should be free. A target that refuses although it
+// has free slots may accept the request a moment later.
 func (g *Gateway) retryAfter(c *call) time.Duration {
 	if c.refusedWithFreeSlots {
 		return immediateRetryAfter
@@ -204,8 +205,9 @@
 	return min(max(usual, minRetryAfter), maxRetryAfter)
 }
 
-// hotKeyRetryAfter returns when to retry for a key that is hotter than its owner: the owner
-// can do the requests that were refused in the time of one only over several.
+// hotKeyRetryAfter returns the time after which to retry a request for a key that gets more
+// requests than its owner can run. If the owner can run only a fraction of them, those refused
+// during one service time need several.
 func (g *Gateway) hotKeyRetryAfter(c *call) time.Duration {
 	fraction := 1.0
 	if r := g.state.leases.Of(c.service); r != nil {
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// defaultMaxBody bounds a request's body, bytes, where the configuration does not.
+	// defaultMaxBody bounds the size of a request body in bytes if the configuration does not.
 	defaultMaxBody = 1 << 20
-	// initialBuffer is what is read first of a body without a stated length, bytes. The
-	// room is doubled from there.
+	// initialBuffer is the size in bytes of the first buffer for a body without Content-Length.
+	// The buffer is doubled as needed.
 	initialBuffer = 16 << 10
-	// bodyMemoryShare is the part of a VM's memory that bodies may take. It leaves room for
-	// copies while a body without a stated length is read, for what the heap grows before
-	// it is collected (gcPercent), and for the rest of the process, about 30 MB.
+	// bodyMemoryShare is the fraction of the VM's memory that bodies may use. The rest is for the
+	// copies that are made while a body without Content-Length is read, for the growth of the heap
+	// between collections (gcPercent), and for the rest of the process, about 30 MB.
 	bodyMemoryShare = 0.25
 )
 
@@ -29,22 +29,22 @@
 	errNoBodyMemory = errors.New("no memory for the body")
 )
 
-// bodyMemory is the memory for bodies that are held while their requests run.
-// Bodies are held until their answers. Without a bound, a few large ones use up the memory of a VM. What
-// finds no room is refused as not run.
+// bodyMemory is the memory for request bodies, counted in bytes. A body is held until its request
+// is answered, so without a bound a few large ones would use up the memory of a VM. A request
+// whose body does not fit is refused as not run.
 type bodyMemory struct{ *semaphore.Weighted }
 
 func newBodyMemory(memoryMB float64) bodyMemory {
 	return bodyMemory{semaphore.NewWeighted(int64(memoryMB * bodyMemoryShare * (1 << 20)))}
 }
 
-// bodyReservation is one request's part of the room.
+// bodyReservation is the memory that is reserved for one request's body.
 type bodyReservation struct {
 	memory   bodyMemory
 	reserved int64
 }
 
-// reserve takes room up to a size.
+// reserve increases the reservation to size.
 func (h *bodyReservation) reserve(size int64) error {
 	if !h.memory.TryAcquire(size - h.reserved) {
 		return errNoBodyMemory
@@ -53,13 +53,13 @@
 	return nil
 }
 
-// release gives the room back.
+// release returns the reserved memory.
 func (h *bodyReservation) release() {
 	h.memory.Release(h.reserved)
 	h.reserved = 0
 }
 
-// read reads a body of the stated size, -1 where it is not stated.
+// read reads a body of the given size, which is -1 if it is not known.
 func (h *bodyReservation) read(r io.Reader, size, limit int64) ([]byte, error) {
 	if size >= 0 {
 		if size > limit {
@@ -97,8 +97,9 @@
 	return body, err
 }
 
-// readBody reads the whole body: what has not come whole is not passed on. A body
-// that is held can be sent again where a target refuses it or the route allows repeats.
+// readBody reads the whole body before the request is sent: an incomplete body is never forwarded.
+// The body is kept so that it can be sent again if a target refuses the request or the route
+// allows repeats.
 func (g *Gateway) readBody(c *call, w http.ResponseWriter, r *http.Request, limit int64) *outcome {
 	if limit <= 0 {
 		limit = defaultMaxBody
@@ -124,8 +125,9 @@
 	return nil
 }
 
-// readBodyByDeadline reads the body until the caller's time is over, or the process stops.
-// A caller may stop in the middle of its body and keep the connection.
+// readBodyByDeadline reads the body until the request's deadline or the shutdown of the process.
+// Without the deadline, a caller that stops in the middle of its body and keeps the connection
+// open would hold the memory indefinitely.
 func (g *Gateway) readBodyByDeadline(c *call, w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength == 0 {
 		return nil, nil
@@ -140,7 +142,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// The connection is read on, to notice a caller that leaves.
+	// Without a deadline, the server's background read continues and detects that the caller
+	// closes the connection.
 	if err := control.SetReadDeadline(time.Time{}); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return nil, err
 	}
--- a/internal/gateway/body_test.go
+++ b/internal/gateway/body_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// Guards against a part of an upload that a target stores as the whole.
+// Guards against a target that stores a part of an upload as the whole.
 func TestReadFailsOnPartialBody(t *testing.T) {
 	for _, size := range []int64{100, -1} {
 		h := bodyReservation{memory: newBodyMemory(1)}
@@ -49,7 +49,7 @@
 	}
 }
 
-// Guards against a VM that ends for want of memory while uploads wait for slow targets.
+// Guards against a VM that runs out of memory while uploads wait for slow targets.
 func TestBodyWithoutFreeMemoryIsRefused(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
@@ -64,7 +64,7 @@
 	}
 }
 
-// Guards against a caller that never sends the rest of its body and holds memory for good.
+// Guards against a caller that never sends the rest of its body and so occupies memory forever.
 func TestStalledBodyTimesOut(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
@@ -90,7 +90,8 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// Guards against a 404 for a route that exists and that this version cannot read.
+// Guards against a 404 for a route that is configured, but that this version of the gateway cannot
+// read.
 func TestUnusableRouteIsRefusedAsNotRun(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -12,7 +12,7 @@
 	"hemlockquay/internal/upstream"
 )
 
-// call is one request of a caller in flight.
+// call is a caller's request that is being processed.
 type call struct {
 	id       string
 	route    *route.Route
@@ -28,27 +28,31 @@
 	tried           map[string]bool
 	connectFailures int
 	delivered       int
-	// mayHaveRun counts the targets that may have run the request.
+	// mayHaveRun is the number of targets that may have run the request.
 	mayHaveRun int
-	// lastFailure is how the last arrival failed, misdirectedBy by which version of the leases it was
-	// sent where its target did not hold the key.
+	// lastFailure says why the last delivered attempt failed. If its target did not hold the key,
+	// misdirectedBy is the version of the leases that was used.
 	lastFailure   repeatCause
 	misdirectedBy mesh.LeaseMark
-	// failedResponse is an answer without success that stands if nothing better comes.
+	// failedResponse is the last response with a server error. The caller gets it if no later
+	// attempt succeeds.
 	failedResponse *upstream.Answer
 	trace          []string
 	waited         time.Duration
-	// refusedWithFreeSlots says that the last target refused it while it had a free slot.
+	// refusedWithFreeSlots reports whether the last target refused the request although it had a
+	// free slot.
 	refusedWithFreeSlots bool
-	// refusedOn is what the last refusal of a target was decided on, decidedOn what a refusal
-	// for another reason was: the budget of repeats, or the grantor.
+	// For the log: refusedOn holds the inputs of the last decision not to use a target, decidedOn
+	// those of a refusal for another reason, which is the repeat budget or the expiry of the
+	// leases.
 	refusedOn, decidedOn string
 }
 
-// reasonAnswered is the reason of an outcome that is the answer of the request's target.
+// reasonAnswered is the reason of an outcome that is the response of a target.
 const reasonAnswered = "answered"
 
-// outcome is what the caller gets.
+// outcome is the result of a call: the response of a target, or the status and reason of a
+// refusal.
 type outcome struct {
 	response   *upstream.Answer
 	status     int
@@ -74,7 +78,7 @@
 	return c
 }
 
-// recordAttempt adds an attempt to the trace that the log line shows.
+// recordAttempt appends an attempt to the trace, which is logged with the request.
 func (c *call) recordAttempt(e *attempt, took time.Duration, resp *upstream.Answer, err error) {
 	result := "answered"
 	switch {
@@ -103,8 +107,8 @@
 	}
 }
 
-// giveUp ends a request. What surely has not run is refused with a promise; of
-// anything else nothing is said.
+// giveUp ends a request without a successful response. The status says that the request has not
+// run only if that is certain.
 func (c *call) giveUp(reason string, retry time.Duration) outcome {
 	switch {
 	case c.mayHaveRun == 0:
@@ -115,7 +119,7 @@
 	return outcome{status: http.StatusBadGateway, reason: reason}
 }
 
-// impliesNotRun reports whether callers take a status for "has not run".
+// impliesNotRun reports whether callers conclude from the status that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -8,18 +8,18 @@
 	"hemlockquay/internal/mesh"
 )
 
-// maxSuspectDigests bounds the contents that are under suspicion.
+// maxSuspectDigests bounds the number of requests that are suspected of crashing targets.
 const maxSuspectDigests = 512
 
-// crashCheckTimeout bounds the connection that reports whether a target lives.
+// crashCheckTimeout bounds the connection attempt that checks whether a target is down.
 const crashCheckTimeout = 300 * time.Millisecond
 
-// crashRetention is how long a target's end counts against a request. The same request
-// comes again within seconds; an innocent one that ran beside it must not be
-// refused for good.
+// crashRetention is how long a crashed target counts against a request. Callers retry within
+// seconds. A harmless request that was running on the same target must not be refused
+// indefinitely.
 const crashRetention = 30 * time.Second
 
-// recordCrash notes that a target was lost while it ran a request of this content.
+// recordCrash records that a target crashed while it ran a request with this digest.
 func (s *routingState) recordCrash(digest uint64, target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +34,8 @@
 	set[catalog.Hash(target)] = s.clock.Now()
 }
 
-// clearCrashes notes that a request of this content was answered.
+// clearCrashes forgets the crashes under requests with this digest, after one of them got a
+// response.
 func (s *routingState) clearCrashes(digest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,9 +44,9 @@
 	}
 }
 
-// crashesTargets reports whether a request's content ended too many targets.
-// Targets that ended under a content are counted over all VMs, each once: many requests of one content
-// may run on a target that ends for another reason.
+// crashesTargets reports whether too many targets crashed under requests with this digest. Crashes
+// are counted over all VMs, and each target once: many identical requests may be running on one
+// target that crashes for another reason.
 func (s *routingState) crashesTargets(digest uint64, m *mesh.Mesh) bool {
 	lost := make(map[uint32]bool)
 	for _, target := range m.Crashes(digest, crashRetention) {
@@ -60,7 +61,7 @@
 	return len(lost) >= maxCrashedTargets
 }
 
-// dropExpiredCrashesLocked drops what is too long ago. It needs s.mu.
+// dropExpiredCrashesLocked drops the crashes that are older than crashRetention. It needs s.mu.
 func (s *routingState) dropExpiredCrashesLocked(digest uint64) {
 	now := s.clock.Now()
 	for target, at := range s.crashes[digest] {
@@ -73,7 +74,8 @@
 	}
 }
 
-// recentCrashes returns the contents under suspicion.
+// recentCrashes returns the digests of suspected requests with the targets that crashed under
+// them.
 func (s *routingState) recentCrashes() []mesh.Crash {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,8 +93,8 @@
 	return out
 }
 
-// recordCrashIfDown finds out whether a target that lost an answer is gone. A target
-// that still takes connections lost the answer for another reason.
+// recordCrashIfDown records a crash if a target that lost a response does not accept connections.
+// If it does, the response was lost for another reason.
 func (g *Gateway) recordCrashIfDown(digest uint64, e *attempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -15,8 +15,8 @@
 	"hemlockquay/internal/route"
 )
 
-// fakeAdapter is a platform whose objects are our own types in JSON. It translates no
-// orders: a gateway that gives none needs none.
+// fakeAdapter is the adapter for a platform whose objects are the gateway's own types in JSON. It
+// has no Order and OrderResult, because the gateways of these tests give no orders.
 type fakeAdapter struct {
 	Adapter
 	store platform.ObjectStore
@@ -40,7 +40,7 @@
 	return Headers{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", TargetID: "Target", InstanceID: "Instance", NotRun: "Not-Run"}
 }
 
-// unavailableStore is a store that answers nothing.
+// unavailableStore is a store that never responds.
 type unavailableStore struct{}
 
 func (unavailableStore) Get(context.Context, platform.ID) (platform.Object, error) {
@@ -62,7 +62,7 @@
 func (s *routingState) routingOf(service string) *lease.Routing { return s.leases.Of(service) }
 func (s *routingState) updateRouting(u *lease.Update) bool      { return s.leases.Update(u) }
 
-// newTestGateway is a gateway without goroutines, listeners or a store that answers.
+// newTestGateway returns a gateway without goroutines and listeners, whose store never responds.
 func newTestGateway(clock *manualClock) *Gateway { return newTestGatewayWithLink(clock, 0) }
 
 func newTestGatewayWithLink(clock *manualClock, mbps float64) *Gateway {
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// fetchTimeout bounds a fetch from all sources together. The next heartbeat of any VM
-	// that has the version begins another.
+	// fetchTimeout bounds a fetch from all sources together. The next heartbeat of any VM that has
+	// the version starts another one.
 	fetchTimeout = 2 * time.Second
-	// fetchRequestTimeout bounds a request to one source: a packed configuration takes a tenth
+	// fetchRequestTimeout bounds the request to one source. A packed configuration takes a tenth
 	// of it on a link of 10 Mbit/s.
 	fetchRequestTimeout = 400 * time.Millisecond
-	// fetchPause is the mean pause before another source is asked.
+	// fetchPause is the mean pause before the next source is tried.
 	fetchPause = 40 * time.Millisecond
-	// storeFallbackDelay is after how long a configuration that no VM has sent is read from the
-	// store: each call to the store is paid for, but a late configuration gives callers
-	// wrong answers.
+	// storeFallbackDelay is the time after which a configuration that no VM has sent is read from
+	// the store. Calls to the store have a cost, but with an outdated configuration callers get
+	// wrong responses.
 	storeFallbackDelay = 600 * time.Millisecond
 )
 
 var errBusy = errors.New("link is busy")
 
-// fetchSources is a fetch that is running, with the VMs that may be asked.
+// fetchSources is the set of VMs that a running fetch may use as sources.
 type fetchSources struct {
 	mu      sync.Mutex
 	sources *sources.Sources
@@ -52,8 +52,8 @@
 	return f.sources.Next(rand.IntN)
 }
 
-// fetch runs one fetch of a kind at a time. A VM that announces the same while it runs may be
-// asked as well: the first one may be cut off meanwhile.
+// fetch starts a fetch of this kind unless one is running. If one is, vm becomes an additional
+// source for it, because its first source may have become unreachable.
 func (g *Gateway) fetch(vm, kind string, get func(ctx context.Context, vms *fetchSources) error) {
 	vms := &fetchSources{sources: sources.New(vm)}
 	if running, ok := g.fetches.LoadOrStore(kind, vms); ok {
@@ -69,18 +69,18 @@
 	}()
 }
 
-// versionFetch says how a later version of a value is fetched.
+// versionFetch describes how to fetch a later version of a value.
 type versionFetch struct {
 	method string
-	// haveVersion is the version at hand, 0 for none.
+	// haveVersion is the version known here, 0 if there is none.
 	haveVersion uint64
 	apply       func(vm string, r *FetchReply) error
-	// obtained is called after each failure, with the time since the begin. It reports whether
-	// the version has come another way.
+	// obtained is called after each failed request, with the time since the start. It reports
+	// whether the version was obtained in another way.
 	obtained func(since time.Duration) bool
 }
 
-// fetchVersion asks one VM after the other until one has sent what can be applied.
+// fetchVersion tries one source after the other until one has sent a value that can be applied.
 func (g *Gateway) fetchVersion(ctx context.Context, vms *fetchSources, f versionFetch) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 			return nil
 		}
 		if !pause.For(ctx, time.Duration(rand.Int64N(int64(2*fetchPause)))) {
-			return fmt.Errorf("from %s at last: %w", vm, err)
+			return fmt.Errorf("last source %s: %w", vm, err)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	return reply, err
 }
 
-// fetchConfig fetches a later configuration from the VMs that have it, or from the store.
+// fetchConfig fetches a later configuration from the VMs that have it, or else from the store.
 func (g *Gateway) fetchConfig(ctx context.Context, vms *fetchSources) error {
 	have := g.state.view.Load().ConfigVersion()
 	return g.fetchVersion(ctx, vms, versionFetch{
@@ -142,14 +142,14 @@
 	defer cancel()
 	o, err := g.store.Get(ctx, g.adapter.ConfigID())
 	if err != nil {
-		g.log.Warn().Str("step", "fetch").Str("what", "config").Err(err).Msg("configuration not read from the store")
+		g.log.Warn().Str("step", "fetch").Str("what", "config").Err(err).Msg("could not read configuration from the store")
 		return false
 	}
 	g.applyConfig(o)
 	return g.state.view.Load().ConfigVersion() > have
 }
 
-// fetchTargets fetches what changed in the list of targets, or the whole list.
+// fetchTargets fetches the changes to the list of targets, or the whole list.
 func (g *Gateway) fetchTargets(ctx context.Context, vms *fetchSources, whole bool) error {
 	have := uint64(0)
 	if g.listed.Load() && !whole {
@@ -161,7 +161,7 @@
 	})
 }
 
-// applyFetchedTargets applies the changes, or the whole list.
+// applyFetchedTargets applies the changes to the list of targets, or the whole list.
 func (g *Gateway) applyFetchedTargets(vm string, r *FetchReply) error {
 	if r.Changes != nil {
 		g.state.updateTargets(vm, func(m *catalog.Members, now time.Duration) { m.Apply(*r.Changes, now) })
--- a/internal/gateway/fetch_test.go
+++ b/internal/gateway/fetch_test.go
@@ -18,7 +18,7 @@
 	"hemlockquay/internal/route"
 )
 
-// newPeerGateway is a gateway that other VMs can call.
+// newPeerGateway returns a gateway that other VMs can call.
 func newPeerGateway(t *testing.T, name string, mbps float64) *Gateway {
 	s := &Settings{Store: "127.0.0.1:1", LinkMbps: mbps, MemoryMB: defaultMemoryMB}
 	server, err := peer.Listen("127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return n
 }
 
-// largeConfig returns a configuration whose names repeat as little as operators' do.
+// largeConfig returns a configuration whose names are as diverse as those that operators choose.
 func largeConfig(version uint64, routes int) *route.Config {
 	draw := rand.New(rand.NewPCG(1, 2))
 	word := func() string { return strconv.FormatUint(uint64(draw.Uint32()), 36) }
@@ -52,7 +52,7 @@
 	return c
 }
 
-// eventually waits until heartbeats have brought something about.
+// eventually waits until heartbeats have led to the wanted state.
 func eventually(t *testing.T, reached func() bool) {
 	t.Helper()
 	require.Eventually(t, reached, 10*time.Second, time.Millisecond)
@@ -69,7 +69,7 @@
 	require.Equal(t, want, b.state.view.Load().Routes.Config())
 }
 
-// Guards against a configuration that fills the links between VMs when it grows by many routes.
+// Guards against a configuration with many routes that uses up the links between VMs.
 func TestPackedConfigIsSmall(t *testing.T) {
 	data, err := packed.Encode(largeConfig(7, 1560))
 	require.NoError(t, err)
@@ -96,7 +96,8 @@
 	eventually(t, same)
 }
 
-// Guards against a VM that sends a large value to all that ask at once over a full link.
+// Guards against a VM that sends a large value to all VMs that ask at the same time and so
+// overloads its link.
 func TestBusyVMRefersToOtherHolders(t *testing.T) {
 	n := newPeerGateway(t, "a", 10)
 	n.state.setConfig(largeConfig(7, 10), sourceStore)
@@ -115,7 +116,7 @@
 	require.Equal(t, []string{"b"}, busy.Holders)
 }
 
-// Guards against a configuration that waits for one VM with a busy link.
+// Guards against a configuration that is delayed because all VMs wait for one VM with a busy link.
 func TestVMsFetchFromOtherHolders(t *testing.T) {
 	nodes := []*Gateway{newPeerGateway(t, "a", 10)}
 	nodes[0].state.setConfig(largeConfig(7, 10), sourceStore)
@@ -132,7 +133,7 @@
 	}
 }
 
-// Guards against announcements by every VM that gets a version from another one.
+// Guards against announcements by every VM that received a version from another one.
 func TestOnlyVMsThatReadTheStoreAnnounceConfig(t *testing.T) {
 	s := newTestState(newManualClock(0))
 	announced := 0
@@ -144,7 +145,7 @@
 	require.Equal(t, 1, announced)
 }
 
-// Guards against a fetch that waits for a VM which was cut off after its announcement.
+// Guards against a fetch that waits for a VM which became unreachable after its announcement.
 func TestFetchTriesOtherVMsThatAnnounceTheVersion(t *testing.T) {
 	a, b := newPeerGateway(t, "a", 0), newPeerGateway(t, "b", 0)
 	a.state.setConfig(largeConfig(7, 10), sourceStore)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,7 +28,7 @@
 	"hemlockquay/internal/storerelay"
 )
 
-// Gateway is the daemon's parts joined together.
+// Gateway is the hq-gateway daemon.
 type Gateway struct {
 	settings   *Settings
 	adapter    Adapter
@@ -54,34 +54,35 @@
 	sighups    chan os.Signal
 	fetches    sync.Map
 	writeCount atomic.Uint64
-	// storeUp reports whether the store answered last, storeRespondedAt when it did, on
-	// clock.
+	// storeUp reports whether the store responded when it was last called. storeRespondedAt is the
+	// time of its last response, on clock.
 	storeUp          atomic.Bool
 	storeRespondedAt atomic.Int64
-	// storeRelayedAt is when the store last answered through another VM, on clock.
+	// storeRelayedAt is the time of the store's last response through another VM, on clock.
 	storeRelayedAt atomic.Int64
-	// targetsConfirmedAt is when the store, or a VM that it answers, last confirmed the list of targets,
-	// on clock.
+	// targetsConfirmedAt is when the list of targets was last confirmed by the store, or by a VM
+	// that reaches the store, on clock.
 	targetsConfirmedAt atomic.Int64
-	// joined reports whether the store or another VM has named the VMs.
+	// joined reports whether the list of VMs was received from the store or from another VM.
 	joined atomic.Bool
-	// listed reports whether the targets are known.
+	// listed reports whether the list of targets is known.
 	listed atomic.Bool
-	// grace is how long after SIGTERM the process is killed, nanoseconds. It does not change
-	// during the graceful shutdown.
+	// grace is the time from SIGTERM until the process is killed, in nanoseconds. It does not
+	// change during the graceful shutdown.
 	grace atomic.Int64
-	// leaving is set by the graceful shutdown, leavingSince before it, on clock.
+	// leaving is set by the graceful shutdown. leavingSince is set before it, on clock.
 	leaving      atomic.Bool
 	leavingSince atomic.Int64
 
 	front, ready *http.Server
-	// requestCtx is the context of all callers' requests; cancelRequests ends those in flight.
+	// requestCtx is the parent context of all callers' requests. cancelRequests ends those in
+	// flight.
 	requestCtx     context.Context
 	cancelRequests context.CancelCauseFunc
 	peers          *peer.Server
 }
 
-// Module returns the daemon for a platform.
+// Module returns the fx module of the daemon for a platform.
 func Module(a Adapter) fx.Option {
 	return fx.Options(
 		fx.Supply(fx.Annotate(a, fx.As(new(Adapter)))),
@@ -113,7 +114,7 @@
 	g.state = newRoutingState(clock, logger, registry, s.DataCentre, s.repeatLimit())
 	g.mesh = mesh.New(g.self, clock, logger)
 	g.state.announce = g.mesh.Announce
-	// Were all VMs to begin with the same target, they would fill it together.
+	// If all VMs started with the same target, they would overload it together.
 	g.state.startIndex = int(catalog.Hash(s.VM))
 	g.registerGauges()
 	g.ctx, g.cancel = context.WithCancel(context.Background())
@@ -123,20 +124,20 @@
 	return g
 }
 
-// tag returns a name for a write that no other write has.
+// tag returns a unique name for a write to the store.
 func (g *Gateway) tag() string {
 	return g.self.VM + "/" + strconv.FormatUint(g.self.Incarnation, 36) + "/" + strconv.FormatUint(g.writeCount.Add(1), 10)
 }
 
-// headerTimeout bounds how long a caller may take to send its headers, idleTimeout
-// how long its connection may be idle: both above what configurations allow.
+// headerTimeout bounds how long a caller may take to send its headers, idleTimeout how long its
+// connection may be idle. Both are above what configurations allow.
 const (
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 75 * time.Second
 )
 
 func (g *Gateway) start(context.Context) error {
-	// The others call as soon as the port is open.
+	// Other VMs call as soon as the port is open.
 	g.mesh.Start(g)
 	if err := g.listen(); err != nil {
 		return err
@@ -151,7 +152,7 @@
 	return nil
 }
 
-// newFront returns the server for callers.
+// newFront returns the HTTP server for callers.
 func (g *Gateway) newFront() *http.Server {
 	return &http.Server{
 		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
@@ -182,7 +183,7 @@
 	return nil
 }
 
-// registerServices publishes what other VMs may call.
+// registerServices registers the RPC services for other VMs.
 func (g *Gateway) registerServices() error {
 	return errors.Join(
 		g.peers.Register("Mesh", mesh.Service{Mesh: g.mesh}),
@@ -193,31 +194,31 @@
 
 func (g *Gateway) serve(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		g.log.Error().Str("step", "listen").Str("addr", l.Addr().String()).Err(err).Msg("listener ended")
+		g.log.Error().Str("step", "listen").Str("addr", l.Addr().String()).Err(err).Msg("listener failed")
 	}
 }
 
 func (g *Gateway) servePeers() {
 	if err := g.peers.Serve(); err != nil {
-		g.log.Error().Str("step", "listen").Str("addr", g.settings.Peers).Err(err).Msg("listener ended")
+		g.log.Error().Str("step", "listen").Str("addr", g.settings.Peers).Err(err).Msg("listener failed")
 	}
 }
 
-// serveReady reports to the balancer whether to send new connections.
+// serveReady tells the load balancer whether to send new connections to this VM.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.leaving.Load() || g.state.view.Load().Routes == nil || !g.listed.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// reportReady notes that the daemon has what it needs.
+// reportReady marks the daemon as ready once it has a configuration and the list of targets.
 func (g *Gateway) reportReady() {
 	if g.life != nil && g.state.view.Load().Routes != nil && g.listed.Load() {
 		g.life.Ready()
 	}
 }
 
-// closeIdleConnections closes idle connections to targets.
+// closeIdleConnections periodically closes idle connections to targets.
 func (g *Gateway) closeIdleConnections(ctx context.Context) {
 	for pause.For(ctx, time.Second) {
 		g.state.mu.Lock()
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// Figures of the front.
+// Timeouts and limits of request handling.
 const (
-	// minTimeLeft is the time below which nothing is sent any more: the answer
-	// would arrive late.
+	// minTimeLeft is the remaining time below which a request is no longer sent to a target,
+	// because the response would arrive too late.
 	minTimeLeft = 5 * time.Millisecond
-	// maxMoveWait is how long a request waits at most for a key that changes its
-	// owner: the work on the key at the old owner ends, then the new one gets it.
+	// maxMoveWait bounds how long a request waits for a key that is moving to another owner. The
+	// old owner finishes its work on the key before the new one gets it.
 	maxMoveWait = 500 * time.Millisecond
-	// responseMargin is how much earlier than the caller's time ends it gets its
-	// answer: the way back takes about 3 ms.
+	// responseMargin is how long before the caller's deadline it gets a response. The way back
+	// takes about 3 ms.
 	responseMargin = 10 * time.Millisecond
-	// lostOwnerRetryDivisor is the part of its time after which a caller may retry for a
-	// key whose owner is lost. The key is back within a hold and about a second;
-	// callers wait no longer than this part.
+	// lostOwnerRetryDivisor divides the remaining time of a request to get its Retry-After if the
+	// owner of its key is lost. The key is served again after the hold time and about one second;
+	// the caller is not asked to wait longer than this fraction of its time.
 	lostOwnerRetryDivisor = 3
-	// misdirectedPause is the wait after a target said that it does not hold the
-	// key, unless an update of the leases arrives first.
+	// misdirectedPause is how long a request waits after a target said that it does not hold the
+	// key, unless an update of the leases arrives earlier.
 	misdirectedPause = 150 * time.Millisecond
-	// maxConnectFailures bounds the targets that could not be connected to.
+	// maxConnectFailures bounds the failed connection attempts of one request.
 	maxConnectFailures = 4
-	// unconfiguredRetryAfter is when a caller may retry at a VM that knows no
-	// configuration yet.
+	// unconfiguredRetryAfter is the Retry-After while the VM has no configuration.
 	unconfiguredRetryAfter = 500 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the time after which a refused caller may
-	// retry: a full target has a free place after about a service time.
+	// minRetryAfter and maxRetryAfter bound Retry-After. A full target has a free slot after about
+	// one service time.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = time.Second
-	// immediateRetryAfter is when a caller may retry whom a target with free slots refused, or
-	// a VM that leaves: at once, but for the time that a new connection takes anyway.
+	// immediateRetryAfter is the Retry-After if a target with free slots refused the request, or
+	// if this VM is shutting down. The caller may retry at once; a new connection takes about as
+	// long.
 	immediateRetryAfter = 10 * time.Millisecond
-	// maxCrashedTargets is how many targets a request may have ended before it is
-	// refused. With two, a popular request that ran on two targets that ended for
-	// another reason would be refused everywhere.
+	// maxCrashedTargets is the number of crashed targets from which a request is refused. With
+	// two, a frequent request that was running on two targets which crashed for another reason
+	// would be refused everywhere.
 	maxCrashedTargets = 3
 )
 
-// ServeHTTP answers one request of a caller.
+// ServeHTTP handles a caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	view := g.state.view.Load()
 	if view.Routes == nil {
@@ -81,7 +81,7 @@
 	g.respond(w, r, out)
 }
 
-// pathOf returns the path of a request target as it stands on the wire.
+// pathOf returns the path of a request target as it was received.
 func pathOf(uri string) string {
 	path, _, _ := strings.Cut(uri, "?")
 	if rest, ok := strings.CutPrefix(path, "http://"); ok {
@@ -93,7 +93,7 @@
 	return path
 }
 
-// respond writes what the caller gets.
+// respond writes the outcome of a call.
 func (g *Gateway) respond(w http.ResponseWriter, r *http.Request, out outcome) {
 	if out.response == nil {
 		g.refuse(w, r, out)
@@ -114,11 +114,12 @@
 	}
 }
 
-// refuse writes an answer of our own.
+// refuse writes a response of the gateway itself.
 func (g *Gateway) refuse(w http.ResponseWriter, r *http.Request, out outcome) {
 	g.counters.count(out)
 	if out.status == 0 {
-		// The caller is gone; nothing that looks like an answer may be sent.
+		// The caller has disconnected. The connection is aborted so that nothing looks like a
+		// response.
 		panic(http.ErrAbortHandler)
 	}
 	h := w.Header()
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -18,7 +18,7 @@
 	"hemlockquay/internal/route"
 )
 
-// testbed is a gateway with a configuration and targets that a test plays.
+// testbed is a gateway with a configuration and with targets whose handlers the test supplies.
 type testbed struct {
 	*Gateway
 	t        *testing.T
@@ -50,7 +50,7 @@
 
 var testRepeatLimit = (&Settings{Repeats: Repeats{Ratio: 0.2, Slack: 100, Window: defaultWindow}}).repeatLimit()
 
-// fillRepeatBudget has requests for the services come that need no repeat.
+// fillRepeatBudget counts requests to the services, each of which adds to the repeat budget.
 func (g *Gateway) fillRepeatBudget(services ...string) {
 	for _, service := range services {
 		for range 100 {
@@ -59,7 +59,7 @@
 	}
 }
 
-// addTarget adds a target that answers with play.
+// addTarget adds a target that runs handler.
 func (b *testbed) addTarget(id, service string, handler http.HandlerFunc) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b.requests.Add(1)
@@ -72,7 +72,7 @@
 	b.state.setTargets(uint64(len(b.targets)), b.targets...)
 }
 
-// send sends a request through the front.
+// send sends a request to the gateway over HTTP.
 func (b *testbed) send(host string, header http.Header, body string) *http.Response {
 	b.t.Helper()
 	front := httptest.NewServer(b.Gateway)
@@ -97,7 +97,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// resetConnection ends the connection without an answer.
+// resetConnection closes the connection without a response.
 func resetConnection(w http.ResponseWriter, _ *http.Request) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// firstThen plays first for one request and then for all others.
+// firstThen returns a handler that runs first for the first request and then for all others.
 func firstThen(first, then http.HandlerFunc) http.HandlerFunc {
 	var served atomic.Bool
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -136,7 +136,7 @@
 	require.EqualValues(t, 15, resp.ContentLength)
 }
 
-// Guards against a booking that is made twice, or that is reported as not made though it may be.
+// Guards against a booking that is made twice, or reported as not made although it may have been.
 func TestNonIdempotentRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", resetConnection)
@@ -146,7 +146,8 @@
 	require.EqualValues(t, 1, b.requests.Load())
 }
 
-// A target refuses a booking without running it. Another one may run it.
+// Guards against a refusal of a booking that one target has not run and that another one could
+// run.
 func TestRequestRefusedAsNotRunIsSentToAnotherTarget(t *testing.T) {
 	b := newTestbed(t)
 	handler := firstThen(refuseAsNotRun, succeed)
@@ -157,7 +158,8 @@
 	require.EqualValues(t, 2, b.requests.Load())
 }
 
-// Guards against callers that wait, or are refused without a time to retry, while all targets are full.
+// Guards against callers that have to wait, or that get no Retry-After, while all targets are
+// full.
 func TestRequestIsRefusedIfAllTargetsAreFull(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", refuseAsNotRun)
@@ -168,7 +170,7 @@
 	require.Empty(t, resp.Header.Get("Not-Run"), "what a target said of itself is not ours to say")
 }
 
-// Guards against "not run" for a request whose first target may have run it.
+// Guards against a refusal as "not run" although the first target may have run the request.
 func TestRequestWithLostAnswerIsNotReportedAsNotRun(t *testing.T) {
 	b := newTestbed(t)
 	handler := firstThen(resetConnection, refuseAsNotRun)
@@ -178,7 +180,7 @@
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
-// Guards against a 503 of a target that has run the request.
+// Guards against a 503 of a target that has run the request: callers would take it for "not run".
 func TestStatusThatImpliesNotRunIsNotForwarded(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
@@ -186,7 +188,8 @@
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode)
 }
 
-// Guards against callers, and work at targets, beyond the timeout of a route.
+// Guards against a request that occupies its caller and its target for longer than the route's
+// timeout.
 func TestRouteTimeout(t *testing.T) {
 	b := newTestbed(t)
 	gone := make(chan struct{})
@@ -222,7 +225,7 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-// Guards against requests that wait for a key which nobody can serve in time.
+// Guards against requests that wait for a key that no target can serve in time.
 func TestRequestForKeyOfLostOwnerIsRefusedAtOnce(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("k", "keyed", succeed)
@@ -232,7 +235,7 @@
 	require.Zero(t, b.requests.Load())
 }
 
-// digestOf returns the hash under which a request is suspected.
+// digestOf returns the digest under which crashes of a request are recorded.
 func (b *testbed) digestOf(body string) uint64 {
 	c := b.newCall(httptest.NewRequest(http.MethodPost, "/x?y=1", nil), &route.Route{Timeout: time.Second}, "pool")
 	req := httptest.NewRequest(http.MethodPost, "/x?y=1", strings.NewReader(body))
@@ -241,7 +244,7 @@
 	return c.digest
 }
 
-// A request ended three targets, seen by two VMs. It must reach no fourth one.
+// Guards against a fourth crashed target: two VMs have seen three targets crash under the request.
 func TestRequestThatCrashesTargetsIsRefused(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
@@ -255,7 +258,7 @@
 	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "good").StatusCode)
 }
 
-// Guards against one end of a target that counts once for each VM.
+// Guards against a crash of one target that counts once per VM that saw it.
 func TestCrashedTargetCountsOnceAcrossVMs(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
@@ -270,7 +273,7 @@
 	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "popular").StatusCode)
 }
 
-// Guards against an innocent request that is refused for good.
+// Guards against a harmless request that is refused indefinitely.
 func TestCrashRecordsExpire(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	s := newTestState(clock)
@@ -285,7 +288,7 @@
 	require.Empty(t, s.recentCrashes())
 }
 
-// Guards against a refusal for a key whose owner has a free slot a moment later.
+// Guards against a refusal although the owner of the key has a free slot a moment later.
 func TestRequestIsRepeatedAtOwnerWithFreeSlots(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("k", "keyed", firstThen(refuseAsNotRun, succeed))
@@ -295,7 +298,7 @@
 	require.EqualValues(t, 2, b.requests.Load())
 }
 
-// Guards against a Retry-After that outlasts the objective though the owner has free slots.
+// Guards against a Retry-After beyond the route's objective although the owner has free slots.
 func TestRetryAfterIsShortIfTargetHasFreeSlots(t *testing.T) {
 	b := newTestbed(t)
 	b.state.setRepeatLimit((&Settings{Repeats: Repeats{Window: defaultWindow}}).repeatLimit())
@@ -311,7 +314,7 @@
 	require.LessOrEqual(t, after, 0.02)
 }
 
-// Guards against an owner that counts as lost after one lost answer.
+// Guards against an owner that counts as lost after a single lost response.
 func TestIdempotentRequestIsRepeatedAtOwnerAfterLostAnswer(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("k", "keyed", firstThen(resetConnection, succeed))
@@ -321,13 +324,13 @@
 	require.EqualValues(t, 2, b.requests.Load())
 }
 
-// misdirect answers that the target does not hold the key.
+// misdirect responds that the target does not hold the key.
 func misdirect(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusMisdirectedRequest)
 }
 
-// Guards against an owner that is asked again and again for a key that it does not hold.
+// Guards against repeated requests to an owner for a key that it does not hold.
 func TestMisdirectedRequestIsNotRepeatedUnderTheSameLeases(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("k", "keyed", misdirect)
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -6,8 +6,8 @@
 	"hemlockquay/internal/hopbyhop"
 )
 
-// forwardedHeaders returns the caller's headers as they go to a target. What the
-// gateway sets itself is left out, so that a caller cannot choose its target.
+// forwardedHeaders returns the caller's headers for the request to a target. Headers that the
+// gateway sets itself are left out, so that a caller cannot choose its target.
 func forwardedHeaders(in http.Header, names Headers) http.Header {
 	out := in.Clone()
 	hopbyhop.Drop(out)
@@ -17,7 +17,7 @@
 	return out
 }
 
-// copyResponseHeaders copies the headers of a target's answer for the caller.
+// copyResponseHeaders copies the headers of a target's response to the response for the caller.
 func copyResponseHeaders(out, in http.Header) {
 	hopbyhop.Drop(in)
 	closing := out.Get("Connection")
--- a/internal/gateway/hotkey_test.go
+++ b/internal/gateway/hotkey_test.go
@@ -12,7 +12,7 @@
 	"hemlockquay/internal/route"
 )
 
-// Guards against VMs that together send the owner of a hot key far more than it can do.
+// Guards against VMs that together send the owner of a hot key far more requests than it can run.
 func TestHotKeyLimitIsAppliedPerKey(t *testing.T) {
 	g := newTestGateway(newManualClock(time.Hour))
 	defer g.mesh.Close()
--- a/internal/gateway/leaseexpiry.go
+++ b/internal/gateway/leaseexpiry.go
@@ -7,19 +7,21 @@
 	"hemlockquay/internal/lease"
 )
 
-// misdirectedRetention is for how long a target's refusal counts as a sign that the leases of its
-// service have expired. One request is sent after it: a VM that is cut off from the grantor
-// alone sees none of its renewals.
+// misdirectedRetention is how long a misdirected request counts as evidence that the leases of its
+// service have expired. After that one request is sent as a probe, because a VM that is cut off
+// only from the grantor does not see that the leases are renewed.
 const misdirectedRetention = 300 * time.Millisecond
 
-// recordMisdirected notes that a target of a service does not hold a key that the leases say it has.
+// recordMisdirected records that a target of the service does not hold a key that it owns
+// according to the leases.
 func (s *routingState) recordMisdirected(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.misdirectedAt[service] = s.clock.Now()
 }
 
-// recentlyMisdirected reports whether a target of a service has lately refused a key.
+// recentlyMisdirected reports whether a target of the service refused a key within
+// misdirectedRetention.
 func (s *routingState) recentlyMisdirected(service string, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,8 +29,9 @@
 	return ok && now-at < misdirectedRetention
 }
 
-// leasesExpired describes why the leases of a service have expired; empty while they have not: the
-// grantor has been gone for longer than a grant lasts, and targets refuse their keys.
+// leasesExpired describes why the leases of a service count as expired: the grantor has been
+// unreachable for longer than the hold time, and targets refuse their keys. It returns "" if they
+// have not expired.
 func (g *Gateway) leasesExpired(service string, now time.Duration) string {
 	if !g.state.recentlyMisdirected(service, now) {
 		return ""
--- a/internal/gateway/leaseexpiry_test.go
+++ b/internal/gateway/leaseexpiry_test.go
@@ -12,7 +12,7 @@
 	"hemlockquay/internal/mesh"
 )
 
-// Guards against requests that are sent to owners, or wait, while no lease can be alive.
+// Guards against requests that wait or are sent to owners although all leases must have expired.
 func TestKeyedRequestsAreRefusedAtOnceIfLeasesHaveExpired(t *testing.T) {
 	b := newTestbed(t)
 	clock := b.clock.(*manualClock)
@@ -35,7 +35,8 @@
 	require.EqualValues(t, 2, b.requests.Load(), "one request finds out whether they are served again")
 }
 
-// Guards against a VM that rejects what the owners serve: it alone does not reach the grantor.
+// Guards against a VM that refuses requests which the owners would serve, because only this VM
+// does not reach the grantor.
 func TestLeasesDoNotExpireWhileGrantorLivesOrOwnersServe(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	g := newTestGateway(clock)
--- a/internal/gateway/leasingadapter.go
+++ b/internal/gateway/leasingadapter.go
@@ -18,7 +18,8 @@
 	})
 }
 
-// leasingAdapter shows the grantor its part of the gateway.
+// leasingAdapter implements the interfaces through which package leasing reads the gateway's
+// state.
 type leasingAdapter struct{ gateway *Gateway }
 
 // StoreUp implements leasing.LocalState.
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -8,14 +8,14 @@
 	"hemlockquay/internal/pause"
 )
 
-// refreshLoads refreshes what the other VMs have at the targets.
+// refreshLoads periodically applies the numbers of requests that other VMs have at the targets.
 func (g *Gateway) refreshLoads(ctx context.Context) {
 	for pause.For(ctx, pick.LoadsInterval) {
 		g.state.setOtherLoads(g.mesh.ChangedLoads())
 	}
 }
 
-// ownLoads returns how many requests of this VM are at the targets.
+// ownLoads returns the number of this VM's requests at each target that has any.
 func (s *routingState) ownLoads() []mesh.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -28,7 +28,7 @@
 	return out
 }
 
-// setOtherLoads applies what the other VMs have at the targets for which that has changed.
+// setOtherLoads sets the number of other VMs' requests at those targets where it has changed.
 func (s *routingState) setOtherLoads(changed map[uint32]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -15,7 +15,7 @@
 	"hemlockquay/internal/platform"
 )
 
-// kindMembers is the kind of the VMs' own entries.
+// kindMembers is the kind of the objects that describe VMs.
 const kindMembers model.Kind = "hq-members"
 
 var _ mesh.Local = (*Gateway)(nil)
@@ -31,7 +31,7 @@
 	}
 }
 
-// OnHeartbeat implements mesh.Local: it fetches what the other VM knows better.
+// OnHeartbeat implements mesh.Local. It fetches what the other VM has in a newer version.
 func (g *Gateway) OnHeartbeat(b mesh.Heartbeat) {
 	v := g.state.view.Load()
 	if !b.StoreLost && b.TargetsRevision == v.Targets.Revision {
@@ -40,8 +40,7 @@
 	if b.ConfigVersion > v.ConfigVersion() {
 		g.fetch(b.From.VM, "config", g.fetchConfig)
 	}
-	// Targets whose entries stayed away after an outage are dropped without a
-	// new revision.
+	// Targets that are still missing some time after an outage are dropped without a new revision.
 	entriesDropped := b.TargetsRevision == v.Targets.Revision && int(b.Targets) < len(v.Targets.List)
 	if b.TargetsRevision > v.Targets.Revision || entriesDropped {
 		g.fetch(b.From.VM, "targets", func(ctx context.Context, from *fetchSources) error {
@@ -57,11 +56,12 @@
 	}
 }
 
-// staleFetchDelay is for how long leases are behind before they are fetched: the
-// grantor's own update is faster, and a heartbeat may overtake it.
+// staleFetchDelay is how long leases must be stale before they are fetched. The grantor's own
+// update is faster, but a heartbeat may overtake it.
 const staleFetchDelay = 100 * time.Millisecond
 
-// isStale reports whether leases known here have been behind for a while.
+// isStale reports whether the leases known here are older than mark and must be fetched. Within an
+// epoch they must have been older for staleFetchDelay.
 func (g *Gateway) isStale(mark mesh.LeaseMark) bool {
 	r := g.state.leases.Of(mark.Service)
 	if r == nil || mark.Epoch > r.Epoch {
@@ -73,12 +73,12 @@
 	return g.state.leases.StaleFor(r) >= staleFetchDelay
 }
 
-// View answers what this VM believes. It is registered for the other VMs.
+// View is the RPC service through which other VMs read this VM's state and grantors push leases.
 type View struct{ gateway *Gateway }
 
 var errUnknown = errors.New("not known here")
 
-// ConfigVersion returns the configuration in force.
+// ConfigVersion returns the configuration that is in force.
 func (v View) ConfigVersion(in *FetchArgs, out *FetchReply) error {
 	t := v.gateway.state.view.Load().Routes
 	if t == nil || t.Config().Version <= in.HaveVersion {
@@ -89,8 +89,8 @@
 	return err
 }
 
-// TargetsSince returns what changed in the list of targets since a revision, or the whole
-// list if that is not known.
+// TargetsSince returns the changes to the list of targets since a revision, or the whole list if
+// the changes are not known.
 func (v View) TargetsSince(in *FetchArgs, out *FetchReply) error {
 	if changes, known := v.gateway.state.targetsSince(in.HaveVersion); known {
 		out.Changes = &changes
@@ -115,20 +115,21 @@
 	return nil
 }
 
-// Push applies changed leases from their grantor. The answer is false if the update
-// builds on a version that is not the one known here.
+// Push applies changed leases from their grantor. The reply is false if the update is based on a
+// version other than the one known here.
 func (v View) Push(in *lease.Update, used *bool) error {
 	*used = v.gateway.state.leases.Update(in)
 	return nil
 }
 
-// KeyLoad returns what this VM has seen, and starts anew.
+// KeyLoad returns the request counts of a service's keys and resets them.
 func (v View) KeyLoad(service *string, out *leasing.KeyLoad) error {
 	*out = v.gateway.state.takeKeyLoad(*service)
 	return nil
 }
 
-// takeKeyLoad returns the counts and starts anew.
+// takeKeyLoad returns the request counts of a service's keys, with the slowness of its targets,
+// and resets the counts.
 func (s *routingState) takeKeyLoad(service string) leasing.KeyLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,8 +147,8 @@
 	return out
 }
 
-// joinMesh makes this VM and the others known to each other: it writes its own entry
-// to the store, reads those of the others and calls them.
+// joinMesh makes this VM and the others known to each other. It writes this VM's own object to the
+// store, reads those of the other VMs and contacts them.
 func (g *Gateway) joinMesh(ctx context.Context) {
 	go g.joinThroughSeeds(ctx)
 	for backoff := minStoreBackoff; ; backoff = min(2*backoff, maxStoreBackoff) {
@@ -155,7 +156,7 @@
 		if err == nil {
 			return
 		}
-		g.log.Warn().Str("step", "join").Err(err).Msg("not joined through the store yet")
+		g.log.Warn().Str("step", "join").Err(err).Msg("could not join through the store, retrying")
 		if !pause.For(ctx, backoff) {
 			return
 		}
@@ -169,7 +170,7 @@
 		}
 		members, err := mesh.Join(ctx, addr, g.self)
 		if err != nil {
-			g.log.Info().Str("step", "join").Str("seed", addr).Err(err).Msg("seed not reached")
+			g.log.Info().Str("step", "join").Str("seed", addr).Err(err).Msg("seed unreachable")
 			continue
 		}
 		for _, m := range members {
@@ -192,7 +193,7 @@
 	for _, o := range l.Objects {
 		var m mesh.Member
 		if err := json.Unmarshal(o.Spec, &m); err != nil {
-			g.log.Warn().Str("step", "join").Str("vm", o.Name).Err(err).Msg("entry of a VM ignored")
+			g.log.Warn().Str("step", "join").Str("vm", o.Name).Err(err).Msg("ignored VM object that could not be decoded")
 			continue
 		}
 		g.mesh.Meet(m)
@@ -204,7 +205,7 @@
 func (g *Gateway) writeMember(ctx context.Context) error {
 	spec, err := json.Marshal(g.self)
 	if err != nil {
-		return fmt.Errorf("encode entry: %w", err)
+		return fmt.Errorf("encode VM object: %w", err)
 	}
 	o := platform.Object{Kind: kindMembers, Name: g.self.VM, Spec: spec, Writer: g.tag()}
 	_, err = g.store.Put(ctx, o)
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/mesh"
 )
 
-// testRouting returns a routing in which the first slices of a hundred have moved.
+// testRouting returns a routing of 100 slices, the first of which have moved to another owner.
 func testRouting(seq uint64, moved int) *lease.Routing {
 	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.EvenSlices(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
 	for i := range moved {
@@ -27,7 +27,7 @@
 	require.Nil(t, s.routingOf("s"))
 }
 
-// Guards against a whole routing that every VM fetches because a heartbeat overtook an update.
+// Guards against a heartbeat that overtakes an update, so that every VM fetches the whole routing.
 func TestStaleLeasesAreFetchedAfterDelay(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := newTestGateway(clock)
--- a/internal/gateway/reload.go
+++ b/internal/gateway/reload.go
@@ -13,21 +13,20 @@
 	"hemlockquay/internal/settings"
 )
 
-// settingsCheckInterval is how often the settings file is looked at: it may change without
-// a signal.
+// settingsCheckInterval is the interval at which the modification time of the settings file is
+// checked, because the file may change without a signal.
 const settingsCheckInterval = 2 * time.Second
 
-// repeatLimit returns the bound of repeats that the settings state.
+// repeatLimit returns the limit on repeats from the settings.
 func (s *Settings) repeatLimit() repeats.Limit {
 	return repeats.Limit{Ratio: s.Repeats.Ratio, Slack: s.Repeats.Slack, Window: s.Repeats.Window.D()}
 }
 
-// receiveSIGHUP has SIGHUP reload the settings. It stays so to the end of the process: a
-// SIGHUP that nothing receives ends a process, also one that still starts or already stops.
+// receiveSIGHUP makes SIGHUP reload the settings. It stays in effect until the process exits,
+// because an unhandled SIGHUP would end the process, also while it starts or shuts down.
 func (g *Gateway) receiveSIGHUP() { signal.Notify(g.sighups, syscall.SIGHUP) }
 
-// watchSettings puts changed settings in force, after SIGHUP or when the file is
-// another one.
+// watchSettings applies changed settings after SIGHUP or when the file was modified.
 func (g *Gateway) watchSettings(ctx context.Context) {
 	tick := time.NewTicker(settingsCheckInterval)
 	defer tick.Stop()
@@ -57,11 +56,11 @@
 	return info.ModTime()
 }
 
-// reloadSettings reads the file again. What cannot be read changes nothing.
+// reloadSettings reads the settings file again. If it is invalid, nothing changes.
 func (g *Gateway) reloadSettings(cause string) {
 	next := new(Settings)
 	if err := settings.Load(g.settings.source, next); err != nil {
-		g.log.Error().Str("step", "reload").Str("cause", cause).Err(err).Msg("settings refused, the old ones stay in force")
+		g.log.Error().Str("step", "reload").Str("cause", cause).Err(err).Msg("settings rejected, the current ones stay in force")
 		return
 	}
 	g.state.setRepeatLimit(next.repeatLimit())
@@ -70,5 +69,5 @@
 		g.grace.Store(int64(next.Grace))
 	}
 	g.log.Info().Str("step", "reload").Str("cause", cause).Float64("ratio", next.Repeats.Ratio).Float64("slack", next.Repeats.Slack).
-		Dur("grace", time.Duration(g.grace.Load())).Msg("settings in force; addresses need a restart")
+		Dur("grace", time.Duration(g.grace.Load())).Msg("settings in force; changed addresses need a restart")
 }
--- a/internal/gateway/reload_test.go
+++ b/internal/gateway/reload_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a SIGHUP that ends the process before its settings are watched, or after.
+// Guards against a SIGHUP that ends the process before or after the time in which the settings are
+// watched.
 func TestSIGHUPDuringStartOrStopDoesNotEndTheProcess(t *testing.T) {
 	g := newTestGateway(newManualClock(time.Hour))
 	t.Cleanup(g.mesh.Close)
@@ -23,7 +24,8 @@
 	require.Equal(t, syscall.SIGHUP, <-g.sighups)
 }
 
-// Guards against a stop that takes requests by another grace than the one it ends by.
+// Guards against a reload that changes the grace during a shutdown: requests would be accepted by
+// another grace than the one by which the process ends.
 func TestReloadDoesNotChangeGraceDuringShutdown(t *testing.T) {
 	g := newTestGateway(newManualClock(time.Hour))
 	t.Cleanup(g.mesh.Close)
--- a/internal/gateway/repeats.go
+++ b/internal/gateway/repeats.go
@@ -10,10 +10,10 @@
 	"hemlockquay/internal/pause"
 )
 
-// reasonNoRepeats is the reason of a refusal for want of repeats.
+// reasonNoRepeats is the reason of a refusal because the repeat budget is used up.
 const reasonNoRepeats = "no repeats left"
 
-// repeatCause is how the arrival failed after which a request is sent again.
+// repeatCause says how an attempt failed that is followed by a repeat.
 type repeatCause string
 
 // The causes of repeats.
@@ -22,17 +22,17 @@
 	causeMisdirected repeatCause = "misdirected"
 	// causeMoved: the target did not hold the key, and a later version of the leases is known.
 	causeMoved repeatCause = "moved"
-	// causeRefused: the target did not run it.
+	// causeRefused: the target did not run the request.
 	causeRefused repeatCause = "refused"
-	// causeLost: the answer was lost.
+	// causeLost: the response was lost.
 	causeLost repeatCause = "lost"
-	// causeFailed: the target answered without success.
+	// causeFailed: the target responded with a server error.
 	causeFailed repeatCause = "failed"
 )
 
 var repeatCauses = []repeatCause{causeMisdirected, causeMoved, causeRefused, causeLost, causeFailed}
 
-// takeRepeat takes a repeat of a request from the service's budget, and counts it by its cause.
+// takeRepeat takes one repeat from the service's budget and counts it by its cause.
 func (g *Gateway) takeRepeat(c *call) repeats.Decision {
 	now, vms := g.clock.Now(), g.fleetSize()
 	g.state.mu.Lock()
@@ -44,7 +44,7 @@
 	return d
 }
 
-// fleetSize returns how many VMs there are; 0 until the store or another VM has named them.
+// fleetSize returns the number of VMs, or 0 until the list of VMs was received.
 func (g *Gateway) fleetSize() int {
 	if !g.joined.Load() {
 		return 0
@@ -52,7 +52,7 @@
 	return g.mesh.Size()
 }
 
-// repeatCauseOf returns the cause of a repeat, as it is now.
+// repeatCauseOf returns the cause of the repeat that is about to be sent.
 func (g *Gateway) repeatCauseOf(c *call) repeatCause {
 	if c.lastFailure != causeMisdirected {
 		return c.lastFailure
@@ -67,7 +67,7 @@
 	return metrics.GetOrRegisterCounter("repeats."+service+"."+string(cause), g.registry)
 }
 
-// budgetLocked needs s.mu.
+// budgetLocked returns the repeat budget of a service. It needs s.mu.
 func (s *routingState) budgetLocked(service string) *repeats.Budget {
 	b := s.budgets[service]
 	if b == nil {
@@ -77,10 +77,11 @@
 	return b
 }
 
-// repeatsReportInterval is the time between two log lines on the repeats of a service.
+// repeatsReportInterval is the interval of the metrics and log lines on repeats.
 const repeatsReportInterval = time.Second
 
-// reportRepeats shows the budgets of repeats as metrics, and logs those that were used.
+// reportRepeats periodically updates the metrics of the repeat budgets and logs the services that
+// had repeats.
 func (g *Gateway) reportRepeats(ctx context.Context) {
 	logged := make(map[string]int64)
 	for pause.For(ctx, repeatsReportInterval) {
@@ -106,7 +107,7 @@
 	return out
 }
 
-// repeatCount returns how often this process has sent a request for a service again.
+// repeatCount returns the number of repeats that this process has sent to a service.
 func (g *Gateway) repeatCount(service string) (total int64) {
 	for _, cause := range repeatCauses {
 		total += g.repeatCounter(service, cause).Count()
@@ -114,7 +115,8 @@
 	return total
 }
 
-// logRepeats writes a service's repeats by cause since the process began, and its budget.
+// logRepeats logs the repeats of a service by cause since the start of the process, and its
+// budget.
 func (g *Gateway) logRepeats(service string, d repeats.Decision) {
 	e := g.log.Info().Str("step", "repeats").Str("service", service).Str("budget", d.String())
 	for _, cause := range repeatCauses {
--- a/internal/gateway/repeats_test.go
+++ b/internal/gateway/repeats_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/mesh"
 )
 
-// Guards against repeats of which nobody can say why they were sent.
+// Guards against repeats whose cause does not appear in the metrics.
 func TestRepeatsAreCountedByCause(t *testing.T) {
 	b := newTestbed(t)
 	count := func(service string, why repeatCause) int64 { return b.repeatCounter(service, why).Count() }
@@ -31,7 +31,8 @@
 	require.Equal(t, causeMoved, b.repeatCauseOf(c))
 }
 
-// Guards against a refusal for want of repeats whose log line does not show what was compared.
+// Guards against a log line about an empty budget that does not show the values that were
+// compared.
 func TestBudgetStateShowsItsInputs(t *testing.T) {
 	b := newTestbed(t)
 	require.NotContains(t, b.budgetStates(), "s")
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -11,7 +11,7 @@
 	"hemlockquay/internal/mesh"
 )
 
-// counters are the figures of the front.
+// counters holds the metrics of request handling.
 type counters struct {
 	registry    metrics.Registry
 	undelivered metrics.Counter
@@ -21,22 +21,22 @@
 	return &counters{registry: r, undelivered: metrics.GetOrRegisterCounter("answers.unread", r)}
 }
 
-// count counts an outcome by its reason and status.
+// count counts an outcome by its status and reason.
 func (c *counters) count(out outcome) {
 	metrics.GetOrRegisterCounter("outcome."+strconv.Itoa(out.status)+"."+out.reason, c.registry).Inc(1)
 }
 
-// requestLogLimiter bounds the log lines on requests.
-// In overload a line for each refusal costs more than the refusal. Requests without success have a bound
-// of their own, so that successes cannot crowd them out. Omitted lines are counted.
+// requestLogLimiter limits the rate of the log lines on requests. Under overload, logging a
+// refusal costs more than the refusal itself. Failures have a limit of their own, so that
+// successes cannot displace them. Omitted lines are counted.
 type requestLogLimiter struct {
 	successes, failures *rate.Limiter
 	omitted             metrics.Counter
 }
 
 const (
-	// maxSuccessLines and maxFailureLines are lines a second: at about 20 microseconds a
-	// line they take at most 0.5% of a core each.
+	// maxSuccessLines and maxFailureLines are in lines per second. At about 20 µs per line, each
+	// takes at most 0.5% of a core.
 	maxSuccessLines = 200
 	maxFailureLines = 200
 )
@@ -48,7 +48,7 @@
 	}
 }
 
-// allow reports whether a line may be written for an outcome.
+// allow reports whether an outcome may be logged.
 func (l *requestLogLimiter) allow(out outcome) bool {
 	limiter := l.failures
 	if out.response != nil {
@@ -61,8 +61,8 @@
 	return false
 }
 
-// logCall writes the line of a request: what it was, what decided it, what became
-// of it.
+// logCall logs a finished request: its outcome, its attempts and the inputs of the decisions on
+// it.
 func (g *Gateway) logCall(c *call, out outcome) {
 	took := time.Since(c.start)
 	metrics.GetOrRegisterTimer("route."+c.route.Name+".time", g.registry).Update(took)
@@ -91,7 +91,7 @@
 	e.Msg("request ended")
 }
 
-// viewDump is what the VM believes, for the dump.
+// viewDump is the gateway's section of the state dump.
 type viewDump struct {
 	ConfigVersion   uint64           `json:"configVersion"`
 	TargetsRevision uint64           `json:"targetsRevision"`
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -12,7 +12,8 @@
 	"hemlockquay/internal/upstream"
 )
 
-// attempt is one sending of a request to a target, from its choice to its end.
+// attempt is one try to send a request to a target, from the reservation of the target to its
+// release.
 type attempt struct {
 	target   *targetState
 	id       string
@@ -28,33 +29,34 @@
 	cold bool
 	// leases is the version of the leases that named the owner.
 	leases mesh.LeaseMark
-	// vmsUsing is how many VMs sent requests to the target then.
+	// vmsUsing is the number of VMs that sent requests to the target at the time of the
+	// reservation.
 	vmsUsing int
 }
 
-// refusal is why no target was chosen.
+// refusal is the reason why no target was reserved.
 type refusal string
 
-// describeLoad describes what a refusal was decided on, for the log.
+// describeLoad returns the load of the target for the log line of a refusal.
 func (t *targetState) describeLoad() string {
 	return fmt.Sprintf("%s own %d others %d likely %.1f slots %d slowness %.2f",
 		t.ID, t.pick.Own, t.pick.Others, t.pick.Unreported, t.pick.Slots, t.pick.Slowness())
 }
 
-// The refusals of a choice.
+// The reasons for a refusal.
 const (
 	notRefused      refusal = ""
 	refusedNoTarget refusal = "no target"
 	refusedFull     refusal = "all full"
 	refusedMoving   refusal = "key on the move"
 	refusedLost     refusal = "owner of the key is lost"
-	// refusedExpired: nobody renews the leases of the service.
+	// refusedExpired: the leases of the service have not been renewed.
 	refusedExpired refusal = "leases have expired"
 	refusedLate    refusal = "cannot be done in time"
 	refusedCold    refusal = "owner is full and the key cold"
-	// refusedHot: the owner can do only a part of what comes for the key.
+	// refusedHot: the owner can run only a fraction of the requests for the key.
 	refusedHot refusal = "key is hotter than its owner"
-	// refusedLeaving: this VM was asked to stop, another one serves the request.
+	// refusedLeaving: this VM is shutting down. Another one can serve the request.
 	refusedLeaving refusal = "may outlast this VM"
 )
 
@@ -77,8 +79,9 @@
 	return nil, refusedFull
 }
 
-// reserveOwner reserves the target that owns the key, by leases after the version by which
-// the request was misdirected. Where it refuses, it describes what it decided on.
+// reserveOwner reserves the target that owns the key. The leases must be later than misdirected,
+// the version by which the request was misdirected before. On a refusal, it also returns the
+// inputs of the decision.
 func (s *routingState) reserveOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseMark, timeLeft time.Duration) (*attempt, refusal, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +120,8 @@
 	return e, reason, ""
 }
 
-// vmsUsingLocked returns how many VMs send requests to a target of a pool. It needs s.mu.
+// vmsUsingLocked returns the number of VMs that send requests to a target of a pool. It needs
+// s.mu.
 func (s *routingState) vmsUsingLocked(t *targetState) int {
 	if t.vmsUsing == 0 {
 		return s.fleet.all.VMs
@@ -125,14 +129,14 @@
 	return t.vmsUsing
 }
 
-// reserveLocked reserves a target to which so many VMs send requests. It needs s.mu.
+// reserveLocked reserves a target that is used by vmsUsing VMs. It needs s.mu.
 func (s *routingState) reserveLocked(t *targetState, vmsUsing int, service, route string, timeLeft time.Duration) (*attempt, refusal) {
 	usual := s.usualDurationLocked(service, route)
 	e := &attempt{
 		target: t, id: t.ID, pool: t.pool, service: service, route: route, sent: time.Now(),
 		usual: usual, rounds: t.pick.Rounds(), expected: t.pick.Expected(usual), load: t.pick.Load(), vmsUsing: vmsUsing,
 	}
-	// Half of the expected time is about the fastest that it turns out to be.
+	// The actual time is rarely less than half of the expected time.
 	if usual > 0 && t.pick.Load() > t.pick.Slots && e.expected/2 > timeLeft {
 		return nil, refusedLate
 	}
@@ -141,24 +145,25 @@
 	return e, notRefused
 }
 
-// attemptResult is how a sending ended.
+// attemptResult says how an attempt ended.
 type attemptResult int
 
-// The ends.
+// The results of an attempt.
 const (
-	// resultSucceeded: a whole answer of the target's work.
+	// resultSucceeded: the target responded without a server error.
 	resultSucceeded attemptResult = iota
-	// resultFailed: the target answered, without success or without running it.
+	// resultFailed: the target responded with a server error, or without running the request.
 	resultFailed
-	// resultNotSent: no connection.
+	// resultNotSent: no connection could be opened.
 	resultNotSent
-	// resultResponseLost: no answer on a connection.
+	// resultResponseLost: the connection failed before the response was complete.
 	resultResponseLost
-	// resultAbandoned: the caller left or the time was over.
+	// resultAbandoned: the attempt was not sent, or ended without information about the target,
+	// for example because the caller disconnected or the deadline passed.
 	resultAbandoned
 )
 
-// finish gives a target back.
+// finish releases the target of an attempt and updates its statistics.
 func (s *routingState) finish(e *attempt, result attemptResult) {
 	took := time.Since(e.sent)
 	s.mu.Lock()
@@ -180,16 +185,17 @@
 	case resultResponseLost:
 		t.AnswerLost(s.clock.Now())
 	case resultAbandoned:
-		// An answer that did not come in time is a sign, too.
+		// An attempt that took much longer than expected shows that the target is slow, even
+		// without a response.
 		if !e.cold && took > 2*e.expected && e.usual > 0 {
 			t.Answered(took, e.usual, e.rounds)
 		}
 	}
 }
 
-// markDisplaced notes that another target answers at the address of this one.
-// Otherwise each request for its keys would be refused there, and count as a repeat at a service that it
-// was never meant for.
+// markDisplaced records that another target responds at the address of this one. Otherwise every
+// request for its keys would be sent there and refused, and would count as a repeat at a service
+// that it was never meant for.
 func (s *routingState) markDisplaced(e *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/servicestats.go
+++ b/internal/gateway/servicestats.go
@@ -7,7 +7,7 @@
 	"hemlockquay/internal/decide/urgency"
 )
 
-// recordRequest counts a request for a service, of a priority.
+// recordRequest counts a request to a service by its priority.
 func (s *routingState) recordRequest(service string, priority int, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,13 +20,15 @@
 	m.Note(priority, now)
 }
 
-// mayUseReserveLocked reports whether requests of a priority may have the last places.
+// mayUseReserveLocked reports whether requests of this priority may use the reserve, the longer
+// queue for the most urgent requests. It needs s.mu.
 func (s *routingState) mayUseReserveLocked(service string, priority int) bool {
 	m := s.urgency[service]
 	return m != nil && m.First(priority)
 }
 
-// usualDurationLocked returns the usual service time of a route; 0 while it is not known.
+// usualDurationLocked returns the usual service time of a route, or 0 if it is not known. It needs
+// s.mu.
 func (s *routingState) usualDurationLocked(service, routeName string) time.Duration {
 	t := s.durations[service]
 	if t == nil || !t.Known() {
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -1,11 +1,11 @@
-// Package gateway is the daemon that runs on every entry VM: it takes callers'
-// requests, sends them to the targets of their route, and keeps the leases of
-// keyed services with the other VMs.
+// Package gateway is the daemon that runs on every entry VM. It receives callers' requests, sends
+// them to the targets of their routes, and maintains the leases of keyed services together with
+// the other VMs.
 //
-// It starts goroutines, uses the network and reads the store, where it writes only the
-// VM's own entry. The work of granting keys, with the records of leases that it writes, is
-// package leasing below; the leases that the path of a request reads are package published,
-// which does none of this.
+// It starts goroutines, uses the network and reads the store. The only object that it writes
+// itself is the VM's own. Package leasing, below this one, grants the leases and writes their
+// records. Package published holds the leases that request handling reads; it has no goroutines
+// and uses neither network nor store.
 package gateway
 
 import (
@@ -20,30 +20,30 @@
 // Settings are the settings of hq-gateway.
 type Settings struct {
 	daemon.Base
-	// Front is the IP:PORT for callers.
+	// Front is the IP:PORT that callers connect to.
 	Front string `json:"front"`
-	// Ready is the IP:PORT that answers whether the VM takes new connections.
+	// Ready is the IP:PORT of the readiness check for the load balancer.
 	Ready string `json:"ready"`
-	// Peers is the IP:PORT for the other VMs.
+	// Peers is the IP:PORT that other VMs connect to.
 	Peers string `json:"peers"`
-	// Seeds are addresses of other VMs, used until the store was read.
+	// Seeds are the addresses of other VMs to contact before the store has been read.
 	Seeds []string `json:"seeds,omitempty"`
 	// Store is the IP:PORT of the platform's object store.
 	Store string `json:"store"`
-	// Grace is how long after SIGTERM the process is killed. Default 6s.
+	// Grace is the time from SIGTERM until the process is killed. Default 6s.
 	Grace model.Duration `json:"grace,omitempty"`
-	// HoldMost bounds the hold of a lease, as targets take it. Default 10s.
+	// HoldMost is the longest hold time of a lease that targets accept. Default 10s.
 	HoldMost model.Duration `json:"holdMost,omitempty"`
-	// LinkMbps is the speed of the VM's link, Mbit/s. VMs with much faster links do
-	// the duties of the fleet. Default 0: not known.
+	// LinkMbps is the speed of the VM's network link in Mbit/s. VMs with much faster links are
+	// preferred for duties that serve all VMs. Default 0: not known.
 	LinkMbps float64 `json:"linkMbps,omitempty"`
-	// MemoryMB is the VM's memory, MB, of which a quarter may hold bodies. Default 256.
+	// MemoryMB is the VM's memory in MB, a quarter of which may hold request bodies. Default 256.
 	MemoryMB float64 `json:"memoryMB,omitempty"`
-	// GCPercent is by how much the heap may grow over what is in use before it is
-	// collected, percent. Default 30: a VM peaks at 18.5 MB instead of 24.8 at 100, for
-	// 0.7% of a core more.
+	// GCPercent is the growth of the heap, in percent of the memory in use, that starts a garbage
+	// collection. Default 30: compared with 100, a VM peaks at 18.5 MB instead of 24.8 MB and uses
+	// 0.7% more of a core.
 	GCPercent int `json:"gcPercent,omitempty"`
-	// Repeats bound what the service sees more than once.
+	// Repeats limits the requests that are sent to a service more than once.
 	Repeats Repeats `json:"repeats,omitzero"`
 
 	// source is the file that the settings were read from.
@@ -53,17 +53,17 @@
 // SetSource implements daemon.Reloadable.
 func (s *Settings) SetSource(file string) { s.source = file }
 
-// Repeats bound the requests that a service sees again, over all VMs.
+// Repeats limits the requests that all VMs together send to a service again.
 type Repeats struct {
-	// Ratio is the repeats allowed for each request. Default 0.1.
+	// Ratio is the number of repeats allowed per request. Default 0.1.
 	Ratio float64 `json:"ratio,omitempty"`
-	// Slack is how many are allowed on top. Default 10.
+	// Slack is the number of repeats allowed in addition. Default 10.
 	Slack float64 `json:"slack,omitempty"`
-	// Window is the span over which both are counted. Default 10s.
+	// Window is the time over which requests and repeats are counted. Default 10s.
 	Window model.Duration `json:"window,omitempty"`
 }
 
-// Defaults of the settings.
+// Defaults and lower bounds of the settings.
 const (
 	defaultGrace     = model.Duration(6 * time.Second)
 	defaultHoldMost  = model.Duration(10 * time.Second)
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -11,13 +11,13 @@
 	"hemlockquay/internal/pause"
 )
 
-// Times of the graceful shutdown, as parts of the grace.
+// Phases of the graceful shutdown, as fractions of the grace.
 const (
-	// listenerCloseShare is when the listener is closed: the balancer checks once a
-	// second and takes a VM out after two misses.
+	// listenerCloseShare is when the listener is closed. The load balancer checks once a second
+	// and removes a VM after two failed checks.
 	listenerCloseShare = 0.55
-	// lastResponseShare is when the last answers have been sent. Requests that still run are ended
-	// leaving.AnswerDelivery earlier, so that their callers get an answer.
+	// lastResponseShare is when the last response must have been sent. Requests that still run are
+	// canceled leaving.AnswerDelivery earlier, so that their callers get a response.
 	lastResponseShare = 0.92
 )
 
@@ -25,10 +25,10 @@
 	return time.Duration(float64(d) * share)
 }
 
-// stop shuts the daemon down: first the balancer and the other VMs learn of it, while requests
-// are served as before; then the listener is closed; the process ends when the last
-// answer has been sent.
-// Kept connections and the listener stay open at first: requests in flight would be lost.
+// stop shuts the daemon down gracefully. First it tells the load balancer and the other VMs, and
+// continues to serve requests; then it closes the listener, and waits for the last response to be
+// sent. If the listener and kept connections were closed at once, requests in flight would be
+// lost.
 func (g *Gateway) stop(ctx context.Context) error {
 	begin := time.Now()
 	grace := time.Duration(g.grace.Load())
@@ -48,48 +48,50 @@
 	return errors.Join(err, g.ready.Close())
 }
 
-// shutdownFront ends new connections, waits for the requests in flight, and ends with an answer
-// those that still run after a time.
+// shutdownFront closes the listener and waits for the requests in flight. Those that still run
+// after cancelAfter are canceled, and their callers get a response.
 func (g *Gateway) shutdownFront(ctx context.Context, cancelAfter time.Duration) error {
 	timer := time.AfterFunc(cancelAfter, func() { g.cancelRequests(errShuttingDown) })
 	defer timer.Stop()
 	return g.front.Shutdown(ctx)
 }
 
-// beginLeaving lets the balancer, the other VMs and callers learn that this VM leaves.
+// beginLeaving tells the load balancer, the other VMs and callers that this VM is shutting down.
 func (g *Gateway) beginLeaving() {
 	g.leavingSince.Store(int64(g.clock.Now()))
 	g.leaving.Store(true)
 }
 
-// shutdownElapsed returns for how long the graceful shutdown has run.
+// shutdownElapsed returns the time since the graceful shutdown began.
 func (g *Gateway) shutdownElapsed() time.Duration {
 	return g.clock.Now() - time.Duration(g.leavingSince.Load())
 }
 
-// shutdownTimeLeft returns when the graceful shutdown ends at the latest.
+// shutdownTimeLeft returns the time until the graceful shutdown must have ended.
 func (g *Gateway) shutdownTimeLeft() time.Duration {
 	return fractionOf(time.Duration(g.grace.Load()), lastResponseShare) - g.shutdownElapsed()
 }
 
-// errShuttingDown is the cause that ends requests in flight at the end of the graceful shutdown.
+// errShuttingDown is the cause with which requests in flight are canceled at the end of the
+// graceful shutdown.
 var errShuttingDown = errors.New("the process stops")
 
-// canceledByShutdown reports whether a request's context was ended by the graceful shutdown, not by its
+// canceledByShutdown reports whether a request was canceled by the graceful shutdown, not by its
 // caller.
 func canceledByShutdown(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errShuttingDown)
 }
 
-// closeConnectionIfLeaving has the caller send its next request on a connection to another VM.
+// closeConnectionIfLeaving makes the caller send its next request on a new connection, which the
+// load balancer opens to another VM, if this one is shutting down.
 func (g *Gateway) closeConnectionIfLeaving(h http.Header) {
 	if g.leaving.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
-// mayOutlastShutdown reports whether a request is not to be sent to a target since it may outlast this
-// VM, which was asked to stop.
+// mayOutlastShutdown reports whether this VM is shutting down and the request might not end in
+// time. Such a request is not sent to the target.
 func (g *Gateway) mayOutlastShutdown(c *call, e *attempt, left time.Duration) bool {
 	if !g.leaving.Load() {
 		return false
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newLeavingTestbed is a gateway that was asked to stop so long ago, with six seconds of grace, and one
-// target that answers at once.
+// newLeavingTestbed returns a testbed with six seconds of grace that began to shut down the given
+// time ago, and with one target that responds at once.
 func newLeavingTestbed(t *testing.T, since time.Duration) *testbed {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
@@ -24,8 +24,8 @@
 	return b
 }
 
-// beginShutdownThen plays a target during whose work the VM is found to have been asked to stop so
-// long ago.
+// beginShutdownThen returns a handler that lets the VM be one that began to shut down the given
+// time ago, and then runs handler.
 func (b *testbed) beginShutdownThen(since time.Duration, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		b.leavingSince.Store(int64(b.clock.Now() - since))
@@ -34,7 +34,8 @@
 	}
 }
 
-// Guards against a request without an answer: it outlasts the VM that was asked to stop.
+// Guards against a request that gets no response because it runs longer than the VM that is
+// shutting down.
 func TestLeavingVMRefusesRequestThatMayOutlastIt(t *testing.T) {
 	b := newLeavingTestbed(t, 3200*time.Millisecond)
 	resp := b.send("patient.example", nil, "")
@@ -46,7 +47,7 @@
 	require.Zero(t, b.requests.Load(), "refused as not run")
 }
 
-// Guards against refusals of what surely ends before the VM does.
+// Guards against the refusal of requests that certainly end before the VM does.
 func TestLeavingVMServesRequestThatEndsInTime(t *testing.T) {
 	b := newLeavingTestbed(t, 3200*time.Millisecond)
 	for _, c := range []struct {
@@ -62,13 +63,13 @@
 	}
 }
 
-// Guards against refusals by a VM that does not know yet how long requests take.
+// Guards against refusals by a VM that has no measurements of request durations yet.
 func TestLeavingVMAcceptsRequestOfUnknownDuration(t *testing.T) {
 	b := newLeavingTestbed(t, 2*time.Second)
 	require.Equal(t, http.StatusOK, b.send("patient.example", nil, "").StatusCode)
 }
 
-// Guards against requests that usually take longer than the VM has left.
+// Guards against accepting requests that usually take longer than the VM has left.
 func TestLeavingVMRefusesRequestThatUsuallyTakesLonger(t *testing.T) {
 	b := newLeavingTestbed(t, 2*time.Second)
 	for range 10 {
@@ -79,7 +80,7 @@
 	require.Equal(t, http.StatusOK, b.send("patient.example", http.Header{"Deadline": {"3000"}}, "").StatusCode)
 }
 
-// Guards against a second sending of a booking that may outlast the VM.
+// Guards against sending a refused booking again if the second attempt may outlast the VM.
 func TestLeavingVMDoesNotRepeatRefusedRequestThatMayOutlastIt(t *testing.T) {
 	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
@@ -91,7 +92,8 @@
 	require.EqualValues(t, 1, b.requests.Load())
 }
 
-// Guards against a lost answer that another target could still replace.
+// Guards against reporting a lost response although another target could still run the request in
+// time.
 func TestLeavingVMRepeatsRequestThatMayHaveRun(t *testing.T) {
 	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
@@ -102,7 +104,7 @@
 	require.EqualValues(t, 2, b.requests.Load())
 }
 
-// Guards against a repeat so shortly before the VM ends that its caller gets no answer.
+// Guards against a repeat so shortly before the VM ends that the caller gets no response at all.
 func TestLeavingVMDoesNotRepeatRequestShortlyBeforeItsEnd(t *testing.T) {
 	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
@@ -120,7 +122,7 @@
 	require.EqualValues(t, 1, b.requests.Load())
 }
 
-// dialFront serves the gateway's own front and opens a connection of a caller to it.
+// dialFront serves the gateway's HTTP server for callers and opens a connection to it.
 func (b *testbed) dialFront() (net.Conn, *bufio.Reader) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b.t, err)
@@ -139,7 +141,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// Guards against a request that is cut off without an answer when the VM ends.
+// Guards against a request whose connection is closed without a response when the VM ends.
 func TestRequestInFlightAtShutdownIsAnswered(t *testing.T) {
 	b := newTestbed(t)
 	reached, left := make(chan struct{}), make(chan struct{})
@@ -162,7 +164,7 @@
 	<-left
 }
 
-// Guards against a caller that is cut off in the middle of its body when the VM ends.
+// Guards against a connection that is closed in the middle of the request body when the VM ends.
 func TestRequestWithPartialBodyAtShutdownIsRefused(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
--- a/internal/gateway/slope_test.go
+++ b/internal/gateway/slope_test.go
@@ -8,7 +8,7 @@
 	"hemlockquay/internal/route"
 )
 
-// BenchmarkSlopePackedConfig is packing a configuration and reading it at another VM, by
+// BenchmarkSlopePackedConfig measures packing and unpacking a configuration, by the number of
 // routes.
 func BenchmarkSlopePackedConfig(b *testing.B) {
 	for _, n := range []int{100, 400, 1600} {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -20,7 +20,8 @@
 	"hemlockquay/internal/upstream"
 )
 
-// routingState is what the VM believes and has running. It is safe for concurrent use.
+// routingState is the routing information that the VM has, and the load and statistics of its
+// targets. It is safe for concurrent use.
 type routingState struct {
 	clock       boottime.Clock
 	log         *log.Logger
@@ -29,61 +30,65 @@
 	repeatLimit repeats.Limit
 
 	view atomic.Pointer[catalog.View]
-	// leases have a lock of their own, which is taken after mu where both are.
+	// leases has a lock of its own. If both locks are needed, mu is acquired first.
 	leases *published.Leases
 
 	mu sync.Mutex
-	// startIndex rises with each choice of a target.
+	// startIndex is the index at which the next search for a target starts. It increases with each
+	// search.
 	startIndex int
-	// membership decide which targets exist.
+	// membership tracks which targets exist.
 	membership *catalog.Members
 	// configChangedAt is when the configuration last changed.
 	configChangedAt time.Duration
-	// changed is closed and replaced when routing or view change.
+	// changed is closed and replaced when the leases or view change.
 	changed chan struct{}
-	// announce is called when the VM believes something new that others may not know.
+	// announce is called after this VM read something from the store that other VMs may not know
+	// yet.
 	announce func()
 	targets  map[string]*targetState
-	// byHash finds targets by their key in the loads of other VMs.
+	// byHash holds the targets by the hash that other VMs use in their reported loads.
 	byHash map[uint32]*targetState
-	// pools holds the targets of each service that take requests.
+	// pools holds the targets that accept requests, by service.
 	pools map[string]*servicePool
-	// fleet is this VM's place among the others.
+	// fleet is this VM's place among the VMs.
 	fleet fleetPlace
-	// inUse holds the targets that have requests of this VM, or had some lately.
+	// inUse holds the targets at which this VM has requests, or had some recently.
 	inUse     map[*targetState]struct{}
 	budgets   map[string]*repeats.Budget
 	durations map[string]*duration.Table
-	// urgency counts the requests of each service by priority.
+	// urgency counts the requests by priority, by service.
 	urgency map[string]*urgency.Meter
-	// warmupCost is how many usual requests one for a cold key is worth, by service.
+	// warmupCost is the cost of a request for a cold key, in usual requests, by service.
 	warmupCost map[string]float64
-	// crashes dates the targets that ended under a request, by their hashes.
+	// crashes holds the times at which targets crashed, by the digest of the request that they ran
+	// and by the hash of the target's ID.
 	crashes map[uint64]map[uint32]time.Duration
-	// misdirectedAt is when a target of a service last said that it does not hold a key.
+	// misdirectedAt is when a target last said that it does not hold a key, by service.
 	misdirectedAt map[string]time.Duration
-	// keyLoad counts requests by service and key since the grantor last asked.
+	// keyLoad counts requests by service and key since the grantor last read the counts.
 	keyLoad map[string]map[uint16]uint16
 }
 
-// targetState is one life of a target with the connections to it.
+// targetState is one incarnation of a target, with the connections to it.
 type targetState struct {
 	catalog.Target
 	hash uint32
 	pool *upstream.Pool
-	// displaced reports whether another target answers at the address: this life is
-	// over, though its entry is still listed.
+	// displaced reports whether another target responds at the address. This incarnation has
+	// ended, although it is still listed.
 	displaced bool
-	// drainsUntil is until when a target that leaves may still get requests.
+	// drainsUntil is the time until which a draining target may get requests.
 	drainsUntil time.Duration
 	pick        pick.State
-	// vmsUsing is how many VMs have the target in their part of its pool; 0 while this VM has
-	// not.
+	// vmsUsing is the number of VMs that have the target in their subset of the pool, or 0 if this
+	// VM does not.
 	vmsUsing int
 }
 
-// maxKeysCounted bounds the keys that are counted for a service: as many as a VM
-// sees requests in some seconds. While no grantor asks, more are not counted.
+// maxKeysCounted bounds the number of keys that are counted per service. It is about the number of
+// requests that a VM gets in a few seconds. If no grantor reads the counts, further keys are not
+// counted.
 const maxKeysCounted = 4096
 
 func newRoutingState(clock boottime.Clock, logger *log.Logger, registry metrics.Registry, dataCentre string, repeatLimit repeats.Limit) *routingState {
@@ -101,21 +106,21 @@
 	return s
 }
 
-// notifyChanged wakes who waits for a change.
+// notifyChanged wakes the requests that wait for a change.
 func (s *routingState) notifyChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notifyChangedLocked()
 }
 
-// notifyChangedLocked needs s.mu.
+// notifyChangedLocked is notifyChanged for callers that hold s.mu.
 func (s *routingState) notifyChangedLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// setConfig puts a newer configuration in force. Older ones change nothing: a
-// version never goes back while the process lives.
+// setConfig applies a configuration if it is newer than the current one. The version never
+// decreases while the process runs.
 func (s *routingState) setConfig(c *route.Config, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,11 +139,11 @@
 	}
 }
 
-// maxUnreadLines bounds the log lines on one version's values that were not understood.
+// maxUnreadLines bounds the log lines on unreadable values of one version.
 const maxUnreadLines = 20
 
-// reportUnread logs what was not understood of a configuration. The metric counts
-// what is in force, not what was seen.
+// reportUnread logs the values of a configuration that could not be read. The metric shows their
+// number in the configuration that is in force, not a total.
 func (s *routingState) reportUnread(c *route.Config) {
 	metrics.GetOrRegisterGauge("config.unread", s.registry).Update(int64(len(c.Unread)))
 	for _, u := range c.Unread[:min(len(c.Unread), maxUnreadLines)] {
@@ -147,7 +152,7 @@
 	}
 }
 
-// updateTargets applies a change to the list of targets and puts it in force.
+// updateTargets changes the list of targets and publishes the new list.
 func (s *routingState) updateTargets(source string, change func(m *catalog.Members, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,15 +160,16 @@
 	s.publishLocked(source)
 }
 
-// targetsSince returns what changed in the list of targets since a revision; false if that
-// is not known.
+// targetsSince returns the changes to the list of targets since a revision. It returns false if
+// they are not known.
 func (s *routingState) targetsSince(revision uint64) (catalog.Changes, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.membership.ChangesSince(revision)
 }
 
-// publishLocked needs s.mu.
+// publishLocked updates the view and the state of the targets after a change of the membership. It
+// needs s.mu.
 func (s *routingState) publishLocked(source string) {
 	old := s.view.Load()
 	view := catalog.NewView(old.Routes, s.membership.Snapshot())
@@ -185,8 +191,8 @@
 	}
 }
 
-// trackLocked needs s.mu. A new life of a target starts with nothing known and
-// no connections: those of its last life lead nowhere.
+// trackLocked adds a target or updates it. A new incarnation starts without statistics, and
+// without the connections of the last one, which no longer lead to it. It needs s.mu.
 func (s *routingState) trackLocked(t catalog.Target, source string) {
 	old := s.targets[t.ID]
 	if old != nil && old.Born == t.Born && old.Addr == t.Addr {
@@ -219,7 +225,7 @@
 	s.byHash[mesh.LoadKey(state.hash)] = state
 }
 
-// untrackLocked needs s.mu.
+// untrackLocked removes a target. It needs s.mu.
 func (s *routingState) untrackLocked(t *targetState) {
 	delete(s.targets, t.ID)
 	delete(s.inUse, t)
@@ -228,12 +234,11 @@
 	}
 }
 
-// drainingOwnerGrace is how long an owner that leaves may still get requests for its
-// keys, until they have another owner. Targets must get none two seconds after
-// their leaving was accepted.
+// drainingOwnerGrace is how long a draining owner may still get requests for its keys if they have
+// no other owner. Targets must not get any two seconds after their draining was accepted.
 const drainingOwnerGrace = 1500 * time.Millisecond
 
-// setRepeatLimit changes the bound of repeats.
+// setRepeatLimit changes the limit on repeats.
 func (s *routingState) setRepeatLimit(l repeats.Limit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -19,7 +19,7 @@
 	"hemlockquay/internal/upstream"
 )
 
-// manualClock is moved by the test.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now atomic.Int64 }
 
 func newManualClock(now time.Duration) *manualClock {
@@ -52,7 +52,7 @@
 	s.leases.Set(lease.NewRouting(r, seq, func(int) lease.SliceState { return state }))
 }
 
-// Guards against requests to a target that left while nobody could move its keys.
+// Guards against requests to a target that left, while its keys could not be moved to another one.
 func TestDrainingOwnerGetsRequestsOnlyBriefly(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	s := newTestState(clock)
@@ -85,7 +85,8 @@
 	require.Equal(t, notRefused, why)
 }
 
-// Guards against connections and speeds of the last life of a target.
+// Guards against a restarted target that inherits the connections and statistics of its earlier
+// incarnation.
 func TestRestartedTargetStartsWithFreshState(t *testing.T) {
 	s := newTestState(newManualClock(0))
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
@@ -98,7 +99,8 @@
 	require.False(t, s.targets["t"].pick.BackingOff(time.Millisecond))
 }
 
-// Guards against requests, and repeats, at a target of another service that got the address.
+// Guards against requests, and the repeats that follow, to a target of another service that got
+// the address.
 func TestDisplacedTargetGetsNoRequests(t *testing.T) {
 	s := newTestState(newManualClock(0))
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
@@ -135,7 +137,7 @@
 	require.Zero(t, gauge("leases.s.age"))
 }
 
-// Guards against first requests of all VMs at the same target.
+// Guards against VMs that all send their first requests to the same target.
 func TestVMsStartWithDifferentTargets(t *testing.T) {
 	turn := func(vm string) int {
 		s := &Settings{Store: "127.0.0.1:1"}
--- a/internal/gateway/storecalls.go
+++ b/internal/gateway/storecalls.go
@@ -11,18 +11,18 @@
 	"hemlockquay/internal/platform"
 )
 
-// observedStore counts and times the calls to the store by what they do and to which
-// kind, and counts those that the store did not answer: each call is paid for. It reports
-// of the end of each, so that the VM knows whether the store answers.
+// observedStore counts and times the calls to the store by operation and kind, and counts the
+// failed ones, because each call has a cost. It reports the result of each call, so that the VM
+// knows whether it reaches the store.
 type observedStore struct {
 	platform.ObjectStore
 	registry metrics.Registry
 	clock    boottime.Clock
-	// onResult handles the end of a call that was sent at that time.
+	// onResult is called with the result of each call and the time at which the call was sent.
 	onResult func(sent time.Duration, err error)
 }
 
-// observe runs a call.
+// observe runs a call to the store and records it.
 func observe[T any](s observedStore, operation string, kind model.Kind, call func() (T, error)) (T, error) {
 	begin, sent := time.Now(), s.clock.Now()
 	out, err := call()
@@ -51,7 +51,7 @@
 	return observe(s, "watch", kind, func() (platform.Changes, error) { return s.ObjectStore.WatchKind(ctx, kind, from, wait) })
 }
 
-// registerGauges shows what the VM believes, and how old it is.
+// registerGauges registers the gauges for the routing information of the VM and its age.
 func (g *Gateway) registerGauges() {
 	for name, value := range map[string]func() int64{
 		"config.version":  func() int64 { return int64(g.state.view.Load().ConfigVersion()) },
@@ -66,7 +66,7 @@
 	}
 }
 
-// ageMillis returns how long ago a reading of the clock was, milliseconds.
+// ageMillis returns the time since at, a reading of the clock, in milliseconds.
 func (s *routingState) ageMillis(at time.Duration) int64 { return (s.clock.Now() - at).Milliseconds() }
 
 func (s *routingState) lastConfigChange() time.Duration {
--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -10,13 +10,13 @@
 	"hemlockquay/internal/storerelay"
 )
 
-// recordStoreResult notes from the end of a call, sent at that time, whether the store answers.
-// A failure counts only if its call was sent after the latest answer: calls that were sent before
-// an outage run into their timeouts after it.
+// recordStoreResult updates from the result of a call whether the store is reachable; sent is when
+// the call was sent. A failure counts only if its call was sent after the store's latest response,
+// because calls that were sent before an outage may time out after it.
 func (g *Gateway) recordStoreResult(sent time.Duration, err error) {
 	switch {
 	case errors.Is(err, context.Canceled):
-		// The call was given up here.
+		// The call was canceled by this process and says nothing about the store.
 	case err == nil, errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrNotFound), errors.Is(err, platform.ErrGone):
 		g.storeRespondedAt.Store(int64(g.clock.Now()))
 		g.setStoreUp(true, nil)
@@ -28,7 +28,8 @@
 func (g *Gateway) setStoreUp(up bool, cause error) {
 	if g.storeUp.Swap(up) != up {
 		g.log.Warn().Str("step", "store").Bool("up", up).AnErr("cause", cause).Msg("store lost or regained")
-		// Another VM has to watch in place of this one.
+		// The other VMs must know, because one of them may have to watch the store in place of
+		// this one.
 		g.mesh.Announce()
 	}
 	g.state.updateMembership(func(m *catalog.Members, now time.Duration) {
@@ -40,18 +41,19 @@
 	})
 }
 
-// relayedResponseMaxAge is how long an answer of the store through another VM shows that this VM
-// still reaches it.
+// relayedResponseMaxAge is how long a response of the store through another VM counts as evidence
+// that this VM reaches the store indirectly.
 const relayedResponseMaxAge = 1500 * time.Millisecond
 
-// storeRelayed reports whether the store has lately answered this VM through another one.
+// storeRelayed reports whether the store has recently responded to this VM through another one.
 func (g *Gateway) storeRelayed() bool {
 	at := g.storeRelayedAt.Load()
 	return at > 0 && g.clock.Now()-time.Duration(at) < relayedResponseMaxAge
 }
 
-// recordRelayedResponse notes an answer of the store through another VM. The others learn of the
-// first one at once: they would succeed a grantor without the store.
+// recordRelayedResponse records a response of the store through another VM. The first one is
+// announced to the other VMs at once, because they would replace a grantor that does not reach the
+// store.
 func (g *Gateway) recordRelayedResponse() {
 	before := g.storeRelayed()
 	g.storeRelayedAt.Store(int64(g.clock.Now()))
@@ -61,8 +63,8 @@
 	}
 }
 
-// leaseStore returns the store for lease records, which other VMs relay while it turns
-// this one away.
+// leaseStore returns the store for lease records. While this VM does not reach the store, other
+// VMs relay its calls.
 func (g *Gateway) leaseStore() *storerelay.Store {
 	return &storerelay.Store{Direct: g.store, Up: g.storeUp.Load, Mesh: g.mesh, Answered: g.recordRelayedResponse}
 }
--- a/internal/gateway/storestate_test.go
+++ b/internal/gateway/storestate_test.go
@@ -11,7 +11,7 @@
 	"hemlockquay/internal/platform"
 )
 
-// Guards against a succession because a call of before the outage times out after it.
+// Guards against an unneeded succession because a call from before the outage times out after it.
 func TestFailuresOfOlderStoreCallsAreIgnored(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := newTestGateway(clock)
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -12,20 +12,20 @@
 	"hemlockquay/internal/pause"
 )
 
-// fleetPlace is a VM's place among all VMs, and among those of its data centre.
+// fleetPlace is the place of a VM among all VMs, and among those of its data centre.
 type fleetPlace struct{ all, near subset.Place }
 
-// onlyVM is the place of a VM that knows no other.
+// onlyVM is the place of a VM that does not know any other.
 var onlyVM = fleetPlace{all: subset.Place{VMs: 1}, near: subset.Place{VMs: 1}}
 
-// servicePool is the targets of one service that take requests.
+// servicePool holds the targets of a service that accept requests.
 type servicePool struct {
 	all candidates
-	// subset are those that this VM uses while they have room.
+	// subset holds the targets that this VM prefers as long as they are not full.
 	subset candidates
 }
 
-// candidates are targets of which one is chosen; both lists run in parallel.
+// candidates is a list of targets to choose from. targets and states have the same order.
 type candidates struct {
 	targets []*targetState
 	states  []*pick.State
@@ -36,7 +36,7 @@
 	c.states = append(c.states, &t.pick)
 }
 
-// refreshPlaces keeps this VM's place in the fleet up to date.
+// refreshPlaces periodically updates this VM's place among the VMs.
 func (g *Gateway) refreshPlaces(ctx context.Context) {
 	for {
 		g.updatePlaces(g.mesh.Members())
@@ -46,7 +46,7 @@
 	}
 }
 
-// updatePlaces chooses the subsets and neighbours of this VM in a fleet of these members.
+// updatePlaces derives the subsets and the neighbours of this VM from the list of VMs.
 func (g *Gateway) updatePlaces(members []mesh.Member) {
 	slices.SortFunc(members, func(a, b mesh.Member) int {
 		return cmp.Or(cmp.Compare(catalog.Hash(a.VM), catalog.Hash(b.VM)), cmp.Compare(a.VM, b.VM))
@@ -69,22 +69,22 @@
 	}
 }
 
-// setPlace sets this VM's place in the fleet, and returns how many targets the smallest pool
-// has in its data centre.
+// setPlace sets this VM's place. It returns the number of targets in this data centre of the
+// service that has the fewest there.
 func (s *routingState) setPlace(place fleetPlace) (targets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if place != s.fleet {
 		s.log.Info().Str("step", "subset").Int("place", place.near.Index).Int("vmsNear", place.near.VMs).Int("vms", place.all.VMs).
-			Uint64("targets", s.view.Load().Targets.Revision).Msg("place in the fleet")
+			Uint64("targets", s.view.Load().Targets.Revision).Msg("place among the VMs changed")
 		s.fleet = place
 		s.subsetLocked()
 	}
 	return s.minNearTargetsLocked()
 }
 
-// subsetLocked chooses the targets of each pool that this VM uses: some of its data centre, and
-// some of the others for what does not fit there. It needs s.mu.
+// subsetLocked chooses the subset of each pool: some targets of this data centre, and some of the
+// others for requests that do not fit there. It needs s.mu.
 func (s *routingState) subsetLocked() {
 	view := s.view.Load()
 	s.pools = make(map[string]*servicePool, len(view.ByService))
@@ -93,7 +93,7 @@
 	}
 }
 
-// newPoolLocked needs s.mu.
+// newPoolLocked returns the pool of the given targets. It needs s.mu.
 func (s *routingState) newPoolLocked(list []*catalog.Target) *servicePool {
 	p := new(servicePool)
 	var near, far []*targetState
@@ -112,7 +112,7 @@
 	return p
 }
 
-// addWindow adds the window of a VM at this place to the subset.
+// addWindow adds to the subset those targets of the list that a VM at this place uses.
 func (p *servicePool) addWindow(list []*targetState, place subset.Place) {
 	slices.SortFunc(list, func(a, b *targetState) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID))
@@ -123,7 +123,8 @@
 	}
 }
 
-// minNearTargetsLocked needs s.mu.
+// minNearTargetsLocked returns the number of targets in this data centre of the service that has
+// the fewest there. It needs s.mu.
 func (s *routingState) minNearTargetsLocked() int {
 	least := 0
 	for _, p := range s.pools {
@@ -140,7 +141,7 @@
 	return least
 }
 
-// subsetSize returns how many targets the subsets of all pools have.
+// subsetSize returns the number of targets in the subsets of all pools.
 func (s *routingState) subsetSize() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -13,7 +13,8 @@
 	"hemlockquay/internal/route"
 )
 
-// newLargePool is the state of one of 200 VMs in two data centres with 200 targets.
+// newLargePool returns the state of one of 200 VMs in two data centres, with a pool of 200
+// targets.
 func newLargePool(t *testing.T) *routingState {
 	s := newTestState(newManualClock(0))
 	var list []catalog.Target
@@ -44,7 +45,7 @@
 	require.Less(t, len(used), 20)
 }
 
-// Guards against requests that are refused while targets outside of the VM's subset are free.
+// Guards against refusals while targets outside of the VM's subset have free slots.
 func TestWholePoolIsUsedOnceTheSubsetIsFull(t *testing.T) {
 	s := newLargePool(t)
 	for _, at := range s.pools["s"].subset.targets {
@@ -70,7 +71,7 @@
 	return list
 }
 
-// Guards against a target that keeps the load of requests that have ended.
+// Guards against load that remains at a target after its requests have ended.
 func TestFinishedRequestsLeaveNoLoad(t *testing.T) {
 	s := newLargePool(t)
 	var sent []*attempt
--- a/internal/gateway/transfer.go
+++ b/internal/gateway/transfer.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// transferShare is the part of the link that transfers to other VMs may take up:
-	// requests and heartbeats share it.
+	// transferShare is the fraction of the link that transfers to other VMs may use, because
+	// requests and heartbeats use the same link.
 	transferShare = 0.5
-	// transferBurst is how long the link may be taken up by transfers in one go, at its
-	// full speed.
+	// transferBurst is how long transfers may use the whole link without a pause.
 	transferBurst = 250 * time.Millisecond
-	// maxHolders bounds the VMs that a busy VM names as other sources.
+	// maxHolders bounds the number of VMs that a busy VM names as other sources.
 	maxHolders = 16
 )
 
-// FetchArgs asks for a value.
+// FetchArgs asks for a newer version of a value.
 type FetchArgs struct {
 	// Requester is the VM that asks.
 	Requester string `msgpack:"f"`
-	// HaveVersion is the version that it has, 0 for none.
+	// HaveVersion is the version that the requester has, 0 if it has none.
 	HaveVersion uint64 `msgpack:"h"`
 }
 
-// FetchReply is a value, or says why there is none.
+// FetchReply holds the value, or says why it is not sent.
 type FetchReply struct {
-	// Busy says that the link is taken up by transfers to others.
+	// Busy reports whether the link is used up by transfers to other VMs.
 	Busy bool `msgpack:"b"`
-	// Holders are VMs that have got the value from here.
+	// Holders are VMs that have received the value from the sender.
 	Holders []string `msgpack:"h"`
 	// Data is the packed value.
 	Data []byte `msgpack:"d"`
-	// Changes are sent instead where the receiver's version of the targets is known. They
-	// are few, and packing them would cost more than it saves.
+	// Changes is sent instead of Data if the changes since the requester's version of the targets
+	// are known. They are so few that packing would cost more than it saves.
 	Changes *catalog.Changes `msgpack:"c"`
 }
 
-// transfers sends large values to other VMs: each version is packed once, and all together
-// take up a part of the link. It is safe for concurrent use.
+// transfers sends large values to other VMs. It packs each version once and limits the share of
+// the link that all transfers together use. It is safe for concurrent use.
 //
-// Without the bound, a VM that many ask at once sends to all of them, and all time out.
+// Without the limit, a VM that many others ask at the same time would send to all of them at once,
+// and all the transfers would time out.
 type transfers struct {
 	limiter *rate.Limiter
 
@@ -54,20 +54,20 @@
 	values map[string]*packedValue
 }
 
-// valueVersion is a version of a value. A list may lose entries without a new revision.
+// valueVersion is the version of a value. A list may lose entries without a new revision.
 type valueVersion struct {
 	revision uint64
 	entries  int
 }
 
-// packedValue is the latest version of a value that was sent.
+// packedValue is the latest version of a value that was sent, with the VMs that received it.
 type packedValue struct {
 	version valueVersion
 	data    []byte
 	holders []string
 }
 
-// newTransfers returns transfers over a link that carries so many bytes a second.
+// newTransfers returns transfers over a link of the given capacity.
 func newTransfers(bytesPerSecond float64) *transfers {
 	burst := bytesPerSecond * transferBurst.Seconds()
 	return &transfers{
@@ -76,7 +76,8 @@
 	}
 }
 
-// reply replies with a version of a value, or that the link is busy. get returns the value.
+// reply returns the reply that sends a version of a value to the requester, or one that says that
+// the link is busy. get returns the value.
 func (t *transfers) reply(name string, version valueVersion, requester string, get func() any) (FetchReply, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,8 +93,8 @@
 	return FetchReply{Data: v.data}, nil
 }
 
-// allow reports whether the link has room for so many bytes, and takes it. A value that is
-// larger than the burst is sent when there is room for a burst.
+// allow reports whether size bytes may be sent now, and counts them if so. For a value larger than
+// the burst, capacity for one burst is enough.
 func (t *transfers) allow(size int) bool {
 	return t.limiter.AllowN(time.Now(), min(size, t.limiter.Burst()))
 }
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -6,11 +6,11 @@
 	"hemlockquay/internal/decide/pick"
 )
 
-// warmupSamples is how many answers the warmupCost reaches over: a first idea after two or
-// three, and within a second of many cold keys the mean of their spread.
+// warmupSamples is the number of responses over which warmupCost is averaged. Two or three give a
+// first estimate. With many cold keys, the average covers their spread within a second.
 const warmupSamples = 8
 
-// warmupCostFor returns how many usual requests one for a cold key is worth; 1 until it
+// warmupCostFor returns the cost of a request for a cold key, in usual requests. It is 1 until it
 // was measured.
 func (s *routingState) warmupCostFor(service string) float64 {
 	s.mu.Lock()
@@ -20,9 +20,9 @@
 
 func (s *routingState) warmupCostLocked(service string) float64 { return max(1, s.warmupCost[service]) }
 
-// recordColdResponseLocked records the response to a request for a cold key. It says nothing of
-// the target's speed, nor of what such requests take.
-// Responses for cold keys would make a target look slow, and its warm keys would move on.
+// recordColdResponseLocked updates the warmup cost from a response to a request for a cold key. It
+// leaves the target's slowness and the usual duration unchanged: otherwise responses for cold keys
+// would make a target look slow, and its warm keys would be moved. It needs s.mu.
 func (s *routingState) recordColdResponseLocked(e *attempt, took time.Duration) {
 	if e.usual <= 0 {
 		return
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,29 +14,29 @@
 
 // Timeouts and limits of the watches.
 const (
-	// watchDuration is how long a watch waits for changes. The store may drop its
-	// history and leave a waiting watch without an earlier change; the next
-	// call finds out. A change must be known within about two seconds.
+	// watchDuration is how long a watch call waits for changes. The store may drop its history,
+	// after which a waiting call misses the earlier changes and only the next call detects it. A
+	// change must be known within about two seconds.
 	watchDuration = 1300 * time.Millisecond
-	// watchTimeoutMargin is what the answer may take on top.
+	// watchTimeoutMargin is added to watchDuration for the response to arrive.
 	watchTimeoutMargin = 500 * time.Millisecond
-	// batchPause is the pause after changes, so that a series of them, as when
-	// all targets start, comes with a few calls.
+	// batchPause is the pause after changes. It reduces the number of calls when many changes
+	// follow each other, as when all targets start.
 	batchPause = 80 * time.Millisecond
-	// watcherCount is how many VMs watch the store; the others learn from them.
-	// Each call to the store counts, and with three the loss of one delays
-	// nothing.
+	// watcherCount is the number of VMs that watch the store; the others learn from them. Each
+	// call to the store has a cost, and with three watchers the loss of one causes no delay.
 	watcherCount = 3
-	// watchCheckInterval is the time between two checks of a VM whether it is to watch.
+	// watchCheckInterval is the interval at which a VM that does not watch checks whether it has
+	// to.
 	watchCheckInterval = 100 * time.Millisecond
-	// minStoreBackoff and maxStoreBackoff bound the pause after a failed call:
-	// short, since changes bind the VM soon after the store's return.
+	// minStoreBackoff and maxStoreBackoff bound the pause after a failed call. They are short
+	// because changes must take effect soon after the store is reachable again.
 	minStoreBackoff = 50 * time.Millisecond
 	maxStoreBackoff = 400 * time.Millisecond
 )
 
-// watch keeps one kind up to date until the context ends: it lists, then follows
-// the changes; when the history is gone or the store was away it lists again.
+// watch keeps the objects of one kind up to date until ctx ends. It lists them and then follows
+// the changes. If the store has dropped its history or was unreachable, it lists them again.
 func (g *Gateway) watch(ctx context.Context, kind model.Kind, list func(platform.Listing), change func(platform.Changes)) {
 	backoff := minStoreBackoff
 	for ctx.Err() == nil {
@@ -56,7 +56,7 @@
 			continue
 		}
 		if errors.Is(err, platform.ErrGone) {
-			g.log.Warn().Str("step", "watch").Str("kind", string(kind)).Err(err).Msg("history gone, listing again")
+			g.log.Warn().Str("step", "watch").Str("kind", string(kind)).Err(err).Msg("store dropped its history, listing again")
 			continue
 		}
 		pause.For(ctx, backoff)
@@ -64,9 +64,9 @@
 	}
 }
 
-// shouldWatch reports whether this VM is one of those that watch the store: the
-// grantors, which must know soon when it turns them away, and others to make up
-// the number. One that the store turned away is passed over, and goes on trying.
+// shouldWatch reports whether this VM has to watch the store. The grantors do, because they must
+// notice early that they do not reach it, and as many other VMs as watcherCount requires. A VM
+// that does not reach the store does not count as one of them, but continues to try.
 func (g *Gateway) shouldWatch() bool {
 	if !g.storeUp.Load() {
 		return true
@@ -75,15 +75,15 @@
 	return grantors[g.self.VM] || g.place("watch", g.mesh.ReachesStore) < watcherCount-len(grantors)
 }
 
-// place returns this VM's place, from 0, in the order for a duty of the live VMs that
-// are fit for it. VMs with much faster links come first: on a link of 10 Mbit/s, renewals of
-// hundreds of ranges compete with requests.
+// place returns this VM's place, from 0, in the order of preference for a duty among the live VMs
+// for which fit returns true. VMs with much faster links come first, because on a link of 10
+// Mbit/s the renewals of hundreds of ranges compete with requests.
 func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Place(duty, fit) }
 
-// successionPlace returns this VM's place in the succession of a service's grantor. VMs that the
-// store turns away have a place as well: they may be grantors through a relay, and while
-// nobody reaches the store, not all VMs have the first place and try at the same time.
-// A VM that leaves has a place among those that leave.
+// successionPlace returns this VM's place in the succession of a service's grantor. VMs that do
+// not reach the store have a place too: they can be grantors through a relay, and while no VM
+// reaches the store, they must not all take the first place and try at the same time. A VM that is
+// shutting down has a place among those that are.
 func (g *Gateway) successionPlace(service string) int {
 	if g.leaving.Load() {
 		return g.mesh.PlaceAmongLeaving(service)
@@ -120,7 +120,7 @@
 	return ctx.Err()
 }
 
-// updateMembership applies what changes no target by itself.
+// updateMembership changes the membership in a way that does not change the list of targets.
 func (s *routingState) updateMembership(change func(m *catalog.Members, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 
 const sourceStore = "store"
 
-// watchTargets keeps the list of targets.
+// watchTargets keeps the list of targets up to date.
 func (g *Gateway) watchTargets(ctx context.Context) {
 	g.watch(ctx, g.adapter.TargetKind(), func(l platform.Listing) {
 		t := catalog.Targets{Revision: l.Revision}
@@ -163,18 +163,18 @@
 	m.Put(e, ev.Revision)
 }
 
-// readTarget ignores an entry that cannot be read: it names no target to use,
-// and the others hold.
+// readTarget decodes the object of a target. An object that cannot be decoded is ignored, because
+// it names no usable target and must not affect the others.
 func (g *Gateway) readTarget(o platform.Object) (catalog.Target, bool) {
 	e, err := g.adapter.Target(o)
 	if err != nil {
-		g.log.Warn().Str("step", "targets").Str("target", o.Name).Uint64("revision", o.Version).Err(err).Msg("entry ignored")
+		g.log.Warn().Str("step", "targets").Str("target", o.Name).Uint64("revision", o.Version).Err(err).Msg("ignored target object that could not be decoded")
 		return e, false
 	}
 	return e, true
 }
 
-// watchConfig keeps the configuration.
+// watchConfig keeps the configuration up to date.
 func (g *Gateway) watchConfig(ctx context.Context) {
 	g.watch(ctx, g.adapter.ConfigID().Kind, func(l platform.Listing) {
 		for _, o := range l.Objects {
@@ -189,22 +189,22 @@
 	})
 }
 
-// applyConfig puts a configuration in force. One that cannot be read changes
-// nothing.
+// applyConfig applies the configuration in o. One that cannot be decoded changes nothing.
 func (g *Gateway) applyConfig(o platform.Object) {
 	if o.Name != g.adapter.ConfigID().Name {
 		return
 	}
 	c, err := g.adapter.Config(o)
 	if err != nil {
-		g.log.Error().Str("step", "config").Uint64("revision", o.Version).Err(err).Msg("configuration refused")
+		g.log.Error().Str("step", "config").Uint64("revision", o.Version).Err(err).Msg("configuration could not be decoded, the current one stays in force")
 		return
 	}
 	g.state.setConfig(c, sourceStore)
 	g.reportReady()
 }
 
-// expireTargets drops targets whose entries stayed away after an outage.
+// expireTargets periodically drops the targets that are still missing some time after an outage of
+// the store.
 func (g *Gateway) expireTargets(ctx context.Context) {
 	const every = 100 * time.Millisecond
 	for pause.For(ctx, every) {
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/mesh"
 )
 
-// Guards against a grantor on a slow link while others have fast ones.
+// Guards against a grantor on a slow link while other VMs have fast ones.
 func TestVMsWithFasterLinksHaveLowerPlaces(t *testing.T) {
 	place := func(own float64, others ...uint32) int {
 		n := newTestGatewayWithLink(newManualClock(time.Hour), own)
@@ -26,7 +26,8 @@
 	require.Equal(t, place(900, 900, 900, 900), place(900, 1000, 1000, 1000), "small differences change nothing")
 }
 
-// Guards against VMs that all try to become the grantor at the same moment.
+// Guards against VMs that all try to become the grantor at the same time while none reaches the
+// store.
 func TestPlacesAreDistinctWhileNoVMReachesTheStore(t *testing.T) {
 	taken := make(map[int]bool)
 	for i := range 5 {
@@ -42,7 +43,8 @@
 	require.Len(t, taken, 5)
 }
 
-// Guards against VMs that all stop, and all try to become the grantor at the same moment.
+// Guards against VMs that all try to become the grantor at the same time while all of them shut
+// down.
 func TestLeavingVMsHaveDistinctSuccessionPlaces(t *testing.T) {
 	taken := make(map[int]bool)
 	for i := range 5 {
