--- a/internal/gateway/adapter.go
+++ b/internal/gateway/adapter.go
@@ -49,15 +49,15 @@
 }
 
 // saysNotRun reports whether the response says that the target has not run the request.
-func (h Headers) saysNotRun(a *upstream.Answer) bool {
-	return a.Header.Get(h.NotRun) != "" || a.Status == http.StatusMisdirectedRequest
+func (h Headers) saysNotRun(resp *upstream.Answer) bool {
+	return resp.Header.Get(h.NotRun) != "" || resp.Status == http.StatusMisdirectedRequest
 }
 
 // fromOtherTarget reports whether the response comes from a target other than id, which means that
 // the address was reassigned.
-func (h Headers) fromOtherTarget(a *upstream.Answer, id string) bool {
-	got := a.Header.Get(h.InstanceID)
-	return a.Status == http.StatusMisdirectedRequest && got != "" && got != id
+func (h Headers) fromOtherTarget(resp *upstream.Answer, id string) bool {
+	got := resp.Header.Get(h.InstanceID)
+	return resp.Status == http.StatusMisdirectedRequest && got != "" && got != id
 }
 
 // storeTimeout bounds a call to the store. A response usually takes 4 ms, and about a hundred
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -23,7 +23,7 @@
 		if g.state.crashesTargets(c.digest, g.mesh) {
 			return c.giveUp("request ends the targets that run it", maxRetryAfter)
 		}
-		e, reason := g.reserveTarget(c, timeLeft)
+		a, reason := g.reserveTarget(c, timeLeft)
 		if reason == refusedMoving && g.awaitRoutingChange(ctx, c, maxMoveWait) {
 			continue
 		}
@@ -33,48 +33,48 @@
 		if reason == refusedHot {
 			return c.giveUp(string(reason), g.hotKeyRetryAfter(c))
 		}
-		if e == nil {
+		if a == nil {
 			return c.giveUp(string(reason), g.retryAfter(c))
 		}
-		if g.mayOutlastShutdown(c, e, timeLeft) {
-			g.state.finish(e, resultAbandoned)
+		if g.mayOutlastShutdown(c, a, timeLeft) {
+			g.state.finish(a, resultAbandoned)
 			return c.giveUp(string(refusedLeaving), immediateRetryAfter)
 		}
 		if c.delivered > 0 {
 			if d := g.takeRepeat(c); !d.Granted {
-				g.state.finish(e, resultAbandoned)
+				g.state.finish(a, resultAbandoned)
 				c.decidedOn = d.String()
 				return c.giveUp(reasonNoRepeats, g.retryAfter(c))
 			}
 		}
-		if out := g.attempt(ctx, c, e, timeLeft); out != nil {
+		if out := g.attempt(ctx, c, a, timeLeft); out != nil {
 			return *out
 		}
-		if c.mayHaveRun >= max(c.route.MaxTargets, 1) || c.delivered > c.route.MaxTargets+1 || c.connectFailures > maxConnectFailures {
+		if c.possibleRuns >= max(c.route.MaxTargets, 1) || c.delivered > c.route.MaxTargets+1 || c.connectFailures > maxConnectFailures {
 			return c.giveUp("attempts used up", g.retryAfter(c))
 		}
 	}
 }
 
-func (g *Gateway) reserveTarget(c *call, left time.Duration) (*attempt, refusal) {
+func (g *Gateway) reserveTarget(c *call, timeLeft time.Duration) (*attempt, refusal) {
 	if c.keyed {
 		if details := g.leasesExpired(c.service, g.clock.Now()); details != "" {
 			c.decidedOn = details
 			return nil, refusedExpired
 		}
-		e, reason, details := g.state.reserveOwner(c.service, c.route, c.key, c.misdirectedBy, left)
+		a, reason, details := g.state.reserveOwner(c.service, c.route, c.key, c.misdirectedBy, timeLeft)
 		c.refusedOn = details
-		return e, reason
+		return a, reason
 	}
-	return g.state.reserveFromPool(c.service, c.route, c.tried, left, g.clock.Now())
+	return g.state.reserveFromPool(c.service, c.route, c.tried, timeLeft, g.clock.Now())
 }
 
 // awaitRoutingChange waits for a change of the leases or targets, for at most misdirectedPause. It
 // reports whether to try again: false if the request has no time left or has waited for limit in
 // total.
 func (g *Gateway) awaitRoutingChange(ctx context.Context, c *call, limit time.Duration) bool {
-	left := min(limit-c.waited, time.Until(c.deadline)-minTimeLeft)
-	if left <= 0 {
+	timeLeft := min(limit-c.waited, time.Until(c.deadline)-minTimeLeft)
+	if timeLeft <= 0 {
 		return false
 	}
 	g.state.mu.Lock()
@@ -86,7 +86,7 @@
 		c.waited += waited
 		metrics.GetOrRegisterTimer("step.keywait", g.registry).Update(waited)
 	}()
-	timer := time.NewTimer(min(left, misdirectedPause))
+	timer := time.NewTimer(min(timeLeft, misdirectedPause))
 	defer timer.Stop()
 	select {
 	case <-changed:
@@ -98,38 +98,38 @@
 }
 
 // attempt sends the request to one target. It returns nil if another attempt may follow.
-func (g *Gateway) attempt(ctx context.Context, c *call, e *attempt, left time.Duration) *outcome {
-	c.request.Header.Set(g.headers.TargetID, e.id)
-	c.request.Header.Set(g.headers.DeadlineMs, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+func (g *Gateway) attempt(ctx context.Context, c *call, a *attempt, timeLeft time.Duration) *outcome {
+	c.request.Header.Set(g.headers.TargetID, a.id)
+	c.request.Header.Set(g.headers.DeadlineMs, strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10))
 	sendCtx, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	resp, err := e.pool.Exchange(sendCtx, c.request, upstream.AnyConn)
-	took := time.Since(e.sent)
+	resp, err := a.pool.Exchange(sendCtx, c.request, upstream.AnyConn)
+	took := time.Since(a.sent)
 	metrics.GetOrRegisterTimer("step.target."+c.service, g.registry).Update(took)
-	c.recordAttempt(e, took, resp, err)
+	c.recordAttempt(a, took, resp, err)
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
-		g.state.finish(e, resultNotSent)
-		c.tried[e.id] = true
+		g.state.finish(a, resultNotSent)
+		c.tried[a.id] = true
 		c.connectFailures++
 		if c.keyed {
 			g.awaitRoutingChange(ctx, c, maxMoveWait)
 		}
 		return nil
 	case err != nil:
-		return g.handleLostResponse(ctx, c, e)
+		return g.handleLostResponse(ctx, c, a)
 	case g.headers.saysNotRun(resp):
-		return g.handleNotRun(c, e, resp)
+		return g.handleNotRun(c, a, resp)
 	}
 	c.delivered++
-	c.mayHaveRun++
+	c.possibleRuns++
 	if resp.Status < http.StatusInternalServerError {
-		g.state.finish(e, resultSucceeded)
+		g.state.finish(a, resultSucceeded)
 		g.state.clearCrashes(c.digest)
 		return &outcome{response: resp, status: resp.Status, reason: reasonAnswered}
 	}
-	g.state.finish(e, resultFailed)
-	c.tried[e.id] = true
+	g.state.finish(a, resultFailed)
+	c.tried[a.id] = true
 	c.failedResponse = resp
 	c.lastFailure = causeFailed
 	if !c.route.Idempotent || resp.Status == http.StatusGatewayTimeout {
@@ -140,27 +140,27 @@
 }
 
 // handleLostResponse handles a response that was lost. The request may have run.
-func (g *Gateway) handleLostResponse(ctx context.Context, c *call, e *attempt) *outcome {
+func (g *Gateway) handleLostResponse(ctx context.Context, c *call, a *attempt) *outcome {
 	c.delivered++
-	c.mayHaveRun++
-	if canceledByShutdown(ctx) {
-		g.state.finish(e, resultAbandoned)
+	c.possibleRuns++
+	if cancelledByShutdown(ctx) {
+		g.state.finish(a, resultAbandoned)
 		out := c.giveUp(errShuttingDown.Error(), 0)
 		return &out
 	}
 	if ctx.Err() != nil {
-		g.state.finish(e, resultAbandoned)
+		g.state.finish(a, resultAbandoned)
 		return &outcome{status: 0, reason: "caller left"}
 	}
 	if time.Until(c.deadline) < minTimeLeft {
-		g.state.finish(e, resultAbandoned)
+		g.state.finish(a, resultAbandoned)
 		out := c.timedOut()
 		return &out
 	}
-	g.state.finish(e, resultResponseLost)
+	g.state.finish(a, resultResponseLost)
 	c.lastFailure = causeLost
-	go g.recordCrashIfDown(c.digest, e)
-	c.tried[e.id] = true
+	go g.recordCrashIfDown(c.digest, a)
+	c.tried[a.id] = true
 	if !c.route.Idempotent {
 		out := c.giveUp("answer lost", 0)
 		return &out
@@ -169,22 +169,22 @@
 }
 
 // handleNotRun handles a response that says that the target has not run the request.
-func (g *Gateway) handleNotRun(c *call, e *attempt, resp *upstream.Answer) *outcome {
+func (g *Gateway) handleNotRun(c *call, a *attempt, resp *upstream.Answer) *outcome {
 	c.delivered++
-	if g.headers.fromOtherTarget(resp, e.id) {
-		g.state.markDisplaced(e)
+	if g.headers.fromOtherTarget(resp, a.id) {
+		g.state.markDisplaced(a)
 	}
 	if resp.Status == http.StatusMisdirectedRequest && c.keyed {
-		g.state.finish(e, resultAbandoned)
+		g.state.finish(a, resultAbandoned)
 		g.state.recordMisdirected(c.service)
 		// Only a later version of the leases can name another owner, or confirm this one.
-		c.lastFailure, c.misdirectedBy = causeMisdirected, e.leases
+		c.lastFailure, c.misdirectedBy = causeMisdirected, a.leases
 		return nil
 	}
-	g.state.finish(e, resultFailed)
-	c.tried[e.id] = true
+	g.state.finish(a, resultFailed)
+	c.tried[a.id] = true
 	c.lastFailure = causeRefused
-	c.refusedWithFreeSlots = e.load < e.target.Slots
+	c.refusedWithFreeSlots = a.load < a.target.Slots
 	if c.keyed && !c.refusedWithFreeSlots {
 		out := c.giveUp("owner is full", g.retryAfter(c))
 		return &out
@@ -206,8 +206,8 @@
 }
 
 // hotKeyRetryAfter returns the time after which to retry a request for a key that gets more
-// requests than its owner can run. If the owner can run only a fraction of them, those refused
-// during one service time need several.
+// requests than its owner can run. The owner runs only a fraction of them, so it needs several
+// service times for what arrives during one.
 func (g *Gateway) hotKeyRetryAfter(c *call) time.Duration {
 	fraction := 1.0
 	if r := g.state.leases.Of(c.service); r != nil {
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -45,32 +45,32 @@
 }
 
 // reserve increases the reservation to size.
-func (h *bodyReservation) reserve(size int64) error {
-	if !h.memory.TryAcquire(size - h.reserved) {
+func (b *bodyReservation) reserve(size int64) error {
+	if !b.memory.TryAcquire(size - b.reserved) {
 		return errNoBodyMemory
 	}
-	h.reserved = size
+	b.reserved = size
 	return nil
 }
 
 // release returns the reserved memory.
-func (h *bodyReservation) release() {
-	h.memory.Release(h.reserved)
-	h.reserved = 0
+func (b *bodyReservation) release() {
+	b.memory.Release(b.reserved)
+	b.reserved = 0
 }
 
 // read reads a body of the given size, which is -1 if it is not known.
-func (h *bodyReservation) read(r io.Reader, size, limit int64) ([]byte, error) {
+func (b *bodyReservation) read(r io.Reader, size, limit int64) ([]byte, error) {
 	if size >= 0 {
 		if size > limit {
 			return nil, errBodyTooLarge
 		}
-		return h.readSized(r, size)
+		return b.readSized(r, size)
 	}
 	var body []byte
 	for {
-		capacity := min(max(2*h.reserved, initialBuffer), limit+1)
-		if err := h.reserve(capacity); err != nil {
+		capacity := min(max(2*b.reserved, initialBuffer), limit+1)
+		if err := b.reserve(capacity); err != nil {
 			return nil, err
 		}
 		buffer := make([]byte, capacity)
@@ -88,8 +88,8 @@
 	}
 }
 
-func (h *bodyReservation) readSized(r io.Reader, size int64) ([]byte, error) {
-	if err := h.reserve(size); err != nil {
+func (b *bodyReservation) readSized(r io.Reader, size int64) ([]byte, error) {
+	if err := b.reserve(size); err != nil {
 		return nil, err
 	}
 	body := make([]byte, size)
@@ -110,7 +110,7 @@
 		return &outcome{status: http.StatusRequestEntityTooLarge, reason: errBodyTooLarge.Error()}
 	case errors.Is(err, errNoBodyMemory):
 		return &outcome{status: http.StatusServiceUnavailable, reason: errNoBodyMemory.Error(), retryAfter: maxRetryAfter}
-	case canceledByShutdown(r.Context()):
+	case cancelledByShutdown(r.Context()):
 		return &outcome{status: http.StatusServiceUnavailable, reason: errShuttingDown.Error(), retryAfter: immediateRetryAfter}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &outcome{status: http.StatusRequestTimeout, reason: "body not read in time"}
--- a/internal/gateway/body_test.go
+++ b/internal/gateway/body_test.go
@@ -22,29 +22,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		body := bytes.Repeat([]byte("x"), rapid.IntRange(0, 3*initialBuffer).Draw(t, "size"))
 		limit := int64(rapid.IntRange(1, 4*initialBuffer).Draw(t, "limit"))
-		room := newBodyMemory(1)
-		h := bodyReservation{memory: room}
+		memory := newBodyMemory(1)
+		reservation := bodyReservation{memory: memory}
 		size := int64(len(body))
 		if rapid.Bool().Draw(t, "not stated") {
 			size = -1
 		}
-		got, err := h.read(iotest.HalfReader(bytes.NewReader(body)), size, limit)
+		got, err := reservation.read(iotest.HalfReader(bytes.NewReader(body)), size, limit)
 		if int64(len(body)) > limit {
 			require.ErrorIs(t, err, errBodyTooLarge)
 		} else {
 			require.NoError(t, err)
 			require.Len(t, got, len(body))
 		}
-		h.release()
-		require.True(t, room.TryAcquire(1<<20*bodyMemoryShare), "all room is given back")
+		reservation.release()
+		require.True(t, memory.TryAcquire(1<<20*bodyMemoryShare), "all memory is released")
 	})
 }
 
 // Guards against a target that stores a part of an upload as the whole.
 func TestReadFailsOnPartialBody(t *testing.T) {
 	for _, size := range []int64{100, -1} {
-		h := bodyReservation{memory: newBodyMemory(1)}
-		_, err := h.read(io.MultiReader(strings.NewReader("half"), iotest.ErrReader(net.ErrClosed)), size, 1000)
+		reservation := bodyReservation{memory: newBodyMemory(1)}
+		_, err := reservation.read(io.MultiReader(strings.NewReader("half"), iotest.ErrReader(net.ErrClosed)), size, 1000)
 		require.ErrorIs(t, err, net.ErrClosed)
 	}
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -25,11 +25,13 @@
 	start    time.Time
 	deadline time.Time
 
+	// tried holds the IDs of the targets that failed or refused the request.
 	tried           map[string]bool
 	connectFailures int
-	delivered       int
-	// mayHaveRun is the number of targets that may have run the request.
-	mayHaveRun int
+	// delivered is the number of attempts that may have reached a target.
+	delivered int
+	// possibleRuns is the number of targets that may have run the request.
+	possibleRuns int
 	// lastFailure says why the last delivered attempt failed. If its target did not hold the key,
 	// misdirectedBy is the version of the leases that was used.
 	lastFailure   repeatCause
@@ -79,7 +81,7 @@
 }
 
 // recordAttempt appends an attempt to the trace, which is logged with the request.
-func (c *call) recordAttempt(e *attempt, took time.Duration, resp *upstream.Answer, err error) {
+func (c *call) recordAttempt(a *attempt, took time.Duration, resp *upstream.Answer, err error) {
 	result := "answered"
 	switch {
 	case errors.Is(err, upstream.ErrNotSent):
@@ -89,7 +91,7 @@
 	default:
 		result = strconv.Itoa(resp.Status)
 	}
-	c.trace = append(c.trace, fmt.Sprintf("%s load %d expected %dms took %dms %s", e.id, e.load, e.expected.Milliseconds(), took.Milliseconds(), result))
+	c.trace = append(c.trace, fmt.Sprintf("%s load %d expected %dms took %dms %s", a.id, a.load, a.expected.Milliseconds(), took.Milliseconds(), result))
 }
 
 func rootCause(err error) string {
@@ -109,10 +111,10 @@
 
 // giveUp ends a request without a successful response. The status says that the request has not
 // run only if that is certain.
-func (c *call) giveUp(reason string, retry time.Duration) outcome {
+func (c *call) giveUp(reason string, retryAfter time.Duration) outcome {
 	switch {
-	case c.mayHaveRun == 0:
-		return outcome{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retry}
+	case c.possibleRuns == 0:
+		return outcome{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 	case c.failedResponse != nil && !impliesNotRun(c.failedResponse.Status):
 		return outcome{response: c.failedResponse, status: c.failedResponse.Status, reason: reason}
 	}
@@ -129,7 +131,7 @@
 }
 
 func (c *call) timedOut() outcome {
-	if c.mayHaveRun == 0 {
+	if c.possibleRuns == 0 {
 		return outcome{status: http.StatusServiceUnavailable, reason: "time over before it was sent", retryAfter: minRetryAfter}
 	}
 	if c.failedResponse != nil && !impliesNotRun(c.failedResponse.Status) {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -48,17 +48,17 @@
 // are counted over all VMs, and each target once: many identical requests may be running on one
 // target that crashes for another reason.
 func (s *routingState) crashesTargets(digest uint64, m *mesh.Mesh) bool {
-	lost := make(map[uint32]bool)
+	crashed := make(map[uint32]bool)
 	for _, target := range m.Crashes(digest, crashRetention) {
-		lost[target] = true
+		crashed[target] = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropExpiredCrashesLocked(digest)
 	for target := range s.crashes[digest] {
-		lost[target] = true
+		crashed[target] = true
 	}
-	return len(lost) >= maxCrashedTargets
+	return len(crashed) >= maxCrashedTargets
 }
 
 // dropExpiredCrashesLocked drops the crashes that are older than crashRetention. It needs s.mu.
@@ -95,11 +95,11 @@
 
 // recordCrashIfDown records a crash if a target that lost a response does not accept connections.
 // If it does, the response was lost for another reason.
-func (g *Gateway) recordCrashIfDown(digest uint64, e *attempt) {
+func (g *Gateway) recordCrashIfDown(digest uint64, a *attempt) {
 	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
-	if err := e.pool.Connect(ctx); err != nil {
-		g.log.Warn().Str("step", "crash").Str("target", e.id).Uint64("content", digest).Err(err).Msg("target ended while it ran the request")
-		g.state.recordCrash(digest, e.id)
+	if err := a.pool.Connect(ctx); err != nil {
+		g.log.Warn().Str("step", "crash").Str("target", a.id).Uint64("content", digest).Err(err).Msg("target ended while it ran the request")
+		g.state.recordCrash(digest, a.id)
 	}
 }
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -72,10 +72,10 @@
 func newTestGatewayNamed(clock *manualClock, name string, mbps float64) *Gateway {
 	s := &Settings{Store: "127.0.0.1:1", LinkMbps: mbps, MemoryMB: defaultMemoryMB}
 	s.VM, s.DataCentre, s.Peers = name, "a", "127.0.0.1:1"
-	n := newGateway(s, fakeAdapter{store: unavailableStore{}}, clock, discardLogger(), metrics.NewRegistry())
-	n.mesh.Start(n)
-	n.storeUp.Store(true)
-	return n
+	g := newGateway(s, fakeAdapter{store: unavailableStore{}}, clock, discardLogger(), metrics.NewRegistry())
+	g.mesh.Start(g)
+	g.storeUp.Store(true)
+	return g
 }
 
 func (g *Gateway) receiveHeartbeat(b mesh.Heartbeat) {
--- a/internal/gateway/fetch_test.go
+++ b/internal/gateway/fetch_test.go
@@ -24,17 +24,17 @@
 	server, err := peer.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	s.VM, s.DataCentre, s.Peers = name, "a", server.Addr()
-	n := newGateway(s, fakeAdapter{store: unavailableStore{}}, boottime.System{}, discardLogger(), metrics.NewRegistry())
-	n.mesh.Start(n)
-	n.peers = server
-	require.NoError(t, n.registerServices())
+	g := newGateway(s, fakeAdapter{store: unavailableStore{}}, boottime.System{}, discardLogger(), metrics.NewRegistry())
+	g.mesh.Start(g)
+	g.peers = server
+	require.NoError(t, g.registerServices())
 	go func() { _ = server.Serve() }()
 	t.Cleanup(func() {
-		n.cancel()
-		n.mesh.Close()
+		g.cancel()
+		g.mesh.Close()
 		server.Close()
 	})
-	return n
+	return g
 }
 
 // largeConfig returns a configuration whose names are as diverse as those that operators choose.
@@ -91,7 +91,7 @@
 	})
 	var reply FetchReply
 	require.NoError(t, View{a}.TargetsSince(&FetchArgs{Requester: "b", HaveVersion: 5}, &reply))
-	require.NotNil(t, reply.Changes, "only what changed")
+	require.NotNil(t, reply.Changes, "only the changes are sent")
 	require.Empty(t, reply.Data)
 	eventually(t, same)
 }
@@ -99,16 +99,16 @@
 // Guards against a VM that sends a large value to all VMs that ask at the same time and so
 // overloads its link.
 func TestBusyVMRefersToOtherHolders(t *testing.T) {
-	n := newPeerGateway(t, "a", 10)
-	n.state.setConfig(largeConfig(7, 10), sourceStore)
-	n.transfers.limiter.SetLimit(0)
+	g := newPeerGateway(t, "a", 10)
+	g.state.setConfig(largeConfig(7, 10), sourceStore)
+	g.transfers.limiter.SetLimit(0)
 	ask := func(from string) FetchReply {
 		var reply FetchReply
-		require.NoError(t, View{n}.ConfigVersion(&FetchArgs{Requester: from, HaveVersion: 1}, &reply))
+		require.NoError(t, View{g}.ConfigVersion(&FetchArgs{Requester: from, HaveVersion: 1}, &reply))
 		return reply
 	}
 	require.NotEmpty(t, ask("b").Data)
-	for n.transfers.allow(1) {
+	for g.transfers.allow(1) {
 	}
 	busy := ask("c")
 	require.True(t, busy.Busy)
@@ -118,18 +118,18 @@
 
 // Guards against a configuration that is delayed because all VMs wait for one VM with a busy link.
 func TestVMsFetchFromOtherHolders(t *testing.T) {
-	nodes := []*Gateway{newPeerGateway(t, "a", 10)}
-	nodes[0].state.setConfig(largeConfig(7, 10), sourceStore)
+	gateways := []*Gateway{newPeerGateway(t, "a", 10)}
+	gateways[0].state.setConfig(largeConfig(7, 10), sourceStore)
 	for _, name := range []string{"b", "c", "d", "e"} {
-		n := newPeerGateway(t, name, 0)
-		for _, other := range nodes {
-			n.mesh.Meet(other.self)
+		g := newPeerGateway(t, name, 0)
+		for _, other := range gateways {
+			g.mesh.Meet(other.self)
 		}
-		eventually(t, func() bool { return n.configVersion() == 7 })
-		nodes[0].transfers.limiter.SetLimit(0)
-		for nodes[0].transfers.allow(1) {
+		eventually(t, func() bool { return g.configVersion() == 7 })
+		gateways[0].transfers.limiter.SetLimit(0)
+		for gateways[0].transfers.allow(1) {
 		}
-		nodes = append(nodes, n)
+		gateways = append(gateways, g)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -51,8 +51,10 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	// sighups receives SIGHUP.
-	sighups    chan os.Signal
-	fetches    sync.Map
+	sighups chan os.Signal
+	// fetches holds the running fetches, a *fetchSources for each kind of value.
+	fetches sync.Map
+	// writeCount makes the tags of writes unique.
 	writeCount atomic.Uint64
 	// storeUp reports whether the store responded when it was last called. storeRespondedAt is the
 	// time of its last response, on clock.
@@ -74,6 +76,7 @@
 	leaving      atomic.Bool
 	leavingSince atomic.Int64
 
+	// front serves callers, ready the readiness check of the load balancer.
 	front, ready *http.Server
 	// requestCtx is the parent context of all callers' requests. cancelRequests ends those in
 	// flight.
--- a/internal/gateway/handler.go
+++ b/internal/gateway/handler.go
@@ -62,8 +62,8 @@
 	}
 	c := g.newCall(r, rt, spread.Next())
 	defer c.body.release()
-	if bad := g.readBody(c, w, r, view.Routes.Config().Limits.BodyBytes); bad != nil {
-		g.refuse(w, r, *bad)
+	if rejected := g.readBody(c, w, r, view.Routes.Config().Limits.BodyBytes); rejected != nil {
+		g.refuse(w, r, *rejected)
 		return
 	}
 	if svc, ok := view.Routes.Config().Services[c.service]; ok && svc.Keyed {
--- a/internal/gateway/handler_test.go
+++ b/internal/gateway/handler_test.go
@@ -27,13 +27,13 @@
 }
 
 func newTestbed(t *testing.T) *testbed {
-	n := newTestGateway(newManualClock(time.Hour))
-	t.Cleanup(n.mesh.Close)
-	n.state.setRepeatLimit(testRepeatLimit)
-	n.joined.Store(true)
-	n.fillRepeatBudget("pool", "keyed")
-	b := &testbed{Gateway: n, t: t}
-	n.state.setConfig(&route.Config{
+	g := newTestGateway(newManualClock(time.Hour))
+	t.Cleanup(g.mesh.Close)
+	g.state.setRepeatLimit(testRepeatLimit)
+	g.joined.Store(true)
+	g.fillRepeatBudget("pool", "keyed")
+	b := &testbed{Gateway: g, t: t}
+	g.state.setConfig(&route.Config{
 		Version: 3,
 		Routes: []route.Route{
 			{Name: "safe", Host: "safe.example", Prefix: "/", Idempotent: true, Timeout: 2 * time.Second, MaxTargets: 2, Splits: []route.Split{{Service: "pool", Weight: 1}}},
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestAnswerIsForwarded(t *testing.T) {
+func TestResponseIsForwarded(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("t", "pool", func(w http.ResponseWriter, r *http.Request) {
 		require.Equal(t, "t", r.Header.Get("Target"))
@@ -167,11 +167,11 @@
 	resp := b.send("safe.example", nil, "")
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
-	require.Empty(t, resp.Header.Get("Not-Run"), "what a target said of itself is not ours to say")
+	require.Empty(t, resp.Header.Get("Not-Run"), "a header that a target set for itself is not forwarded")
 }
 
 // Guards against a refusal as "not run" although the first target may have run the request.
-func TestRequestWithLostAnswerIsNotReportedAsNotRun(t *testing.T) {
+func TestRequestWithLostResponseIsNotReportedAsNotRun(t *testing.T) {
 	b := newTestbed(t)
 	handler := firstThen(resetConnection, refuseAsNotRun)
 	b.addTarget("a", "pool", handler)
@@ -192,14 +192,14 @@
 // timeout.
 func TestRouteTimeout(t *testing.T) {
 	b := newTestbed(t)
-	gone := make(chan struct{})
+	cancelled := make(chan struct{})
 	b.addTarget("a", "pool", func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(gone)
+		close(cancelled)
 	})
 	resp := b.send("short.example", nil, "")
 	require.Equal(t, http.StatusGatewayTimeout, resp.StatusCode)
-	<-gone
+	<-cancelled
 }
 
 func TestInvalidRequestsAreRefused(t *testing.T) {
@@ -221,7 +221,7 @@
 	fresh := newTestGateway(newManualClock(time.Hour))
 	defer fresh.mesh.Close()
 	resp := (&testbed{Gateway: fresh, t: t}).send("safe.example", nil, "")
-	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration nothing is known to be missing")
+	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode, "without a configuration, no route is known to be missing")
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
@@ -248,11 +248,11 @@
 func TestRequestThatCrashesTargetsIsRefused(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
-	content := b.digestOf("bad")
-	b.state.recordCrash(content, "first")
-	b.state.recordCrash(content, "second")
+	digest := b.digestOf("bad")
+	b.state.recordCrash(digest, "first")
+	b.state.recordCrash(digest, "second")
 	other := mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 1}
-	b.receiveHeartbeat(mesh.Heartbeat{From: other, Crashes: []mesh.Crash{{Content: content, Targets: []uint32{catalog.Hash("third")}}}})
+	b.receiveHeartbeat(mesh.Heartbeat{From: other, Crashes: []mesh.Crash{{Content: digest, Targets: []uint32{catalog.Hash("third")}}}})
 	require.Equal(t, http.StatusServiceUnavailable, b.send("safe.example", nil, "bad").StatusCode)
 	require.Zero(t, b.requests.Load())
 	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "good").StatusCode)
@@ -262,12 +262,12 @@
 func TestCrashedTargetCountsOnceAcrossVMs(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
-	content := b.digestOf("popular")
-	b.state.recordCrash(content, "lost")
+	digest := b.digestOf("popular")
+	b.state.recordCrash(digest, "lost")
 	for _, vm := range []string{"x", "y", "z"} {
 		b.receiveHeartbeat(mesh.Heartbeat{
 			From:    mesh.Member{VM: vm, Addr: "127.0.0.1:1", Incarnation: 1},
-			Crashes: []mesh.Crash{{Content: content, Targets: []uint32{catalog.Hash("lost")}}},
+			Crashes: []mesh.Crash{{Content: digest, Targets: []uint32{catalog.Hash("lost")}}},
 		})
 	}
 	require.Equal(t, http.StatusOK, b.send("safe.example", nil, "popular").StatusCode)
@@ -277,14 +277,14 @@
 func TestCrashRecordsExpire(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	s := newTestState(clock)
-	n := newTestGateway(clock)
-	defer n.mesh.Close()
+	g := newTestGateway(clock)
+	defer g.mesh.Close()
 	for _, target := range []string{"a", "b", "c"} {
 		s.recordCrash(7, target)
 	}
-	require.True(t, s.crashesTargets(7, n.mesh))
+	require.True(t, s.crashesTargets(7, g.mesh))
 	clock.advance(crashRetention + time.Second)
-	require.False(t, s.crashesTargets(7, n.mesh))
+	require.False(t, s.crashesTargets(7, g.mesh))
 	require.Empty(t, s.recentCrashes())
 }
 
@@ -315,7 +315,7 @@
 }
 
 // Guards against an owner that counts as lost after a single lost response.
-func TestIdempotentRequestIsRepeatedAtOwnerAfterLostAnswer(t *testing.T) {
+func TestIdempotentRequestIsRepeatedAtOwnerAfterLostResponse(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("k", "keyed", firstThen(resetConnection, succeed))
 	b.state.setOwner("keyed", 1, 1, "k", lease.Served)
--- a/internal/gateway/hotkey_test.go
+++ b/internal/gateway/hotkey_test.go
@@ -25,11 +25,11 @@
 	s.leases.Set(hot)
 	sent := func(key uint16) (n int) {
 		for range 1000 {
-			if e, why, _ := s.reserveOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseMark{}, time.Second); e != nil {
-				s.finish(e, resultSucceeded)
+			if a, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseMark{}, time.Second); a != nil {
+				s.finish(a, resultSucceeded)
 				n++
 			} else {
-				require.Equal(t, refusedHot, why)
+				require.Equal(t, refusedHot, reason)
 			}
 		}
 		return n
@@ -38,5 +38,5 @@
 	require.Equal(t, 1000, sent(0), "the other keys of the owner are served")
 
 	c := &call{service: "s", key: 65535, route: &route.Route{Name: "r"}}
-	require.Greater(t, g.hotKeyRetryAfter(c), g.retryAfter(c), "callers come back when the owner has done what it can")
+	require.Greater(t, g.hotKeyRetryAfter(c), g.retryAfter(c), "a caller retries once the owner has had time for the requests")
 }
--- a/internal/gateway/leaseexpiry.go
+++ b/internal/gateway/leaseexpiry.go
@@ -40,12 +40,12 @@
 	if r == nil || g.mesh.Lives(r.Holder, r.Incarnation) {
 		return ""
 	}
-	renewed := g.state.leases.RoutedAt(service)
-	if heard, known := g.mesh.LastHeard(r.Holder, r.Incarnation); known {
-		renewed = max(renewed, heard)
+	renewedAt := g.state.leases.RoutedAt(service)
+	if heardAt, known := g.mesh.LastHeard(r.Holder, r.Incarnation); known {
+		renewedAt = max(renewedAt, heardAt)
 	}
-	if now-renewed <= lease.HoldTime {
+	if now-renewedAt <= lease.HoldTime {
 		return ""
 	}
-	return fmt.Sprintf("grantor %q gone for %dms epoch %d seq %d", r.Holder, (now - renewed).Milliseconds(), r.Epoch, r.Seq)
+	return fmt.Sprintf("grantor %q gone for %dms epoch %d seq %d", r.Holder, (now - renewedAt).Milliseconds(), r.Epoch, r.Seq)
 }
--- a/internal/gateway/leaseexpiry_test.go
+++ b/internal/gateway/leaseexpiry_test.go
@@ -32,7 +32,7 @@
 
 	clock.advance(misdirectedRetention)
 	b.send("keyed.example", http.Header{"Key": {"7"}}, "")
-	require.EqualValues(t, 2, b.requests.Load(), "one request finds out whether they are served again")
+	require.EqualValues(t, 2, b.requests.Load(), "one request is sent as a probe")
 }
 
 // Guards against a VM that refuses requests which the owners would serve, because only this VM
--- a/internal/gateway/leasingadapter_test.go
+++ b/internal/gateway/leasingadapter_test.go
@@ -12,28 +12,28 @@
 
 func TestLeasingAdapterReflectsGatewayState(t *testing.T) {
 	clock := newManualClock(time.Hour)
-	n := newTestGateway(clock)
-	defer n.mesh.Close()
-	deps := n.leasing.Deps
+	g := newTestGateway(clock)
+	defer g.mesh.Close()
+	deps := g.leasing.Deps
 	require.True(t, deps.LocalState.StoreUp())
-	n.recordStoreResult(clock.Now(), platform.ErrUnavailable)
+	g.recordStoreResult(clock.Now(), platform.ErrUnavailable)
 	require.False(t, deps.LocalState.StoreUp())
 	require.False(t, deps.LocalState.Listed())
-	n.listed.Store(true)
+	g.listed.Store(true)
 	require.True(t, deps.LocalState.Listed())
 	require.False(t, deps.LocalState.Leaving())
-	n.leaving.Store(true)
+	g.leaving.Store(true)
 	require.True(t, deps.LocalState.Leaving())
 	require.NotEqual(t, deps.LocalState.Tag(), deps.LocalState.Tag())
 
 	require.Zero(t, deps.TargetDirectory.Slots("t"))
-	n.state.setTargets(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
+	g.state.setTargets(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	require.Equal(t, 2, deps.TargetDirectory.Slots("t"))
 	require.NotNil(t, deps.TargetDirectory.View().ByID["t"])
 	_, known := deps.TargetDirectory.UsualTime("s")
 	require.False(t, known)
 	for range 100 {
-		n.state.recordDurationLocked("s", "r", 30*time.Millisecond)
+		g.state.recordDurationLocked("s", "r", 30*time.Millisecond)
 	}
 	usual, known := deps.TargetDirectory.UsualTime("s")
 	require.True(t, known)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -43,14 +43,14 @@
 	// Targets that are still missing some time after an outage are dropped without a new revision.
 	entriesDropped := b.TargetsRevision == v.Targets.Revision && int(b.Targets) < len(v.Targets.List)
 	if b.TargetsRevision > v.Targets.Revision || entriesDropped {
-		g.fetch(b.From.VM, "targets", func(ctx context.Context, from *fetchSources) error {
-			return g.fetchTargets(ctx, from, entriesDropped)
+		g.fetch(b.From.VM, "targets", func(ctx context.Context, vms *fetchSources) error {
+			return g.fetchTargets(ctx, vms, entriesDropped)
 		})
 	}
 	for _, mark := range b.Leases {
 		if g.isStale(mark) {
-			g.fetch(b.From.VM, mark.Service, func(ctx context.Context, from *fetchSources) error {
-				return g.fetchRouting(ctx, from, mark.Service)
+			g.fetch(b.From.VM, mark.Service, func(ctx context.Context, vms *fetchSources) error {
+				return g.fetchRouting(ctx, vms, mark.Service)
 			})
 		}
 	}
@@ -117,8 +117,8 @@
 
 // Push applies changed leases from their grantor. The reply is false if the update is based on a
 // version other than the one known here.
-func (v View) Push(in *lease.Update, used *bool) error {
-	*used = v.gateway.state.leases.Update(in)
+func (v View) Push(in *lease.Update, applied *bool) error {
+	*applied = v.gateway.state.leases.Update(in)
 	return nil
 }
 
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -30,18 +30,18 @@
 // Guards against a heartbeat that overtakes an update, so that every VM fetches the whole routing.
 func TestStaleLeasesAreFetchedAfterDelay(t *testing.T) {
 	clock := newManualClock(time.Hour)
-	n := newTestGateway(clock)
-	defer n.mesh.Close()
+	g := newTestGateway(clock)
+	defer g.mesh.Close()
 	mark := mesh.LeaseMark{Service: "s", Epoch: 3, Seq: 2}
-	require.True(t, n.isStale(mark), "unknown leases are fetched at once")
-	n.state.leases.Set(testRouting(1, 0))
-	require.False(t, n.isStale(mark))
+	require.True(t, g.isStale(mark), "unknown leases are fetched at once")
+	g.state.leases.Set(testRouting(1, 0))
+	require.False(t, g.isStale(mark))
 	clock.advance(staleFetchDelay)
-	require.True(t, n.isStale(mark))
-	n.state.leases.Set(testRouting(2, 1))
-	require.False(t, n.isStale(mark))
+	require.True(t, g.isStale(mark))
+	g.state.leases.Set(testRouting(2, 1))
+	require.False(t, g.isStale(mark))
 	mark.Seq = 3
-	require.False(t, n.isStale(mark), "time counts from the version at hand")
+	require.False(t, g.isStale(mark), "the delay starts anew with each version known here")
 	mark.Epoch = 4
-	require.True(t, n.isStale(mark))
+	require.True(t, g.isStale(mark))
 }
--- a/internal/gateway/repeats_test.go
+++ b/internal/gateway/repeats_test.go
@@ -13,7 +13,7 @@
 // Guards against repeats whose cause does not appear in the metrics.
 func TestRepeatsAreCountedByCause(t *testing.T) {
 	b := newTestbed(t)
-	count := func(service string, why repeatCause) int64 { return b.repeatCounter(service, why).Count() }
+	count := func(service string, cause repeatCause) int64 { return b.repeatCounter(service, cause).Count() }
 	b.addTarget("t", "pool", resetConnection)
 	b.addTarget("u", "pool", resetConnection)
 	require.Equal(t, http.StatusBadGateway, b.send("safe.example", nil, "").StatusCode)
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -112,12 +112,12 @@
 	if cold && !t.pick.AcceptsCold() {
 		return nil, refusedCold, t.describeLoad()
 	}
-	e, reason := s.reserveLocked(t, s.fleet.all.VMs, service, rt.Name, timeLeft)
-	if e == nil {
+	a, reason := s.reserveLocked(t, s.fleet.all.VMs, service, rt.Name, timeLeft)
+	if a == nil {
 		return nil, reason, t.describeLoad()
 	}
-	e.cold, e.leases = cold, mesh.LeaseMark{Service: service, Epoch: r.Epoch, Seq: r.Seq}
-	return e, reason, ""
+	a.cold, a.leases = cold, mesh.LeaseMark{Service: service, Epoch: r.Epoch, Seq: r.Seq}
+	return a, reason, ""
 }
 
 // vmsUsingLocked returns the number of VMs that send requests to a target of a pool. It needs
@@ -132,17 +132,17 @@
 // reserveLocked reserves a target that is used by vmsUsing VMs. It needs s.mu.
 func (s *routingState) reserveLocked(t *targetState, vmsUsing int, service, route string, timeLeft time.Duration) (*attempt, refusal) {
 	usual := s.usualDurationLocked(service, route)
-	e := &attempt{
+	a := &attempt{
 		target: t, id: t.ID, pool: t.pool, service: service, route: route, sent: time.Now(),
 		usual: usual, rounds: t.pick.Rounds(), expected: t.pick.Expected(usual), load: t.pick.Load(), vmsUsing: vmsUsing,
 	}
 	// The actual time is rarely less than half of the expected time.
-	if usual > 0 && t.pick.Load() > t.pick.Slots && e.expected/2 > timeLeft {
+	if usual > 0 && t.pick.Load() > t.pick.Slots && a.expected/2 > timeLeft {
 		return nil, refusedLate
 	}
 	t.pick.Sent(vmsUsing)
 	s.inUse[t] = struct{}{}
-	return e, notRefused
+	return a, notRefused
 }
 
 // attemptResult says how an attempt ended.
@@ -164,20 +164,20 @@
 )
 
 // finish releases the target of an attempt and updates its statistics.
-func (s *routingState) finish(e *attempt, result attemptResult) {
-	took := time.Since(e.sent)
+func (s *routingState) finish(a *attempt, result attemptResult) {
+	took := time.Since(a.sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t := &e.target.pick
-	t.Ended(e.vmsUsing)
+	t := &a.target.pick
+	t.Ended(a.vmsUsing)
 	switch result {
 	case resultSucceeded:
-		if e.cold {
-			s.recordColdResponseLocked(e, took)
+		if a.cold {
+			s.recordColdResponseLocked(a, took)
 			return
 		}
-		t.Answered(took, e.usual, e.rounds)
-		s.recordDurationLocked(e.service, e.route, time.Duration(float64(took)/(e.rounds*t.Slowness())))
+		t.Answered(took, a.usual, a.rounds)
+		s.recordDurationLocked(a.service, a.route, time.Duration(float64(took)/(a.rounds*t.Slowness())))
 	case resultFailed:
 		t.Failed()
 	case resultNotSent:
@@ -187,8 +187,8 @@
 	case resultAbandoned:
 		// An attempt that took much longer than expected shows that the target is slow, even
 		// without a response.
-		if !e.cold && took > 2*e.expected && e.usual > 0 {
-			t.Answered(took, e.usual, e.rounds)
+		if !a.cold && took > 2*a.expected && a.usual > 0 {
+			t.Answered(took, a.usual, a.rounds)
 		}
 	}
 }
@@ -196,14 +196,14 @@
 // markDisplaced records that another target responds at the address of this one. Otherwise every
 // request for its keys would be sent there and refused, and would count as a repeat at a service
 // that it was never meant for.
-func (s *routingState) markDisplaced(e *attempt) {
+func (s *routingState) markDisplaced(a *attempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.target.displaced {
+	if a.target.displaced {
 		return
 	}
-	e.target.displaced = true
-	s.log.Warn().Str("step", "targets").Str("target", e.id).Str("addr", e.target.Addr).Int64("born", e.target.Born).
+	a.target.displaced = true
+	s.log.Warn().Str("step", "targets").Str("target", a.id).Str("addr", a.target.Addr).Int64("born", a.target.Born).
 		Msg("another target has the address")
 }
 
@@ -216,7 +216,7 @@
 		counts = make(map[uint16]uint16)
 		s.keyLoad[service] = counts
 	}
-	if _, seen := counts[key]; seen || len(counts) < maxKeysCounted {
+	if _, counted := counts[key]; counted || len(counts) < maxKeysCounted {
 		counts[key]++
 	}
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -17,7 +17,7 @@
 	// and removes a VM after two failed checks.
 	listenerCloseShare = 0.55
 	// lastResponseShare is when the last response must have been sent. Requests that still run are
-	// canceled leaving.AnswerDelivery earlier, so that their callers get a response.
+	// cancelled leaving.AnswerDelivery earlier, so that their callers get a response.
 	lastResponseShare = 0.92
 )
 
@@ -49,7 +49,7 @@
 }
 
 // shutdownFront closes the listener and waits for the requests in flight. Those that still run
-// after cancelAfter are canceled, and their callers get a response.
+// after cancelAfter are cancelled, and their callers get a response.
 func (g *Gateway) shutdownFront(ctx context.Context, cancelAfter time.Duration) error {
 	timer := time.AfterFunc(cancelAfter, func() { g.cancelRequests(errShuttingDown) })
 	defer timer.Stop()
@@ -72,13 +72,13 @@
 	return fractionOf(time.Duration(g.grace.Load()), lastResponseShare) - g.shutdownElapsed()
 }
 
-// errShuttingDown is the cause with which requests in flight are canceled at the end of the
+// errShuttingDown is the cause with which requests in flight are cancelled at the end of the
 // graceful shutdown.
 var errShuttingDown = errors.New("the process stops")
 
-// canceledByShutdown reports whether a request was canceled by the graceful shutdown, not by its
+// cancelledByShutdown reports whether a request was cancelled by the graceful shutdown, not by its
 // caller.
-func canceledByShutdown(ctx context.Context) bool {
+func cancelledByShutdown(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errShuttingDown)
 }
 
@@ -92,23 +92,23 @@
 
 // mayOutlastShutdown reports whether this VM is shutting down and the request might not end in
 // time. Such a request is not sent to the target.
-func (g *Gateway) mayOutlastShutdown(c *call, e *attempt, left time.Duration) bool {
+func (g *Gateway) mayOutlastShutdown(c *call, a *attempt, timeLeft time.Duration) bool {
 	if !g.leaving.Load() {
 		return false
 	}
-	expected := e.expected
-	if e.cold {
+	expected := a.expected
+	if a.cold {
 		expected = time.Duration(float64(expected) * g.state.warmupCostFor(c.service))
 	}
 	elapsed, remaining := g.shutdownElapsed(), g.shutdownTimeLeft()
-	request := leaving.Request{MaxDuration: left, Expected: expected}
+	request := leaving.Request{MaxDuration: timeLeft, Expected: expected}
 	accepted := leaving.Accepts(request, elapsed, remaining)
-	if c.mayHaveRun > 0 {
+	if c.possibleRuns > 0 {
 		accepted = leaving.AllowsRepeat(request, remaining)
 	}
 	if !accepted {
 		c.refusedOn = fmt.Sprintf("%s expected %dms most %dms stopping for %dms ends in %dms ran %d",
-			e.id, expected.Milliseconds(), left.Milliseconds(), elapsed.Milliseconds(), remaining.Milliseconds(), c.mayHaveRun)
+			a.id, expected.Milliseconds(), timeLeft.Milliseconds(), elapsed.Milliseconds(), remaining.Milliseconds(), c.possibleRuns)
 	}
 	return !accepted
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -108,16 +108,16 @@
 func TestLeavingVMDoesNotRepeatRequestShortlyBeforeItsEnd(t *testing.T) {
 	b := newTestbed(t)
 	b.grace.Store(int64(6 * time.Second))
-	fails := func(w http.ResponseWriter, _ *http.Request) {
+	fail := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Stamp", "first")
 		w.WriteHeader(http.StatusInternalServerError)
 	}
-	handler := firstThen(b.beginShutdownThen(5200*time.Millisecond, fails), succeed)
+	handler := firstThen(b.beginShutdownThen(5200*time.Millisecond, fail), succeed)
 	b.addTarget("a", "pool", handler)
 	b.addTarget("b", "pool", handler)
 	resp := b.send("patient.example", nil, "")
 	require.Equal(t, http.StatusInternalServerError, resp.StatusCode)
-	require.Equal(t, "first", resp.Header.Get("Stamp"), "the answer of the target that ran it")
+	require.Equal(t, "first", resp.Header.Get("Stamp"), "the response of the target that ran the request")
 	require.True(t, resp.Close)
 	require.EqualValues(t, 1, b.requests.Load())
 }
@@ -142,42 +142,42 @@
 }
 
 // Guards against a request whose connection is closed without a response when the VM ends.
-func TestRequestInFlightAtShutdownIsAnswered(t *testing.T) {
+func TestRequestInFlightAtShutdownGetsResponse(t *testing.T) {
 	b := newTestbed(t)
-	reached, left := make(chan struct{}), make(chan struct{})
+	started, cancelled := make(chan struct{}), make(chan struct{})
 	b.addTarget("a", "pool", func(_ http.ResponseWriter, r *http.Request) {
-		close(reached)
+		close(started)
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})
-	conn, answers := b.dialFront()
+	conn, reader := b.dialFront()
 	_, err := io.WriteString(conn, "GET /x HTTP/1.1\r\nHost: patient.example\r\nId: r-1\r\n\r\n")
 	require.NoError(t, err)
-	<-reached
+	<-started
 	b.beginLeaving()
 	require.NoError(t, b.shutdownFront(context.Background(), 0))
-	resp, err := http.ReadResponse(answers, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	require.Equal(t, http.StatusBadGateway, resp.StatusCode, "it may have run")
 	require.True(t, resp.Close)
-	<-left
+	<-cancelled
 }
 
 // Guards against a connection that is closed in the middle of the request body when the VM ends.
 func TestRequestWithPartialBodyAtShutdownIsRefused(t *testing.T) {
 	b := newTestbed(t)
 	b.addTarget("a", "pool", succeed)
-	conn, answers := b.dialFront()
+	conn, reader := b.dialFront()
 	_, err := io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: patient.example\r\nId: r-1\r\nContent-Length: 20\r\nExpect: 100-continue\r\n\r\n")
 	require.NoError(t, err)
-	_, err = http.ReadResponse(answers, nil)
+	_, err = http.ReadResponse(reader, nil)
 	require.NoError(t, err, "the body is being read")
 	_, err = io.WriteString(conn, "half")
 	require.NoError(t, err)
 	b.beginLeaving()
 	require.NoError(t, b.shutdownFront(context.Background(), 0))
-	resp, err := http.ReadResponse(answers, nil)
+	resp, err := http.ReadResponse(reader, nil)
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	require.Equal(t, http.StatusServiceUnavailable, resp.StatusCode)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -184,7 +184,7 @@
 		}
 	}
 	s.view.Store(view)
-	s.subsetLocked()
+	s.chooseSubsetsLocked()
 	s.notifyChangedLocked()
 	if source == sourceStore {
 		s.announce()
@@ -213,16 +213,16 @@
 	}
 	s.log.Info().Str("step", "targets").Str("target", t.ID).Str("service", t.Service).Str("addr", t.Addr).Int64("born", t.Born).
 		Bool("draining", t.Draining).Uint64("revision", t.Revision).Str("source", source).Msg("target known")
-	state := &targetState{
+	added := &targetState{
 		Target: t, hash: catalog.Hash(t.ID),
 		pool: upstream.NewPool(t.Addr, metrics.GetOrRegisterCounter("connections.opened", s.registry)),
 		pick: pick.State{Slots: t.Slots, Near: t.DataCentre == s.dataCentre},
 	}
 	if t.Draining {
-		state.drainsUntil = s.clock.Now() + drainingOwnerGrace
+		added.drainsUntil = s.clock.Now() + drainingOwnerGrace
 	}
-	s.targets[t.ID] = state
-	s.byHash[mesh.LoadKey(state.hash)] = state
+	s.targets[t.ID] = added
+	s.byHash[mesh.LoadKey(added.hash)] = added
 }
 
 // untrackLocked removes a target. It needs s.mu.
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -62,27 +62,27 @@
 	target.Draining = true
 	s.setTargets(2, target)
 
-	e, why, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, notRefused, why, "until the key has another owner, this one serves it")
-	s.finish(e, resultAbandoned)
+	a, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, notRefused, reason, "a draining owner serves the key until it has another owner")
+	s.finish(a, resultAbandoned)
 
 	clock.advance(drainingOwnerGrace + time.Millisecond)
-	_, why, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, refusedLost, why)
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, refusedLost, reason)
 }
 
 func TestRequestForMovingKeyIsNotSent(t *testing.T) {
 	s := newTestState(newManualClock(0))
 	s.setTargets(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	s.setOwner("s", 1, 2, "t", lease.Moving)
-	_, why, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, refusedMoving, why)
+	_, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, refusedMoving, reason)
 	s.setOwner("s", 1, 1, "t", lease.Served)
-	_, why, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, refusedMoving, why, "older leases change nothing")
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, refusedMoving, reason, "older leases are ignored")
 	s.setOwner("s", 2, 1, "t", lease.Served)
-	_, why, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, notRefused, why)
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, notRefused, reason)
 }
 
 // Guards against a restarted target that inherits the connections and statistics of its earlier
@@ -91,11 +91,11 @@
 	s := newTestState(newManualClock(0))
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
 	s.setTargets(1, target)
-	first := s.targets["t"]
-	first.pick.ConnectFailed(0)
+	old := s.targets["t"]
+	old.pick.ConnectFailed(0)
 	target.Born = 2
 	s.setTargets(2, target)
-	require.NotSame(t, first.pool, s.targets["t"].pool)
+	require.NotSame(t, old.pool, s.targets["t"].pool)
 	require.False(t, s.targets["t"].pick.BackingOff(time.Millisecond))
 }
 
@@ -106,43 +106,43 @@
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
 	s.setTargets(1, target)
 	s.setOwner("s", 1, 1, "t", lease.Served)
-	e, _, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	a := &upstream.Answer{Status: http.StatusMisdirectedRequest, Header: http.Header{"Instance": {"other"}}}
+	a, _, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	resp := &upstream.Answer{Status: http.StatusMisdirectedRequest, Header: http.Header{"Instance": {"other"}}}
 	h := fakeAdapter{}.Headers()
-	require.True(t, h.fromOtherTarget(a, "t"))
-	require.False(t, h.fromOtherTarget(a, "other"), "a target that does not hold the key is no other")
-	s.markDisplaced(e)
-	_, why, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, refusedLost, why)
-	_, why = s.reserveFromPool("s", &route.Route{}, nil, time.Second, 0)
-	require.Equal(t, refusedFull, why)
+	require.True(t, h.fromOtherTarget(resp, "t"))
+	require.False(t, h.fromOtherTarget(resp, "other"), "a target that only does not hold the key is not another target")
+	s.markDisplaced(a)
+	_, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, refusedLost, reason)
+	_, reason = s.reserveFromPool("s", &route.Route{}, nil, time.Second, 0)
+	require.Equal(t, refusedFull, reason)
 	target.Born = 2
 	s.setTargets(2, target)
-	_, why, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
-	require.Equal(t, notRefused, why, "a new life answers there")
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	require.Equal(t, notRefused, reason, "the new incarnation gets requests")
 }
 
 func TestGaugesShowAgeOfConfigAndLeases(t *testing.T) {
 	clock := newManualClock(time.Hour)
-	n := newTestGateway(clock)
-	defer n.mesh.Close()
-	n.state.setConfig(&route.Config{Version: 3}, "test")
+	g := newTestGateway(clock)
+	defer g.mesh.Close()
+	g.state.setConfig(&route.Config{Version: 3}, "test")
 	clock.advance(2 * time.Second)
-	n.state.setOwner("s", 1, 1, "t", lease.Served)
+	g.state.setOwner("s", 1, 1, "t", lease.Served)
 	clock.advance(3 * time.Second)
-	gauge := func(name string) int64 { return n.registry.Get(name).(metrics.Gauge).Value() }
+	gauge := func(name string) int64 { return g.registry.Get(name).(metrics.Gauge).Value() }
 	require.EqualValues(t, 5000, gauge("config.age"))
 	require.EqualValues(t, 3000, gauge("leases.s.age"))
-	n.state.setOwner("s", 1, 2, "u", lease.Served)
+	g.state.setOwner("s", 1, 2, "u", lease.Served)
 	require.Zero(t, gauge("leases.s.age"))
 }
 
 // Guards against VMs that all send their first requests to the same target.
 func TestVMsStartWithDifferentTargets(t *testing.T) {
-	turn := func(vm string) int {
+	startIndex := func(vm string) int {
 		s := &Settings{Store: "127.0.0.1:1"}
 		s.VM, s.Peers = vm, "127.0.0.1:1"
 		return newGateway(s, fakeAdapter{store: unavailableStore{}}, newManualClock(0), discardLogger(), metrics.NewRegistry()).state.startIndex
 	}
-	require.NotEqual(t, turn("a"), turn("b"))
+	require.NotEqual(t, startIndex("a"), startIndex("b"))
 }
--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -16,7 +16,7 @@
 func (g *Gateway) recordStoreResult(sent time.Duration, err error) {
 	switch {
 	case errors.Is(err, context.Canceled):
-		// The call was canceled by this process and says nothing about the store.
+		// The call was cancelled by this process and says nothing about the store.
 	case err == nil, errors.Is(err, platform.ErrConflict), errors.Is(err, platform.ErrNotFound), errors.Is(err, platform.ErrGone):
 		g.storeRespondedAt.Store(int64(g.clock.Now()))
 		g.setStoreUp(true, nil)
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -78,14 +78,14 @@
 		s.log.Info().Str("step", "subset").Int("place", place.near.Index).Int("vmsNear", place.near.VMs).Int("vms", place.all.VMs).
 			Uint64("targets", s.view.Load().Targets.Revision).Msg("place among the VMs changed")
 		s.fleet = place
-		s.subsetLocked()
+		s.chooseSubsetsLocked()
 	}
 	return s.minNearTargetsLocked()
 }
 
-// subsetLocked chooses the subset of each pool: some targets of this data centre, and some of the
+// chooseSubsetsLocked chooses the subset of each pool: some targets of this data centre, and some of the
 // others for requests that do not fit there. It needs s.mu.
-func (s *routingState) subsetLocked() {
+func (s *routingState) chooseSubsetsLocked() {
 	view := s.view.Load()
 	s.pools = make(map[string]*servicePool, len(view.ByService))
 	for service, list := range view.ByService {
@@ -126,7 +126,7 @@
 // minNearTargetsLocked returns the number of targets in this data centre of the service that has
 // the fewest there. It needs s.mu.
 func (s *routingState) minNearTargetsLocked() int {
-	least := 0
+	fewest := 0
 	for _, p := range s.pools {
 		near := 0
 		for _, state := range p.all.states {
@@ -134,11 +134,11 @@
 				near++
 			}
 		}
-		if near > 0 && (least == 0 || near < least) {
-			least = near
+		if near > 0 && (fewest == 0 || near < fewest) {
+			fewest = near
 		}
 	}
-	return least
+	return fewest
 }
 
 // subsetSize returns the number of targets in the subsets of all pools.
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -28,9 +28,9 @@
 }
 
 func (s *routingState) reserveOne(t *testing.T) *attempt {
-	e, why := s.reserveFromPool("s", &route.Route{Name: "r"}, nil, time.Second, 0)
-	require.Equal(t, notRefused, why)
-	return e
+	a, reason := s.reserveFromPool("s", &route.Route{Name: "r"}, nil, time.Second, 0)
+	require.Equal(t, notRefused, reason)
+	return a
 }
 
 // Guards against a new connection for nearly every request in a large fleet.
@@ -38,9 +38,9 @@
 	s := newLargePool(t)
 	used := make(map[string]bool)
 	for range 500 {
-		e := s.reserveOne(t)
-		used[e.id] = true
-		s.finish(e, resultSucceeded)
+		a := s.reserveOne(t)
+		used[a.id] = true
+		s.finish(a, resultSucceeded)
 	}
 	require.Less(t, len(used), 20)
 }
@@ -48,8 +48,8 @@
 // Guards against refusals while targets outside of the VM's subset have free slots.
 func TestWholePoolIsUsedOnceTheSubsetIsFull(t *testing.T) {
 	s := newLargePool(t)
-	for _, at := range s.pools["s"].subset.targets {
-		at.pick.Others = 100
+	for _, target := range s.pools["s"].subset.targets {
+		target.pick.Others = 100
 	}
 	require.Zero(t, s.reserveOne(t).target.vmsUsing)
 }
@@ -80,14 +80,14 @@
 	}
 	require.NotEmpty(t, s.ownLoads())
 	s.setPlace(fleetPlace{all: subset.Place{Index: 10, VMs: 150}, near: subset.Place{Index: 9, VMs: 70}})
-	for _, e := range sent {
-		s.finish(e, resultSucceeded)
+	for _, a := range sent {
+		s.finish(a, resultSucceeded)
 	}
 	s.setOtherLoads(nil)
 	require.Empty(t, s.ownLoads())
 	require.Empty(t, s.inUse)
-	for _, at := range s.targets {
-		require.Zero(t, at.pick.Load())
+	for _, target := range s.targets {
+		require.Zero(t, target.pick.Load())
 	}
 }
 
--- a/internal/gateway/warmup.go
+++ b/internal/gateway/warmup.go
@@ -23,11 +23,11 @@
 // recordColdResponseLocked updates the warmup cost from a response to a request for a cold key. It
 // leaves the target's slowness and the usual duration unchanged: otherwise responses for cold keys
 // would make a target look slow, and its warm keys would be moved. It needs s.mu.
-func (s *routingState) recordColdResponseLocked(e *attempt, took time.Duration) {
-	if e.usual <= 0 {
+func (s *routingState) recordColdResponseLocked(a *attempt, took time.Duration) {
+	if a.usual <= 0 {
 		return
 	}
-	ratio := pick.BoundRatio(float64(took) / (float64(e.usual) * e.rounds * e.target.pick.Slowness()))
-	old := s.warmupCostLocked(e.service)
-	s.warmupCost[e.service] = old + (ratio-old)/warmupSamples
+	ratio := pick.BoundRatio(float64(took) / (float64(a.usual) * a.rounds * a.target.pick.Slowness()))
+	old := s.warmupCostLocked(a.service)
+	s.warmupCost[a.service] = old + (ratio-old)/warmupSamples
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -134,8 +134,8 @@
 	g.watch(ctx, g.adapter.TargetKind(), func(l platform.Listing) {
 		t := catalog.Targets{Revision: l.Revision}
 		for _, o := range l.Objects {
-			if e, ok := g.readTarget(o); ok {
-				t.List = append(t.List, e)
+			if target, ok := g.readTarget(o); ok {
+				t.List = append(t.List, target)
 			}
 		}
 		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
@@ -155,23 +155,23 @@
 		m.Remove(ev.Object.Name, ev.Revision, now)
 		return
 	}
-	e, ok := g.readTarget(ev.Object)
+	target, ok := g.readTarget(ev.Object)
 	if !ok {
 		m.Remove(ev.Object.Name, ev.Revision, now)
 		return
 	}
-	m.Put(e, ev.Revision)
+	m.Put(target, ev.Revision)
 }
 
 // readTarget decodes the object of a target. An object that cannot be decoded is ignored, because
 // it names no usable target and must not affect the others.
 func (g *Gateway) readTarget(o platform.Object) (catalog.Target, bool) {
-	e, err := g.adapter.Target(o)
+	target, err := g.adapter.Target(o)
 	if err != nil {
 		g.log.Warn().Str("step", "targets").Str("target", o.Name).Uint64("revision", o.Version).Err(err).Msg("ignored target object that could not be decoded")
-		return e, false
+		return target, false
 	}
-	return e, true
+	return target, true
 }
 
 // watchConfig keeps the configuration up to date.
@@ -206,8 +206,8 @@
 // expireTargets periodically drops the targets that are still missing some time after an outage of
 // the store.
 func (g *Gateway) expireTargets(ctx context.Context) {
-	const every = 100 * time.Millisecond
-	for pause.For(ctx, every) {
+	const interval = 100 * time.Millisecond
+	for pause.For(ctx, interval) {
 		g.state.mu.Lock()
 		if g.state.membership.Waiting() && g.state.membership.Expire(g.clock.Now()) {
 			g.state.publishLocked("still missing after an outage")
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -13,53 +13,53 @@
 // Guards against a grantor on a slow link while other VMs have fast ones.
 func TestVMsWithFasterLinksHaveLowerPlaces(t *testing.T) {
 	place := func(own float64, others ...uint32) int {
-		n := newTestGatewayWithLink(newManualClock(time.Hour), own)
-		defer n.mesh.Close()
+		g := newTestGatewayWithLink(newManualClock(time.Hour), own)
+		defer g.mesh.Close()
 		for i, link := range others {
-			n.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1, LinkMbps: link}})
+			g.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1, LinkMbps: link}})
 		}
-		return n.place("s", n.mesh.ReachesStore)
+		return g.place("s", g.mesh.ReachesStore)
 	}
 	require.Zero(t, place(200, 10, 10, 10, 10, 10, 10))
 	require.Equal(t, 6, place(10, 200, 200, 200, 200, 200, 200))
 	require.Equal(t, place(0, 0, 0, 0), place(1000, 1000, 1000, 1000))
-	require.Equal(t, place(900, 900, 900, 900), place(900, 1000, 1000, 1000), "small differences change nothing")
+	require.Equal(t, place(900, 900, 900, 900), place(900, 1000, 1000, 1000), "small differences are ignored")
 }
 
 // Guards against VMs that all try to become the grantor at the same time while none reaches the
 // store.
 func TestPlacesAreDistinctWhileNoVMReachesTheStore(t *testing.T) {
-	taken := make(map[int]bool)
+	places := make(map[int]bool)
 	for i := range 5 {
-		n := newTestGatewayNamed(newManualClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
-		defer n.mesh.Close()
+		g := newTestGatewayNamed(newManualClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
+		defer g.mesh.Close()
 		for j := range 5 {
 			if j != i {
-				n.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, StoreLost: true})
+				g.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, StoreLost: true})
 			}
 		}
-		taken[n.successionPlace("s")] = true
+		places[g.successionPlace("s")] = true
 	}
-	require.Len(t, taken, 5)
+	require.Len(t, places, 5)
 }
 
 // Guards against VMs that all try to become the grantor at the same time while all of them shut
 // down.
 func TestLeavingVMsHaveDistinctSuccessionPlaces(t *testing.T) {
-	taken := make(map[int]bool)
+	places := make(map[int]bool)
 	for i := range 5 {
-		n := newTestGatewayNamed(newManualClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
-		defer n.mesh.Close()
-		n.leaving.Store(true)
+		g := newTestGatewayNamed(newManualClock(time.Hour), fmt.Sprintf("vm-%d", i), 0)
+		defer g.mesh.Close()
+		g.leaving.Store(true)
 		for j := range 8 {
 			if j != i {
-				n.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, Leaving: j < 5})
+				g.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, Leaving: j < 5})
 			}
 		}
-		require.Equal(t, 3, n.mesh.Staying())
-		taken[n.successionPlace("s")] = true
+		require.Equal(t, 3, g.mesh.Staying())
+		places[g.successionPlace("s")] = true
 	}
-	require.Len(t, taken, 5)
-	require.Contains(t, taken, 0)
-	require.Contains(t, taken, 4)
+	require.Len(t, places, 5)
+	require.Contains(t, places, 0)
+	require.Contains(t, places, 4)
 }
