--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,60 +28,64 @@
 	"hemlockquay/internal/storerelay"
 )
 
-// Gateway is the daemon's parts joined together.
+// Gateway is the hq-gateway daemon.
 type Gateway struct {
-	settings *Settings
-	adapter  Adapter
-	headers  Headers
-	store    platform.ObjectStore
-	clock    boottime.Clock
-	log      *log.Logger
-	registry metrics.Registry
-	life     *daemon.Life
-	self     mesh.Member
-	state    *routingState
-	mesh     *mesh.Mesh
-	counters *counters
-	lines    *requestLines
-	bodies   bodyRoom
+	settings   *Settings
+	adapter    Adapter
+	headers    Headers
+	store      platform.ObjectStore
+	clock      boottime.Clock
+	log        *log.Logger
+	registry   metrics.Registry
+	life       *daemon.Life
+	self       mesh.Member
+	state      *routingState
+	mesh       *mesh.Mesh
+	counters   *counters
+	requestLog *requestLogLimiter
+	bodyMemory bodyMemory
 	// transfers sends configurations and lists of targets to other VMs.
 	transfers *transfers
 	leasing   *leasing.Manager
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// hangups receives SIGHUP.
-	hangups  chan os.Signal
-	fetching sync.Map
-	tags     atomic.Uint64
-	// storeUp reports whether the store answered last, storeAnsweredAt when it did, on
-	// clock.
-	storeUp         atomic.Bool
-	storeAnsweredAt atomic.Int64
-	// storeRelayedAt is when the store last answered through another VM, on clock.
+	// sighups receives SIGHUP.
+	sighups chan os.Signal
+	// fetches holds the running fetches, a *fetchSources for each kind of value.
+	fetches sync.Map
+	// writeCount makes the tags of writes unique.
+	writeCount atomic.Uint64
+	// storeUp reports whether the store responded when it was last called. storeRespondedAt is the
+	// time of its last response, on clock.
+	storeUp          atomic.Bool
+	storeRespondedAt atomic.Int64
+	// storeRelayedAt is the time of the store's last response through another VM, on clock.
 	storeRelayedAt atomic.Int64
-	// targetsConfirmedAt is when the store, or a VM that it answers, last confirmed the list of targets,
-	// on clock.
+	// targetsConfirmedAt is when the list of targets was last confirmed by the store, or by a VM
+	// that reaches the store, on clock.
 	targetsConfirmedAt atomic.Int64
-	// joined reports whether the store or another VM has named the VMs.
+	// joined reports whether the list of VMs was received from the store or from another VM.
 	joined atomic.Bool
-	// listed reports whether the targets are known.
+	// listed reports whether the list of targets is known.
 	listed atomic.Bool
-	// grace is how long after SIGTERM the process is killed, nanoseconds. It does not change
-	// during the graceful shutdown.
+	// grace is the time from SIGTERM until the process is killed, in nanoseconds. It does not
+	// change during the graceful shutdown.
 	grace atomic.Int64
-	// leaving is set by the graceful shutdown, leavingSince before it, on clock.
+	// leaving is set by the graceful shutdown. leavingSince is set before it, on clock.
 	leaving      atomic.Bool
 	leavingSince atomic.Int64
 
+	// front serves callers, ready the readiness check of the load balancer.
 	front, ready *http.Server
-	// requests is the context of all callers' requests; endRequests ends those in flight.
-	requests    context.Context
-	endRequests context.CancelCauseFunc
-	peers       *peer.Server
+	// requestCtx is the parent context of all callers' requests. cancelRequests ends those in
+	// flight.
+	requestCtx     context.Context
+	cancelRequests context.CancelCauseFunc
+	peers          *peer.Server
 }
 
-// Module returns the daemon for a platform.
+// Module returns the fx module of the daemon for a platform.
 func Module(a Adapter) fx.Option {
 	return fx.Options(
 		fx.Supply(fx.Annotate(a, fx.As(new(Adapter)))),
@@ -93,7 +97,7 @@
 	debug.SetGCPercent(kit.Settings.GCPercent)
 	g := newGateway(kit.Settings, a, boottime.System{}, kit.Log, kit.Registry)
 	g.life = kit.Life
-	g.receiveHangups()
+	g.receiveSIGHUP()
 	kit.Life.Section("view", g.dump)
 	kit.LC.Append(fx.Hook{OnStart: g.start, OnStop: g.stop})
 	return nil
@@ -103,46 +107,46 @@
 	g := &Gateway{
 		settings: s, adapter: a, headers: a.Headers(), clock: clock, log: logger, registry: registry,
 		self:     mesh.Member{VM: s.VM, Addr: s.Peers, DataCentre: s.DataCentre, Incarnation: uint64(time.Now().UnixNano()), LinkMbps: uint32(s.LinkMbps)},
-		counters: newCounters(registry), lines: newRequestLines(registry),
-		bodies: newBodyRoom(s.MemoryMB),
+		counters: newCounters(registry), requestLog: newRequestLogLimiter(registry),
+		bodyMemory: newBodyMemory(s.MemoryMB),
 	}
-	g.store = observedStore{ObjectStore: a.Store(s.Store), registry: registry, clock: clock, ended: g.noteStore}
+	g.store = observedStore{ObjectStore: a.Store(s.Store), registry: registry, clock: clock, onResult: g.recordStoreResult}
 	g.transfers = newTransfers(g.self.LinkBytesPerSecond())
-	g.hangups = make(chan os.Signal, 1)
+	g.sighups = make(chan os.Signal, 1)
 	g.grace.Store(int64(s.Grace))
-	g.state = newRoutingState(clock, logger, registry, s.DataCentre, s.limits())
+	g.state = newRoutingState(clock, logger, registry, s.DataCentre, s.repeatLimit())
 	g.mesh = mesh.New(g.self, clock, logger)
 	g.state.announce = g.mesh.Announce
-	// Were all VMs to begin with the same target, they would fill it together.
-	g.state.turn = int(catalog.Hash(s.VM))
-	g.gauges()
+	// If all VMs started with the same target, they would overload it together.
+	g.state.startIndex = int(catalog.Hash(s.VM))
+	g.registerGauges()
 	g.ctx, g.cancel = context.WithCancel(context.Background())
-	g.requests, g.endRequests = context.WithCancelCause(context.Background())
+	g.requestCtx, g.cancelRequests = context.WithCancelCause(context.Background())
 	g.front = g.newFront()
 	g.leasing = g.newLeaseManager()
 	return g
 }
 
-// tag returns a name for a write that no other write has.
+// tag returns a unique name for a write to the store.
 func (g *Gateway) tag() string {
-	return g.self.VM + "/" + strconv.FormatUint(g.self.Incarnation, 36) + "/" + strconv.FormatUint(g.tags.Add(1), 10)
+	return g.self.VM + "/" + strconv.FormatUint(g.self.Incarnation, 36) + "/" + strconv.FormatUint(g.writeCount.Add(1), 10)
 }
 
-// headerTimeout bounds how long a caller may take to send its headers, idleMost
-// how long its connection may be idle: both above what configurations allow.
+// headerTimeout bounds how long a caller may take to send its headers, idleTimeout how long its
+// connection may be idle. Both are above what configurations allow.
 const (
 	headerTimeout = 10 * time.Second
-	idleMost      = 75 * time.Second
+	idleTimeout   = 75 * time.Second
 )
 
 func (g *Gateway) start(context.Context) error {
-	// The others call as soon as the port is open.
+	// Other VMs call as soon as the port is open.
 	g.mesh.Start(g)
 	if err := g.listen(); err != nil {
 		return err
 	}
 	for _, duty := range []func(context.Context){
-		g.watchConfig, g.watchTargets, g.expireTargets, g.join, g.leasing.Run, g.refreshLoads, g.refreshPlace, g.sweep, g.reload, g.reportRepeats,
+		g.watchConfig, g.watchTargets, g.expireTargets, g.joinMesh, g.leasing.Run, g.refreshLoads, g.refreshPlaces, g.closeIdleConnections, g.watchSettings, g.reportRepeats,
 	} {
 		go duty(g.ctx)
 	}
@@ -151,11 +155,11 @@
 	return nil
 }
 
-// newFront returns the server for callers.
+// newFront returns the HTTP server for callers.
 func (g *Gateway) newFront() *http.Server {
 	return &http.Server{
-		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleMost,
-		BaseContext: func(net.Listener) context.Context { return g.requests },
+		Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		BaseContext: func(net.Listener) context.Context { return g.requestCtx },
 	}
 }
 
@@ -164,7 +168,7 @@
 	if g.peers, err = peer.Listen(g.settings.Peers); err != nil {
 		return err
 	}
-	if err := g.register(); err != nil {
+	if err := g.registerServices(); err != nil {
 		return err
 	}
 	g.ready = &http.Server{Handler: http.HandlerFunc(g.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -182,8 +186,8 @@
 	return nil
 }
 
-// register publishes what other VMs may call.
-func (g *Gateway) register() error {
+// registerServices registers the RPC services for other VMs.
+func (g *Gateway) registerServices() error {
 	return errors.Join(
 		g.peers.Register("Mesh", mesh.Service{Mesh: g.mesh}),
 		g.peers.Register("View", View{g}),
@@ -193,32 +197,32 @@
 
 func (g *Gateway) serve(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		g.log.Error().Str("step", "listen").Str("addr", l.Addr().String()).Err(err).Msg("listener ended")
+		g.log.Error().Str("step", "listen").Str("addr", l.Addr().String()).Err(err).Msg("listener failed")
 	}
 }
 
 func (g *Gateway) servePeers() {
 	if err := g.peers.Serve(); err != nil {
-		g.log.Error().Str("step", "listen").Str("addr", g.settings.Peers).Err(err).Msg("listener ended")
+		g.log.Error().Str("step", "listen").Str("addr", g.settings.Peers).Err(err).Msg("listener failed")
 	}
 }
 
-// serveReady reports to the balancer whether to send new connections.
+// serveReady tells the load balancer whether to send new connections to this VM.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.leaving.Load() || g.state.view.Load().Routes == nil || !g.listed.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// checkReady notes that the daemon has what it needs.
-func (g *Gateway) checkReady() {
+// reportReady marks the daemon as ready once it has a configuration and the list of targets.
+func (g *Gateway) reportReady() {
 	if g.life != nil && g.state.view.Load().Routes != nil && g.listed.Load() {
 		g.life.Ready()
 	}
 }
 
-// sweep closes idle connections to targets.
-func (g *Gateway) sweep(ctx context.Context) {
+// closeIdleConnections periodically closes idle connections to targets.
+func (g *Gateway) closeIdleConnections(ctx context.Context) {
 	for pause.For(ctx, time.Second) {
 		g.state.mu.Lock()
 		for _, t := range g.state.targets {
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -11,72 +11,72 @@
 	"hemlockquay/internal/mesh"
 )
 
-// counters are the figures of the front.
+// counters holds the metrics of request handling.
 type counters struct {
-	registry metrics.Registry
-	unread   metrics.Counter
+	registry    metrics.Registry
+	undelivered metrics.Counter
 }
 
 func newCounters(r metrics.Registry) *counters {
-	return &counters{registry: r, unread: metrics.GetOrRegisterCounter("answers.unread", r)}
+	return &counters{registry: r, undelivered: metrics.GetOrRegisterCounter("answers.unread", r)}
 }
 
-// count counts an outcome by its reason and status.
+// count counts an outcome by its status and reason.
 func (c *counters) count(out outcome) {
 	metrics.GetOrRegisterCounter("outcome."+strconv.Itoa(out.status)+"."+out.reason, c.registry).Inc(1)
 }
 
-// requestLines bounds the log lines on requests.
-// In overload a line for each refusal costs more than the refusal. Requests without success have a bound
-// of their own, so that successes cannot crowd them out. Omitted lines are counted.
-type requestLines struct {
-	served, failed *rate.Limiter
-	omitted        metrics.Counter
+// requestLogLimiter limits the rate of the log lines on requests. Under overload, logging a
+// refusal costs more than the refusal itself. Failures have a limit of their own, so that
+// successes cannot displace them. Omitted lines are counted.
+type requestLogLimiter struct {
+	successes, failures *rate.Limiter
+	omitted             metrics.Counter
 }
 
 const (
-	// servedLines and failedLines are lines a second: at about 20 microseconds a
-	// line they take at most 0.5% of a core each.
-	servedLines = 200
-	failedLines = 200
+	// maxSuccessLines and maxFailureLines are in lines per second. At about 20 µs per line, each
+	// takes at most 0.5% of a core.
+	maxSuccessLines = 200
+	maxFailureLines = 200
 )
 
-func newRequestLines(r metrics.Registry) *requestLines {
-	return &requestLines{
-		served: rate.NewLimiter(servedLines, servedLines), failed: rate.NewLimiter(failedLines, failedLines),
+func newRequestLogLimiter(r metrics.Registry) *requestLogLimiter {
+	return &requestLogLimiter{
+		successes: rate.NewLimiter(maxSuccessLines, maxSuccessLines), failures: rate.NewLimiter(maxFailureLines, maxFailureLines),
 		omitted: metrics.GetOrRegisterCounter("log.requests.omitted", r),
 	}
 }
 
-// allow reports whether a line may be written for an outcome.
-func (l *requestLines) allow(out outcome) bool {
-	bound := l.failed
-	if out.answer != nil {
-		bound = l.served
+// allow reports whether an outcome may be logged.
+func (l *requestLogLimiter) allow(out outcome) bool {
+	limiter := l.failures
+	if out.response != nil {
+		limiter = l.successes
 	}
-	if bound.Allow() {
+	if limiter.Allow() {
 		return true
 	}
 	l.omitted.Inc(1)
 	return false
 }
 
-// logCall writes the line of a request: what it was, what decided it, what became
-// of it.
+// logCall logs a finished request: its outcome, its attempts and the inputs of the decisions on
+// it.
 func (g *Gateway) logCall(c *call, out outcome) {
 	took := time.Since(c.start)
 	metrics.GetOrRegisterTimer("route."+c.route.Name+".time", g.registry).Update(took)
-	if out.answer != nil {
+	if out.response != nil {
 		g.counters.count(out)
 	}
-	if !g.lines.allow(out) {
+	if !g.requestLog.allow(out) {
 		return
 	}
 	v := g.state.view.Load()
 	e := g.log.Info().Str("step", "request").Str("id", c.id).Str("route", c.route.Name).Str("service", c.service).
 		Int("status", out.status).Str("reason", out.reason).Dur("took", took).Strs("attempts", c.trace).
-		Dur("waited", c.waited).Dur("patience", c.until.Sub(c.start)).Uint64("config", v.ConfigVersion()).Uint64("targets", v.Targets.Revision)
-	if out.reason != answered && c.refusedOn != "" {
+		Dur("waited", c.waited).Dur("patience", c.deadline.Sub(c.start)).Uint64("config", v.ConfigVersion()).Uint64("targets", v.Targets.Revision)
+	if out.reason != reasonAnswered && c.refusedOn != "" {
 		e = e.Str("refusedOn", c.refusedOn)
 	}
 	if c.decidedOn != "" {
@@ -91,7 +91,7 @@
 	e.Msg("request ended")
 }
 
-// viewDump is what the VM believes, for the dump.
+// viewDump is the gateway's section of the state dump.
 type viewDump struct {
 	ConfigVersion   uint64           `json:"configVersion"`
 	TargetsRevision uint64           `json:"targetsRevision"`
--- /dev/null
+++ b/internal/gateway/selection.go
@@ -0,0 +1,222 @@
+package gateway
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"hemlockquay/internal/decide/pick"
+	"hemlockquay/internal/lease"
+	"hemlockquay/internal/mesh"
+	"hemlockquay/internal/route"
+	"hemlockquay/internal/upstream"
+)
+
+// attempt is one try to send a request to a target, from the reservation of the target to its
+// release.
+type attempt struct {
+	target   *targetState
+	id       string
+	pool     *upstream.Pool
+	service  string
+	route    string
+	sent     time.Time
+	usual    time.Duration
+	rounds   float64
+	expected time.Duration
+	load     int
+	// cold reports whether the key is cold at its owner.
+	cold bool
+	// leases is the version of the leases that named the owner.
+	leases mesh.LeaseMark
+	// vmsUsing is the number of VMs that sent requests to the target at the time of the
+	// reservation.
+	vmsUsing int
+}
+
+// refusal is the reason why no target was reserved.
+type refusal string
+
+// describeLoad returns the load of the target for the log line of a refusal.
+func (t *targetState) describeLoad() string {
+	return fmt.Sprintf("%s own %d others %d likely %.1f slots %d slowness %.2f",
+		t.ID, t.pick.Own, t.pick.Others, t.pick.Unreported, t.pick.Slots, t.pick.Slowness())
+}
+
+// The reasons for a refusal.
+const (
+	notRefused      refusal = ""
+	refusedNoTarget refusal = "no target"
+	refusedFull     refusal = "all full"
+	refusedMoving   refusal = "key on the move"
+	refusedLost     refusal = "owner of the key is lost"
+	// refusedExpired: the leases of the service have not been renewed.
+	refusedExpired refusal = "leases have expired"
+	refusedLate    refusal = "cannot be done in time"
+	refusedCold    refusal = "owner is full and the key cold"
+	// refusedHot: the owner can run only a fraction of the requests for the key.
+	refusedHot refusal = "key is hotter than its owner"
+	// refusedLeaving: this VM is shutting down. Another one can serve the request.
+	refusedLeaving refusal = "may outlast this VM"
+)
+
+// reserveFromPool reserves the best target of a service without keys.
+func (s *routingState) reserveFromPool(service string, rt *route.Route, tried map[string]bool, timeLeft, now time.Duration) (*attempt, refusal) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.pools[service]
+	if p == nil {
+		return nil, refusedNoTarget
+	}
+	s.startIndex++
+	job := pick.Job{Usual: s.usualDurationLocked(service, rt.Name), Objective: rt.Objective, StartIndex: s.startIndex, MayUseReserve: s.mayUseReserveLocked(service, rt.Priority)}
+	for _, c := range []candidates{p.subset, p.all} {
+		i := pick.Choose(c.states, job, func(i int) bool { return tried[c.targets[i].ID] || c.targets[i].displaced }, now)
+		if i >= 0 {
+			return s.reserveLocked(c.targets[i], s.vmsUsingLocked(c.targets[i]), service, rt.Name, timeLeft)
+		}
+	}
+	return nil, refusedFull
+}
+
+// reserveOwner reserves the target that owns the key. The leases must be later than misdirected,
+// the version by which the request was misdirected before. On a refusal, it also returns the
+// inputs of the decision.
+func (s *routingState) reserveOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseMark, timeLeft time.Duration) (*attempt, refusal, string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := s.leases.Of(service)
+	if r == nil {
+		return nil, refusedMoving, "no leases known"
+	}
+	owner, state := r.Find(key)
+	t := s.targets[owner]
+	now := s.clock.Now()
+	switch {
+	case state == lease.Moving:
+		return nil, refusedMoving, owner + " gets the key"
+	case state == lease.Unserved:
+		return nil, refusedLost, owner + " waits for a target that does not answer"
+	case t == nil:
+		return nil, refusedLost, owner + " is not listed"
+	case t.displaced, t.Draining && now > t.drainsUntil, t.pick.BackingOff(now):
+		return nil, refusedLost, fmt.Sprintf("%s displaced %t leaves %t resting %t", owner, t.displaced, t.Draining, t.pick.BackingOff(now))
+	case !r.After(misdirected.Epoch, misdirected.Seq):
+		return nil, refusedMoving, fmt.Sprintf("%s did not hold the key, epoch %d seq %d", owner, r.Epoch, r.Seq)
+	case t.pick.FullFor(s.mayUseReserveLocked(service, rt.Priority)):
+		return nil, refusedFull, t.describeLoad()
+	case rand.Float64() >= r.LimitOf(key).Fraction():
+		return nil, refusedHot, fmt.Sprintf("%s part %.3f epoch %d seq %d", owner, r.LimitOf(key).Fraction(), r.Epoch, r.Seq)
+	}
+	cold := state == lease.Cold
+	if cold && !t.pick.AcceptsCold() {
+		return nil, refusedCold, t.describeLoad()
+	}
+	a, reason := s.reserveLocked(t, s.fleet.all.VMs, service, rt.Name, timeLeft)
+	if a == nil {
+		return nil, reason, t.describeLoad()
+	}
+	a.cold, a.leases = cold, mesh.LeaseMark{Service: service, Epoch: r.Epoch, Seq: r.Seq}
+	return a, reason, ""
+}
+
+// vmsUsingLocked returns the number of VMs that send requests to a target of a pool. It needs
+// s.mu.
+func (s *routingState) vmsUsingLocked(t *targetState) int {
+	if t.vmsUsing == 0 {
+		return s.fleet.all.VMs
+	}
+	return t.vmsUsing
+}
+
+// reserveLocked reserves a target that is used by vmsUsing VMs. It needs s.mu.
+func (s *routingState) reserveLocked(t *targetState, vmsUsing int, service, route string, timeLeft time.Duration) (*attempt, refusal) {
+	usual := s.usualDurationLocked(service, route)
+	a := &attempt{
+		target: t, id: t.ID, pool: t.pool, service: service, route: route, sent: time.Now(),
+		usual: usual, rounds: t.pick.Rounds(), expected: t.pick.Expected(usual), load: t.pick.Load(), vmsUsing: vmsUsing,
+	}
+	// The actual time is rarely less than half of the expected time.
+	if usual > 0 && t.pick.Load() > t.pick.Slots && a.expected/2 > timeLeft {
+		return nil, refusedLate
+	}
+	t.pick.Sent(vmsUsing)
+	s.inUse[t] = struct{}{}
+	return a, notRefused
+}
+
+// attemptResult says how an attempt ended.
+type attemptResult int
+
+// The results of an attempt.
+const (
+	// resultSucceeded: the target responded without a server error.
+	resultSucceeded attemptResult = iota
+	// resultFailed: the target responded with a server error, or without running the request.
+	resultFailed
+	// resultNotSent: no connection could be opened.
+	resultNotSent
+	// resultResponseLost: the connection failed before the response was complete.
+	resultResponseLost
+	// resultAbandoned: the attempt was not sent, or ended without information about the target,
+	// for example because the caller disconnected or the deadline passed.
+	resultAbandoned
+)
+
+// finish releases the target of an attempt and updates its statistics.
+func (s *routingState) finish(a *attempt, result attemptResult) {
+	took := time.Since(a.sent)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	t := &a.target.pick
+	t.Ended(a.vmsUsing)
+	switch result {
+	case resultSucceeded:
+		if a.cold {
+			s.recordColdResponseLocked(a, took)
+			return
+		}
+		t.Answered(took, a.usual, a.rounds)
+		s.recordDurationLocked(a.service, a.route, time.Duration(float64(took)/(a.rounds*t.Slowness())))
+	case resultFailed:
+		t.Failed()
+	case resultNotSent:
+		t.ConnectFailed(s.clock.Now())
+	case resultResponseLost:
+		t.AnswerLost(s.clock.Now())
+	case resultAbandoned:
+		// An attempt that took much longer than expected shows that the target is slow, even
+		// without a response.
+		if !a.cold && took > 2*a.expected && a.usual > 0 {
+			t.Answered(took, a.usual, a.rounds)
+		}
+	}
+}
+
+// markDisplaced records that another target responds at the address of this one. Otherwise every
+// request for its keys would be sent there and refused, and would count as a repeat at a service
+// that it was never meant for.
+func (s *routingState) markDisplaced(a *attempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if a.target.displaced {
+		return
+	}
+	a.target.displaced = true
+	s.log.Warn().Str("step", "targets").Str("target", a.id).Str("addr", a.target.Addr).Int64("born", a.target.Born).
+		Msg("another target has the address")
+}
+
+// countKey counts a request for a key.
+func (s *routingState) countKey(service string, key uint16) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	counts := s.keyLoad[service]
+	if counts == nil {
+		counts = make(map[uint16]uint16)
+		s.keyLoad[service] = counts
+	}
+	if _, counted := counts[key]; counted || len(counts) < maxKeysCounted {
+		counts[key]++
+	}
+}
--- a/internal/gateway/storestate_test.go
+++ b/internal/gateway/storestate_test.go
@@ -11,23 +11,23 @@
 	"hemlockquay/internal/platform"
 )
 
-// Guards against a succession because a call of before the outage times out after it.
-func TestCallsFromBeforeTheStoreReturnedDoNotLoseItAgain(t *testing.T) {
-	clock := newHandClock(time.Hour)
-	n := testGateway(clock)
-	defer n.mesh.Close()
+// Guards against an unneeded succession because a call from before the outage times out after it.
+func TestFailuresOfOlderStoreCallsAreIgnored(t *testing.T) {
+	clock := newManualClock(time.Hour)
+	g := newTestGateway(clock)
+	defer g.mesh.Close()
 	sent := clock.Now()
-	n.noteStore(sent, platform.ErrUnavailable)
-	require.True(t, n.Heartbeat().StoreLost)
+	g.recordStoreResult(sent, platform.ErrUnavailable)
+	require.True(t, g.Heartbeat().StoreLost)
 	clock.advance(time.Second)
-	n.noteStore(clock.Now(), nil)
-	require.False(t, n.Heartbeat().StoreLost)
-	n.noteStore(sent, platform.ErrAmbiguous)
-	require.False(t, n.Heartbeat().StoreLost, "the call is older than the latest answer")
-	n.noteStore(clock.Now(), platform.ErrAmbiguous)
-	require.True(t, n.Heartbeat().StoreLost)
-	n.noteStore(clock.Now(), platform.ErrGone)
-	require.False(t, n.Heartbeat().StoreLost, "a store that has dropped its history answers")
-	n.noteStore(clock.Now(), errors.Join(platform.ErrAmbiguous, context.Canceled))
-	require.False(t, n.Heartbeat().StoreLost, "a call that was given up says nothing")
+	g.recordStoreResult(clock.Now(), nil)
+	require.False(t, g.Heartbeat().StoreLost)
+	g.recordStoreResult(sent, platform.ErrAmbiguous)
+	require.False(t, g.Heartbeat().StoreLost, "the call is older than the latest response")
+	g.recordStoreResult(clock.Now(), platform.ErrAmbiguous)
+	require.True(t, g.Heartbeat().StoreLost)
+	g.recordStoreResult(clock.Now(), platform.ErrGone)
+	require.False(t, g.Heartbeat().StoreLost, "a store that has dropped its history is reachable")
+	g.recordStoreResult(clock.Now(), errors.Join(platform.ErrAmbiguous, context.Canceled))
+	require.False(t, g.Heartbeat().StoreLost, "a cancelled call says nothing about the store")
 }
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -12,20 +12,20 @@
 	"hemlockquay/internal/pause"
 )
 
-// fleetPlace is a VM's place among all VMs, and among those of its data centre.
+// fleetPlace is the place of a VM among all VMs, and among those of its data centre.
 type fleetPlace struct{ all, near subset.Place }
 
-// onlyVM is the place of a VM that knows no other.
+// onlyVM is the place of a VM that does not know any other.
 var onlyVM = fleetPlace{all: subset.Place{VMs: 1}, near: subset.Place{VMs: 1}}
 
-// servicePool is the targets of one service that take requests.
+// servicePool holds the targets of a service that accept requests.
 type servicePool struct {
 	all candidates
-	// subset are those that this VM uses while they have room.
+	// subset holds the targets that this VM prefers as long as they are not full.
 	subset candidates
 }
 
-// candidates are targets of which one is chosen; both lists run in parallel.
+// candidates is a list of targets to choose from. targets and states have the same order.
 type candidates struct {
 	targets []*targetState
 	states  []*pick.State
@@ -36,18 +36,18 @@
 	c.states = append(c.states, &t.pick)
 }
 
-// refreshPlace keeps this VM's place in the fleet up to date.
-func (g *Gateway) refreshPlace(ctx context.Context) {
+// refreshPlaces periodically updates this VM's place among the VMs.
+func (g *Gateway) refreshPlaces(ctx context.Context) {
 	for {
-		g.takePlace(g.mesh.Members())
+		g.updatePlaces(g.mesh.Members())
 		if !pause.For(ctx, subset.RefreshEvery) {
 			return
 		}
 	}
 }
 
-// takePlace chooses the subsets and neighbours of this VM in a fleet of these members.
-func (g *Gateway) takePlace(members []mesh.Member) {
+// updatePlaces derives the subsets and the neighbours of this VM from the list of VMs.
+func (g *Gateway) updatePlaces(members []mesh.Member) {
 	slices.SortFunc(members, func(a, b mesh.Member) int {
 		return cmp.Or(cmp.Compare(catalog.Hash(a.VM), catalog.Hash(b.VM)), cmp.Compare(a.VM, b.VM))
 	})
@@ -69,23 +69,23 @@
 	}
 }
 
-// setPlace sets this VM's place in the fleet, and returns how many targets the smallest pool
-// has in its data centre.
+// setPlace sets this VM's place. It returns the number of targets in this data centre of the
+// service that has the fewest there.
 func (s *routingState) setPlace(place fleetPlace) (targets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if place != s.fleet {
 		s.log.Info().Str("step", "subset").Int("place", place.near.Index).Int("vmsNear", place.near.VMs).Int("vms", place.all.VMs).
-			Uint64("targets", s.view.Load().Targets.Revision).Msg("place in the fleet")
+			Uint64("targets", s.view.Load().Targets.Revision).Msg("place among the VMs changed")
 		s.fleet = place
-		s.subsetLocked()
+		s.chooseSubsetsLocked()
 	}
-	return s.nearTargetsLocked()
+	return s.minNearTargetsLocked()
 }
 
-// subsetLocked chooses the targets of each pool that this VM uses: some of its data centre, and
-// some of the others for what does not fit there. It needs s.mu.
-func (s *routingState) subsetLocked() {
+// chooseSubsetsLocked chooses the subset of each pool: some targets of this data centre, and some of the
+// others for requests that do not fit there. It needs s.mu.
+func (s *routingState) chooseSubsetsLocked() {
 	view := s.view.Load()
 	s.pools = make(map[string]*servicePool, len(view.ByService))
 	for service, list := range view.ByService {
@@ -93,13 +93,13 @@
 	}
 }
 
-// newPoolLocked needs s.mu.
+// newPoolLocked returns the pool of the given targets. It needs s.mu.
 func (s *routingState) newPoolLocked(list []*catalog.Target) *servicePool {
 	p := new(servicePool)
 	var near, far []*targetState
 	for _, t := range list {
 		state := s.targets[t.ID]
-		state.sharers = 0
+		state.vmsUsing = 0
 		p.all.add(state)
 		if state.pick.Near {
 			near = append(near, state)
@@ -107,25 +107,26 @@
 			far = append(far, state)
 		}
 	}
-	p.use(near, s.fleet.near)
-	p.use(far, s.fleet.all)
+	p.addWindow(near, s.fleet.near)
+	p.addWindow(far, s.fleet.all)
 	return p
 }
 
-// use adds the window of a VM at this place to the subset.
-func (p *servicePool) use(list []*targetState, place subset.Place) {
+// addWindow adds to the subset those targets of the list that a VM at this place uses.
+func (p *servicePool) addWindow(list []*targetState, place subset.Place) {
 	slices.SortFunc(list, func(a, b *targetState) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.ID, b.ID))
 	})
 	for _, i := range place.Window(len(list)) {
-		list[i].sharers = subset.Sharers(len(list), place.VMs)
+		list[i].vmsUsing = subset.Sharers(len(list), place.VMs)
 		p.subset.add(list[i])
 	}
 }
 
-// nearTargetsLocked needs s.mu.
-func (s *routingState) nearTargetsLocked() int {
-	least := 0
+// minNearTargetsLocked returns the number of targets in this data centre of the service that has
+// the fewest there. It needs s.mu.
+func (s *routingState) minNearTargetsLocked() int {
+	fewest := 0
 	for _, p := range s.pools {
 		near := 0
 		for _, state := range p.all.states {
@@ -133,14 +134,14 @@
 				near++
 			}
 		}
-		if near > 0 && (least == 0 || near < least) {
-			least = near
+		if near > 0 && (fewest == 0 || near < fewest) {
+			fewest = near
 		}
 	}
-	return least
+	return fewest
 }
 
-// subsetSize returns how many targets the subsets of all pools have.
+// subsetSize returns the number of targets in the subsets of all pools.
 func (s *routingState) subsetSize() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -14,40 +14,40 @@
 
 // Timeouts and limits of the watches.
 const (
-	// watchWait is how long a watch waits for changes. The store may drop its
-	// history and leave a waiting watch without an earlier change; the next
-	// call finds out. A change must be known within about two seconds.
-	watchWait = 1300 * time.Millisecond
-	// watchSlack is what the answer may take on top.
-	watchSlack = 500 * time.Millisecond
-	// eventsPause is the pause after changes, so that a series of them, as when
-	// all targets start, comes with a few calls.
-	eventsPause = 80 * time.Millisecond
-	// watchers is how many VMs watch the store; the others learn from them.
-	// Each call to the store counts, and with three the loss of one delays
-	// nothing.
-	watchers = 3
-	// idleStep is the time between two checks of a VM whether it is to watch.
-	idleStep = 100 * time.Millisecond
-	// storePauseLeast and storePauseMost bound the pause after a failed call:
-	// short, since changes bind the VM soon after the store's return.
-	storePauseLeast = 50 * time.Millisecond
-	storePauseMost  = 400 * time.Millisecond
+	// watchDuration is how long a watch call waits for changes. The store may drop its history,
+	// after which a waiting call misses the earlier changes and only the next call detects it. A
+	// change must be known within about two seconds.
+	watchDuration = 1300 * time.Millisecond
+	// watchTimeoutMargin is added to watchDuration for the response to arrive.
+	watchTimeoutMargin = 500 * time.Millisecond
+	// batchPause is the pause after changes. It reduces the number of calls when many changes
+	// follow each other, as when all targets start.
+	batchPause = 80 * time.Millisecond
+	// watcherCount is the number of VMs that watch the store; the others learn from them. Each
+	// call to the store has a cost, and with three watchers the loss of one causes no delay.
+	watcherCount = 3
+	// watchCheckInterval is the interval at which a VM that does not watch checks whether it has
+	// to.
+	watchCheckInterval = 100 * time.Millisecond
+	// minStoreBackoff and maxStoreBackoff bound the pause after a failed call. They are short
+	// because changes must take effect soon after the store is reachable again.
+	minStoreBackoff = 50 * time.Millisecond
+	maxStoreBackoff = 400 * time.Millisecond
 )
 
-// watch keeps one kind up to date until the context ends: it lists, then follows
-// the changes; when the history is gone or the store was away it lists again.
+// watch keeps the objects of one kind up to date until ctx ends. It lists them and then follows
+// the changes. If the store has dropped its history or was unreachable, it lists them again.
 func (g *Gateway) watch(ctx context.Context, kind model.Kind, list func(platform.Listing), change func(platform.Changes)) {
-	wait := storePauseLeast
+	backoff := minStoreBackoff
 	for ctx.Err() == nil {
-		if !g.watching() {
-			pause.For(ctx, idleStep)
+		if !g.shouldWatch() {
+			pause.For(ctx, watchCheckInterval)
 			continue
 		}
-		revision, err := g.listOnce(ctx, kind, list)
+		revision, err := g.listKind(ctx, kind, list)
 		if err == nil {
-			wait = storePauseLeast
-			err = g.follow(ctx, kind, revision, change)
+			backoff = minStoreBackoff
+			err = g.followChanges(ctx, kind, revision, change)
 		}
 		if ctx.Err() != nil {
 			return
@@ -56,42 +56,42 @@
 			continue
 		}
 		if errors.Is(err, platform.ErrGone) {
-			g.log.Warn().Str("step", "watch").Str("kind", string(kind)).Err(err).Msg("history gone, listing again")
+			g.log.Warn().Str("step", "watch").Str("kind", string(kind)).Err(err).Msg("store dropped its history, listing again")
 			continue
 		}
-		pause.For(ctx, wait)
-		wait = min(2*wait, storePauseMost)
+		pause.For(ctx, backoff)
+		backoff = min(2*backoff, maxStoreBackoff)
 	}
 }
 
-// watching reports whether this VM is one of those that watch the store: the
-// grantors, which must know soon when it turns them away, and others to make up
-// the number. One that the store turned away is passed over, and goes on trying.
-func (g *Gateway) watching() bool {
+// shouldWatch reports whether this VM has to watch the store. The grantors do, because they must
+// notice early that they do not reach it, and as many other VMs as watcherCount requires. A VM
+// that does not reach the store does not count as one of them, but continues to try.
+func (g *Gateway) shouldWatch() bool {
 	if !g.storeUp.Load() {
 		return true
 	}
 	grantors := g.state.leases.Grantors()
-	return grantors[g.self.VM] || g.place("watch", g.mesh.ReachesStore) < watchers-len(grantors)
+	return grantors[g.self.VM] || g.place("watch", g.mesh.ReachesStore) < watcherCount-len(grantors)
 }
 
-// place returns this VM's place, from 0, in the order for a duty of the live VMs that
-// are fit for it. VMs with much faster links come first: on a link of 10 Mbit/s, renewals of
-// hundreds of ranges compete with requests.
+// place returns this VM's place, from 0, in the order of preference for a duty among the live VMs
+// for which fit returns true. VMs with much faster links come first, because on a link of 10
+// Mbit/s the renewals of hundreds of ranges compete with requests.
 func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Place(duty, fit) }
 
-// leasePlace returns this VM's place in the succession of a service's grantor. VMs that the
-// store turns away have a place as well: they may be grantors through a relay, and while
-// nobody reaches the store, not all VMs have the first place and try at the same time.
-// A VM that leaves has a place among those that leave.
-func (g *Gateway) leasePlace(service string) int {
+// successionPlace returns this VM's place in the succession of a service's grantor. VMs that do
+// not reach the store have a place too: they can be grantors through a relay, and while no VM
+// reaches the store, they must not all take the first place and try at the same time. A VM that is
+// shutting down has a place among those that are.
+func (g *Gateway) successionPlace(service string) int {
 	if g.leaving.Load() {
 		return g.mesh.PlaceAmongLeaving(service)
 	}
 	return g.place(service, func(string) bool { return true })
 }
 
-func (g *Gateway) listOnce(ctx context.Context, kind model.Kind, list func(platform.Listing)) (uint64, error) {
+func (g *Gateway) listKind(ctx context.Context, kind model.Kind, list func(platform.Listing)) (uint64, error) {
 	callCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	l, err := g.store.ListKind(callCtx, kind)
@@ -102,10 +102,10 @@
 	return l.Revision, nil
 }
 
-func (g *Gateway) follow(ctx context.Context, kind model.Kind, revision uint64, change func(platform.Changes)) error {
-	for ctx.Err() == nil && g.watching() {
-		callCtx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
-		changes, err := g.store.WatchKind(callCtx, kind, revision, watchWait)
+func (g *Gateway) followChanges(ctx context.Context, kind model.Kind, revision uint64, change func(platform.Changes)) error {
+	for ctx.Err() == nil && g.shouldWatch() {
+		callCtx, cancel := context.WithTimeout(ctx, watchDuration+watchTimeoutMargin)
+		changes, err := g.store.WatchKind(callCtx, kind, revision, watchDuration)
 		cancel()
 		if err != nil {
 			return fmt.Errorf("watch %s from %d: %w", kind, revision, err)
@@ -113,36 +113,36 @@
 		g.targetsConfirmedAt.Store(int64(g.clock.Now()))
 		if len(changes.Events) > 0 {
 			change(changes)
-			pause.For(ctx, eventsPause)
+			pause.For(ctx, batchPause)
 		}
 		revision = max(revision, changes.Revision)
 	}
 	return ctx.Err()
 }
 
-// changeMembersQuietly applies what changes no target by itself.
-func (s *routingState) changeMembersQuietly(change func(m *catalog.Members, now time.Duration)) {
+// updateMembership changes the membership in a way that does not change the list of targets.
+func (s *routingState) updateMembership(change func(m *catalog.Members, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	change(s.members, s.clock.Now())
+	change(s.membership, s.clock.Now())
 }
 
 const sourceStore = "store"
 
-// watchTargets keeps the list of targets.
+// watchTargets keeps the list of targets up to date.
 func (g *Gateway) watchTargets(ctx context.Context) {
 	g.watch(ctx, g.adapter.TargetKind(), func(l platform.Listing) {
 		t := catalog.Targets{Revision: l.Revision}
 		for _, o := range l.Objects {
-			if e, ok := g.readTarget(o); ok {
-				t.List = append(t.List, e)
+			if target, ok := g.readTarget(o); ok {
+				t.List = append(t.List, target)
 			}
 		}
-		g.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
+		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
 		g.listed.Store(true)
-		g.checkReady()
+		g.reportReady()
 	}, func(c platform.Changes) {
-		g.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
 			for _, ev := range c.Events {
 				g.applyTarget(m, ev, now)
 			}
@@ -155,26 +155,26 @@
 		m.Remove(ev.Object.Name, ev.Revision, now)
 		return
 	}
-	e, ok := g.readTarget(ev.Object)
+	target, ok := g.readTarget(ev.Object)
 	if !ok {
 		m.Remove(ev.Object.Name, ev.Revision, now)
 		return
 	}
-	m.Put(e, ev.Revision)
+	m.Put(target, ev.Revision)
 }
 
-// readTarget ignores an entry that cannot be read: it names no target to use,
-// and the others hold.
+// readTarget decodes the object of a target. An object that cannot be decoded is ignored, because
+// it names no usable target and must not affect the others.
 func (g *Gateway) readTarget(o platform.Object) (catalog.Target, bool) {
-	e, err := g.adapter.Target(o)
+	target, err := g.adapter.Target(o)
 	if err != nil {
-		g.log.Warn().Str("step", "targets").Str("target", o.Name).Uint64("revision", o.Version).Err(err).Msg("entry ignored")
-		return e, false
+		g.log.Warn().Str("step", "targets").Str("target", o.Name).Uint64("revision", o.Version).Err(err).Msg("ignored target object that could not be decoded")
+		return target, false
 	}
-	return e, true
+	return target, true
 }
 
-// watchConfig keeps the configuration.
+// watchConfig keeps the configuration up to date.
 func (g *Gateway) watchConfig(ctx context.Context) {
 	g.watch(ctx, g.adapter.ConfigID().Kind, func(l platform.Listing) {
 		for _, o := range l.Objects {
@@ -189,27 +189,27 @@
 	})
 }
 
-// applyConfig puts a configuration in force. One that cannot be read changes
-// nothing.
+// applyConfig applies the configuration in o. One that cannot be decoded changes nothing.
 func (g *Gateway) applyConfig(o platform.Object) {
 	if o.Name != g.adapter.ConfigID().Name {
 		return
 	}
 	c, err := g.adapter.Config(o)
 	if err != nil {
-		g.log.Error().Str("step", "config").Uint64("revision", o.Version).Err(err).Msg("configuration refused")
+		g.log.Error().Str("step", "config").Uint64("revision", o.Version).Err(err).Msg("configuration could not be decoded, the current one stays in force")
 		return
 	}
 	g.state.setConfig(c, sourceStore)
-	g.checkReady()
+	g.reportReady()
 }
 
-// expireTargets drops targets whose entries stayed away after an outage.
+// expireTargets periodically drops the targets that are still missing some time after an outage of
+// the store.
 func (g *Gateway) expireTargets(ctx context.Context) {
-	const every = 100 * time.Millisecond
-	for pause.For(ctx, every) {
+	const interval = 100 * time.Millisecond
+	for pause.For(ctx, interval) {
 		g.state.mu.Lock()
-		if g.state.members.Waiting() && g.state.members.Expire(g.clock.Now()) {
+		if g.state.membership.Waiting() && g.state.membership.Expire(g.clock.Now()) {
 			g.state.publishLocked("still missing after an outage")
 		}
 		g.state.mu.Unlock()
