--- a/internal/decide/fairqueue/yield.go
+++ b/internal/decide/fairqueue/yield.go
@@ -1,6 +1,6 @@
 package fairqueue
 
-// GiveWay takes out an item that was just pushed, if it waits and its customer holds
+// DropIfOverShare takes out an item that was just pushed, if it waits and its customer holds
 // more of its class than its share. It reports whether it did.
 //
 // Load pattern: sustained overload by several customers. If the one with most always
@@ -9,7 +9,7 @@
 // a second each, 300 ms for a hundred with 15 each. The one that just came has waited
 // for nothing and can be refused at once. If its customer is below its share, nobody need
 // give way for it: such customers alone cannot overload the slots.
-func (q *Queue[T]) GiveWay(i *Item[T]) bool {
+func (q *Queue[T]) DropIfOverShare(i *Item[T]) bool {
 	if !i.Waiting() || !i.flow.above(q.class[i.Class].level(i.Cost)) {
 		return false
 	}
--- a/internal/decide/fairqueue/yield_test.go
+++ b/internal/decide/fairqueue/yield_test.go
@@ -31,7 +31,7 @@
 		switch {
 		case q.Len() > 90:
 			out = q.Yield(Interactive)
-		case q.Len() > 60 && q.GiveWay(i):
+		case q.Len() > 60 && q.DropIfOverShare(i):
 			out = i
 		}
 		if out != nil {
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -119,7 +119,7 @@
 	over := func(bounds float64) bool {
 		return q.waiting.ClassLen(fairqueue.Interactive) > total && q.interactiveWait(slots) > time.Duration(bounds*float64(bound))
 	}
-	if came != nil && over(1) && q.waiting.GiveWay(&came.item) {
+	if came != nil && over(1) && q.waiting.DropIfOverShare(&came.item) {
 		q.standingOut(came)
 	}
 	for over(cutAbove) {
