--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -101,7 +101,7 @@
 	if q.class[i.Class].size <= q.limit {
 		return nil
 	}
-	return q.Yield(i.Class)
+	return q.DropNewestOverShare(i.Class)
 }
 
 func (q *Queue[T]) insert(i *Item[T]) {
--- a/internal/decide/fairqueue/yield.go
+++ b/internal/decide/fairqueue/yield.go
@@ -23,9 +23,9 @@
 	q.take(i)
 }
 
-// Yield takes out the newest item of all customers that hold more of the class than
+// DropNewestOverShare takes out the newest item of all customers that hold more of the class than
 // their share. It returns nil if none waits.
-func (q *Queue[T]) Yield(c Class) *Item[T] {
+func (q *Queue[T]) DropNewestOverShare(c Class) *Item[T] {
 	l := &q.class[c]
 	f := l.newestAbove()
 	if f == nil {
--- a/internal/decide/fairqueue/yield_test.go
+++ b/internal/decide/fairqueue/yield_test.go
@@ -30,7 +30,7 @@
 		var out *Item[int]
 		switch {
 		case q.Len() > 90:
-			out = q.Yield(Interactive)
+			out = q.DropNewestOverShare(Interactive)
 		case q.Len() > 60 && q.DropIfOverShare(i):
 			out = i
 		}
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -129,7 +129,7 @@
 
 // yield refuses the newest request of the customers that hold more of the queue than
 // their shares.
-func (q *queue) yield() { q.standingOut(q.waiting.Yield(fairqueue.Interactive).Value) }
+func (q *queue) yield() { q.standingOut(q.waiting.DropNewestOverShare(fairqueue.Interactive).Value) }
 
 func (q *queue) standingOut(j *job) {
 	q.counts.standing.Inc(1)
