--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -30,11 +30,11 @@
 // Class is an item's class.
 type Class int
 
-// The classes, most urgent first.
+// The numClasses, most urgent first.
 const (
 	Interactive Class = iota
 	Background
-	classes
+	numClasses
 )
 
 // Item is a waiting request. The exported fields are the caller's and stay
@@ -64,11 +64,11 @@
 	limit int
 	floor float64
 
-	class [classes]lane[T]
-	seq   uint64
-	size  int
-	// earned is the background work that is due, seconds of service.
-	earned float64
+	classes [numClasses]classQueue[T]
+	seq     uint64
+	size    int
+	// backgroundCredit is the background work that is due, seconds of service.
+	backgroundCredit float64
 }
 
 // New returns a queue of at most limit items in each class that guarantees background work
@@ -76,8 +76,8 @@
 func New[T any](limit int, floor float64) *Queue[T] {
 	q := &Queue[T]{limit: limit}
 	q.SetFloor(floor)
-	for c := range q.class {
-		q.class[c].flows = make(map[string]*flow[T])
+	for c := range q.classes {
+		q.classes[c].flows = make(map[string]*flow[T])
 	}
 	return q
 }
@@ -89,36 +89,36 @@
 func (q *Queue[T]) Len() int { return q.size }
 
 // ClassLen returns how many items of a class wait.
-func (q *Queue[T]) ClassLen(c Class) int { return q.class[c].size }
+func (q *Queue[T]) ClassLen(c Class) int { return q.classes[c].size }
 
 // Work returns the summed cost of a class, seconds.
-func (q *Queue[T]) Work(c Class) float64 { return q.class[c].work }
+func (q *Queue[T]) Work(c Class) float64 { return q.classes[c].work }
 
 // Push adds an item. When its class is over the limit it returns the item that
 // gives way, which may be the one that came; nil otherwise.
 func (q *Queue[T]) Push(i *Item[T]) *Item[T] {
 	q.insert(i)
-	if q.class[i.Class].size <= q.limit {
+	if q.classes[i.Class].size <= q.limit {
 		return nil
 	}
 	return q.DropNewestOverShare(i.Class)
 }
 
 func (q *Queue[T]) insert(i *Item[T]) {
-	l := &q.class[i.Class]
+	l := &q.classes[i.Class]
 	f := l.flows[i.Customer]
 	if f == nil {
-		f = &flow[T]{customer: i.Customer, class: i.Class, index: -1}
+		f = &flow[T]{customer: i.Customer, class: i.Class, heapIndex: -1}
 		l.flows[i.Customer] = f
 	}
 	f.weight = float64(max(i.Weight, 1))
-	i.start = max(l.now, f.finish)
+	i.start = max(l.virtualTime, f.finish)
 	f.finish = i.start + i.Cost/f.weight
 	q.seq++
 	i.seq = q.seq
 	f.items = append(f.items, i)
-	q.count(i, f, 1)
-	if f.index < 0 {
+	q.updateTotals(i, f, 1)
+	if f.heapIndex < 0 {
 		heap.Push(&l.order, f)
 	}
 }
@@ -126,33 +126,33 @@
 // Return puts an item back that Next returned and that was not run. It keeps
 // its place: its share was spent once already.
 func (q *Queue[T]) Return(i *Item[T]) {
-	q.unearn(i)
-	l := &q.class[i.Class]
+	q.revertCredit(i)
+	l := &q.classes[i.Class]
 	f := l.flows[i.Customer]
 	if f == nil {
-		f = &flow[T]{customer: i.Customer, class: i.Class, index: -1, weight: float64(max(i.Weight, 1)), finish: i.start}
+		f = &flow[T]{customer: i.Customer, class: i.Class, heapIndex: -1, weight: float64(max(i.Weight, 1)), finish: i.start}
 		l.flows[i.Customer] = f
 	}
-	at := f.place(i)
+	at := f.position(i)
 	f.items = append(f.items, nil)
 	copy(f.items[at+1:], f.items[at:])
 	f.items[at] = i
-	q.count(i, f, 1)
-	if f.index < 0 {
+	q.updateTotals(i, f, 1)
+	if f.heapIndex < 0 {
 		heap.Push(&l.order, f)
 		return
 	}
-	heap.Fix(&l.order, f.index)
+	heap.Fix(&l.order, f.heapIndex)
 }
 
-func (q *Queue[T]) count(i *Item[T], f *flow[T], n int) {
-	l := &q.class[i.Class]
+func (q *Queue[T]) updateTotals(i *Item[T], f *flow[T], n int) {
+	l := &q.classes[i.Class]
 	q.size += n
 	l.size += n
 	l.work += float64(n) * i.Cost
 	f.work += float64(n) * i.Cost
 	if !i.Long {
-		f.short += n
+		f.shortItems += n
 	}
 	i.flow = nil
 	if n > 0 {
@@ -163,78 +163,78 @@
 	}
 }
 
-// Next takes out the item to serve. With longToo false long items are passed
+// Next takes out the item to serve. With includeLong false long items are passed
 // over. It returns nil if none qualifies.
-func (q *Queue[T]) Next(longToo bool) *Item[T] {
+func (q *Queue[T]) Next(includeLong bool) *Item[T] {
 	first, second := Interactive, Background
-	if q.backgroundDue(longToo) {
+	if q.backgroundDue(includeLong) {
 		first, second = second, first
 	}
-	i := q.next(first, longToo)
+	i := q.nextOfClass(first, includeLong)
 	if i == nil {
-		i = q.next(second, longToo)
+		i = q.nextOfClass(second, includeLong)
 	}
 	if i != nil {
-		q.earn(i)
+		q.updateCredit(i)
 	}
 	return i
 }
 
 // backgroundDue reports whether background work has earned its next item.
-func (q *Queue[T]) backgroundDue(longToo bool) bool {
-	f := q.class[Background].first(longToo)
+func (q *Queue[T]) backgroundDue(includeLong bool) bool {
+	f := q.classes[Background].nextFlow(includeLong)
 	if f == nil {
 		return false
 	}
-	return q.earned >= f.next(longToo).Cost
+	return q.backgroundCredit >= f.firstEligible(includeLong).Cost
 }
 
-// earn keeps the account of the floor. A turn of cost c that interactive work
+// updateCredit keeps the account of the floor. A turn of cost c that interactive work
 // gets is worth c*floor/(1-floor) to the background work that waits.
-func (q *Queue[T]) earn(i *Item[T]) {
+func (q *Queue[T]) updateCredit(i *Item[T]) {
 	switch {
 	case i.Class == Background:
-		q.earned = max(q.earned-i.Cost, 0)
-	case q.class[Background].size > 0:
-		q.earned += i.Cost * q.floor / (1 - q.floor)
+		q.backgroundCredit = max(q.backgroundCredit-i.Cost, 0)
+	case q.classes[Background].size > 0:
+		q.backgroundCredit += i.Cost * q.floor / (1 - q.floor)
 	}
-	if q.class[Background].size == 0 {
-		q.earned = 0
+	if q.classes[Background].size == 0 {
+		q.backgroundCredit = 0
 	}
 }
 
-// unearn takes back what earn did.
-func (q *Queue[T]) unearn(i *Item[T]) {
+// revertCredit takes back what earn did.
+func (q *Queue[T]) revertCredit(i *Item[T]) {
 	switch {
 	case i.Class == Background:
-		q.earned += i.Cost
-	case q.class[Background].size > 0:
-		q.earned = max(q.earned-i.Cost*q.floor/(1-q.floor), 0)
+		q.backgroundCredit += i.Cost
+	case q.classes[Background].size > 0:
+		q.backgroundCredit = max(q.backgroundCredit-i.Cost*q.floor/(1-q.floor), 0)
 	}
 }
 
-func (q *Queue[T]) next(c Class, longToo bool) *Item[T] {
-	l := &q.class[c]
-	f := l.first(longToo)
+func (q *Queue[T]) nextOfClass(c Class, includeLong bool) *Item[T] {
+	l := &q.classes[c]
+	f := l.nextFlow(includeLong)
 	if f == nil {
 		return nil
 	}
-	i := f.next(longToo)
-	l.now = max(l.now, i.start)
-	q.take(i)
+	i := f.firstEligible(includeLong)
+	l.virtualTime = max(l.virtualTime, i.start)
+	q.removeWaiting(i)
 	return i
 }
 
 // Remove takes an item out, as when its caller went away.
 func (q *Queue[T]) Remove(i *Item[T]) {
 	if i.flow != nil {
-		q.take(i)
+		q.removeWaiting(i)
 	}
 }
 
-func (q *Queue[T]) take(i *Item[T]) {
-	f, l := i.flow, &q.class[i.Class]
-	at := f.place(i)
+func (q *Queue[T]) removeWaiting(i *Item[T]) {
+	f, l := i.flow, &q.classes[i.Class]
+	at := f.position(i)
 	if at == 0 {
 		f.items[0] = nil
 		f.items = f.items[1:]
@@ -243,20 +243,20 @@
 		f.items[len(f.items)-1] = nil
 		f.items = f.items[:len(f.items)-1]
 	}
-	q.count(i, f, -1)
+	q.updateTotals(i, f, -1)
 	if len(f.items) > 0 {
-		heap.Fix(&l.order, f.index)
+		heap.Fix(&l.order, f.heapIndex)
 		return
 	}
-	heap.Remove(&l.order, f.index)
-	l.forget()
+	heap.Remove(&l.order, f.heapIndex)
+	l.dropIdle()
 }
 
 // Ahead returns how much of the class's waiting work goes before a request that
 // the customer would push now, seconds of service.
 func (q *Queue[T]) Ahead(customer string, c Class) float64 {
-	l := &q.class[c]
-	start := l.now
+	l := &q.classes[c]
+	start := l.virtualTime
 	if f := l.flows[customer]; f != nil {
 		start = max(start, f.finish)
 	}
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func item(t *rapid.T, n int) *Item[int] {
+func drawItem(t *rapid.T, n int) *Item[int] {
 	return &Item[int]{
 		Value:    n,
 		Customer: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "customer"),
@@ -26,29 +26,29 @@
 		q := New[int](rapid.IntRange(1, 20).Draw(t, "limit"), rapid.Float64Range(0, 0.5).Draw(t, "floor"))
 		waiting := make(map[*Item[int]]bool)
 		var taken []*Item[int]
-		leave := func(i *Item[int]) {
+		markGone := func(i *Item[int]) {
 			require.True(t, waiting[i])
 			delete(waiting, i)
 		}
 		n := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				i := item(t, n)
+				i := drawItem(t, n)
 				n++
 				waiting[i] = true
 				if out := q.Push(i); out != nil {
-					leave(out)
+					markGone(out)
 				}
 			},
 			"next": func(t *rapid.T) {
-				longToo, qualifies := rapid.Bool().Draw(t, "longToo"), false
+				includeLong, qualifies := rapid.Bool().Draw(t, "includeLong"), false
 				for i := range waiting {
-					qualifies = qualifies || longToo || !i.Long
+					qualifies = qualifies || includeLong || !i.Long
 				}
-				i := q.Next(longToo)
+				i := q.Next(includeLong)
 				require.Equal(t, qualifies, i != nil)
 				if i != nil {
-					leave(i)
+					markGone(i)
 					taken = append(taken, i)
 				}
 			},
@@ -63,7 +63,7 @@
 			},
 			"remove": func(t *rapid.T) {
 				for i := range waiting {
-					leave(i)
+					markGone(i)
 					q.Remove(i)
 					return
 				}
@@ -88,7 +88,7 @@
 		q := New[int](10_000, floor)
 		most := 0.0
 		for n := range 2000 {
-			i := item(t, n)
+			i := drawItem(t, n)
 			i.Long = false
 			i.Class = Class(n % 2)
 			most = max(most, i.Cost)
@@ -135,7 +135,7 @@
 
 // A burst fills the queue. The customer that sent it loses its newest requests;
 // one that has a single request waiting keeps it.
-func TestBurstCostsItsSender(t *testing.T) {
+func TestBurstIsDroppedFromItsOwnCustomer(t *testing.T) {
 	q := New[int](10, 0.1)
 	calm := &Item[int]{Customer: "calm", Weight: 1, Cost: 1}
 	require.Nil(t, q.Push(calm))
--- a/internal/decide/fairqueue/flow.go
+++ b/internal/decide/fairqueue/flow.go
@@ -14,67 +14,67 @@
 	// finish is the virtual time at which the newest item's share ends.
 	finish float64
 	// work is the summed cost of items.
-	work  float64
-	short int
-	index int
+	work       float64
+	shortItems int
+	heapIndex  int
 }
 
-// lane is one class. Flows without items are forgotten once their share has
+// classQueue is one class. Flows without items are forgotten once their share has
 // been passed, so memory follows the customers that are active.
-type lane[T any] struct {
+type classQueue[T any] struct {
 	flows map[string]*flow[T]
 	order flowHeap[T]
-	// now is the start time of the item served last: virtual time.
-	now  float64
-	work float64
-	size int
+	// virtualTime is the start time of the item served last: virtual time.
+	virtualTime float64
+	work        float64
+	size        int
 }
 
-// first returns the flow whose turn it is.
-func (l *lane[T]) first(longToo bool) *flow[T] {
+// nextFlow returns the flow whose turn it is.
+func (l *classQueue[T]) nextFlow(includeLong bool) *flow[T] {
 	if len(l.order) == 0 {
 		return nil
 	}
-	if top := l.order[0]; longToo || !top.items[0].Long {
+	if top := l.order[0]; includeLong || !top.items[0].Long {
 		return top
 	}
 	// The customer in turn has a long job first and long jobs must wait. Only
 	// then are the flows looked through one by one.
 	var best *flow[T]
 	for _, f := range l.order {
-		if f.short > 0 && (best == nil || f.next(false).start < best.next(false).start) {
+		if f.shortItems > 0 && (best == nil || f.firstEligible(false).start < best.firstEligible(false).start) {
 			best = f
 		}
 	}
 	return best
 }
 
-func (f *flow[T]) next(longToo bool) *Item[T] {
+func (f *flow[T]) firstEligible(includeLong bool) *Item[T] {
 	for _, i := range f.items {
-		if longToo || !i.Long {
+		if includeLong || !i.Long {
 			return i
 		}
 	}
 	return nil
 }
 
-// place returns the index at which the item is or would be.
-func (f *flow[T]) place(i *Item[T]) int {
+// position returns the index at which the item is or would be.
+func (f *flow[T]) position(i *Item[T]) int {
 	return sort.Search(len(f.items), func(n int) bool { return f.items[n].seq >= i.seq })
 }
 
-// forgetAbove is how many customers are remembered before idle ones are looked
+// minFlowsForCleanup is how many customers are remembered before idle ones are looked
 // for; below it the memory is not worth the look.
-const forgetAbove = 64
+const minFlowsForCleanup = 64
 
-// forget drops customers that have nothing waiting and whose share is used up
+// dropIdle drops customers that have nothing waiting and whose share is used up
 // or unclaimed.
-func (l *lane[T]) forget() {
-	if len(l.flows) < forgetAbove || len(l.flows) < 2*len(l.order) {
+func (l *classQueue[T]) dropIdle() {
+	if len(l.flows) < minFlowsForCleanup || len(l.flows) < 2*len(l.order) {
 		return
 	}
 	for customer, f := range l.flows {
-		if len(f.items) == 0 && f.finish <= l.now {
+		if len(f.items) == 0 && f.finish <= l.virtualTime {
 			delete(l.flows, customer)
 		}
 	}
@@ -95,13 +95,13 @@
 
 func (h flowHeap[T]) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
-	h[a].index, h[b].index = a, b
+	h[a].heapIndex, h[b].heapIndex = a, b
 }
 
 // Push implements heap.Interface.
 func (h *flowHeap[T]) Push(x any) {
 	f := x.(*flow[T])
-	f.index = len(*h)
+	f.heapIndex = len(*h)
 	*h = append(*h, f)
 }
 
@@ -111,6 +111,6 @@
 	f := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	f.index = -1
+	f.heapIndex = -1
 	return f
 }
--- a/internal/decide/fairqueue/yield.go
+++ b/internal/decide/fairqueue/overflow.go
@@ -10,83 +10,83 @@
 // for nothing and can be refused at once. If its customer is below its share, nobody need
 // give way for it: such customers alone cannot overload the slots.
 func (q *Queue[T]) DropIfOverShare(i *Item[T]) bool {
-	if !i.Waiting() || !i.flow.above(q.class[i.Class].level(i.Cost)) {
+	if !i.Waiting() || !i.flow.overShare(q.classes[i.Class].fairWorkPerWeight(i.Cost)) {
 		return false
 	}
-	q.refuse(i)
+	q.drop(i)
 	return true
 }
 
-// refuse takes out a customer's newest item, whose share it keeps.
-func (q *Queue[T]) refuse(i *Item[T]) {
+// drop takes out a customer's newest item, whose share it keeps.
+func (q *Queue[T]) drop(i *Item[T]) {
 	i.flow.finish = i.start
-	q.take(i)
+	q.removeWaiting(i)
 }
 
 // DropNewestOverShare takes out the newest item of all customers that hold more of the class than
 // their share. It returns nil if none waits.
 func (q *Queue[T]) DropNewestOverShare(c Class) *Item[T] {
-	l := &q.class[c]
-	f := l.newestAbove()
+	l := &q.classes[c]
+	f := l.newestOverShare()
 	if f == nil {
 		return nil
 	}
 	i := f.newest()
-	q.refuse(i)
+	q.drop(i)
 	return i
 }
 
 func (f *flow[T]) newest() *Item[T] { return f.items[len(f.items)-1] }
 
-// newestAbove looks through the customers that have work waiting. It runs only when
+// newestOverShare looks through the customers that have work waiting. It runs only when
 // something must give way. The one that holds most is always above its share.
-func (l *lane[T]) newestAbove() *flow[T] {
-	var worst *flow[T]
+func (l *classQueue[T]) newestOverShare() *flow[T] {
+	var candidate *flow[T]
 	for _, f := range l.order {
-		if worst == nil || f.work/f.weight > worst.work/worst.weight {
-			worst = f
+		if candidate == nil || f.work/f.weight > candidate.work/candidate.weight {
+			candidate = f
 		}
 	}
-	if worst == nil {
+	if candidate == nil {
 		return nil
 	}
-	level := l.level(worst.newest().Cost)
+	fairShare := l.fairWorkPerWeight(candidate.newest().Cost)
 	for _, f := range l.order {
-		if f.newest().seq > worst.newest().seq && f.above(level) {
-			worst = f
+		if f.newest().seq > candidate.newest().seq && f.overShare(fairShare) {
+			candidate = f
 		}
 	}
-	return worst
+	return candidate
 }
 
-// above reports whether a customer holds more than its share, or is short of it by
+// overShare reports whether a customer holds more than its share, or is short of it by
 // forgiven requests at most. Customers with about equal holdings take turns at being
 // short by one or two; without that, one refusal in six looked for another.
-func (f *flow[T]) above(level float64) bool {
+func (f *flow[T]) overShare(level float64) bool {
 	share := level * f.weight
-	return f.work > share || len(f.items) > forgiven && f.work+forgiven*f.newest().Cost > share
+	return f.work > share || len(f.items) > shareTolerance && f.work+shareTolerance*f.newest().Cost > share
 }
 
-// forgiven is in requests. It is not asked of a customer with no more than that.
-const forgiven = 4
+// shareTolerance is in requests. It is not asked of a customer with no more than that.
+const shareTolerance = 4
 
-// level is the work per weight that each customer may hold if so much gives way:
+// fairWorkPerWeight is the work per weight that each customer may hold if so much gives way:
 // max-min fair, customers that hold less leave the rest to the others. Each pass
-// leaves out those below the level that it found; a few passes end it.
-func (l *lane[T]) level(less float64) float64 {
-	level := 0.0
+// leaves out those below the fairWorkPerWeight that it found; a few passes end it.
+func (l *classQueue[T]) fairWorkPerWeight(dropped float64) float64 {
+	fairShare := 0.0
 	for {
-		work, weight := -less, 0.0
+		work, weight := -dropped, 0.0
 		for _, f := range l.order {
-			if f.work/f.weight < level {
+			if f.work/f.weight < fairShare {
 				continue
 			}
 			work += f.work
 			weight += f.weight
 		}
-		if weight == 0 || work/weight <= level {
-			return level
+		if weight == 0 || work/weight <= fairShare {
+			return fairShare
 		}
-		level = work / weight
+		fairShare = work / weight
 	}
 }
--- a/internal/decide/fairqueue/yield_test.go
+++ b/internal/decide/fairqueue/overflow_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overfull offers requests of customers drawn by their rates, serves one for each
+// overload offers requests of customers drawn by their rates, serves one for each
 // 1.5 that come, and keeps the queue at 60, as the dispatcher does. It returns how many others came between
 // each refused request and its refusal, sorted, and what was refused by customer.
-func overfull(rates ...float64) (waited []int, refused map[string]int) {
+func overload(rates ...float64) (waited []int, refused map[string]int) {
 	random := rand.New(rand.NewPCG(1, 1))
 	q := New[int](1000, 0.1)
 	sum := 0.0
@@ -49,14 +49,14 @@
 // Two listeners' apps, or a hundred of them, send half more than the pool can do.
 // Refusals came milliseconds late, by a hundred customers a third of a second late:
 // another customer held a little more, and its newest request had waited already.
-func TestWhoJustCameGivesWayAmongEquals(t *testing.T) {
+func TestNewestItemIsDroppedAmongEqualCustomers(t *testing.T) {
 	hundred := make([]float64, 100)
 	for i := range hundred {
 		hundred[i] = 1
 	}
 	// At 1,500 requests a second 7 come in 5 ms.
 	for _, rates := range [][]float64{{1, 1}, {1, 1, 1}, {5, 4, 3}, hundred} {
-		waited, _ := overfull(rates...)
+		waited, _ := overload(rates...)
 		require.Greater(t, len(waited), 5000)
 		require.LessOrEqual(t, waited[len(waited)*99/100], 7, "%d customers", len(rates))
 	}
@@ -64,7 +64,7 @@
 
 // One customer sends more than the pool can do, two send a tenth of it each. These
 // are below their shares and lose nothing.
-func TestWhoIsBelowItsShareDoesNotGiveWay(t *testing.T) {
-	waited, refused := overfull(1.3, 0.1, 0.1)
+func TestCustomerBelowItsShareLosesNothing(t *testing.T) {
+	waited, refused := overload(1.3, 0.1, 0.1)
 	require.Equal(t, len(waited), refused["c0"])
 }
--- a/internal/decide/fairqueue/slope_test.go
+++ b/internal/decide/fairqueue/slope_test.go
@@ -7,7 +7,7 @@
 	"hemlockquay/internal/capacity"
 )
 
-func full(waiting, customers int) *Queue[int] {
+func fullQueue(waiting, customers int) *Queue[int] {
 	q := New[int](waiting, 0.1)
 	for n := range waiting {
 		q.Push(&Item[int]{Customer: fmt.Sprint("customer-", n%customers), Weight: 1, Cost: 0.01})
@@ -19,8 +19,8 @@
 func BenchmarkSlopeWaiting(b *testing.B) {
 	for _, n := range []int{256, 1024, 4096} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			kept := capacity.Retained(func() any { return full(n, 50) })
-			q := full(n, 50)
+			kept := capacity.Retained(func() any { return fullQueue(n, 50) })
+			q := fullQueue(n, 50)
 			for b.Loop() {
 				q.Push(q.Next(true))
 			}
@@ -34,7 +34,7 @@
 func BenchmarkSlopeQueueCustomers(b *testing.B) {
 	for _, n := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			q := full(4096, n)
+			q := fullQueue(4096, n)
 			for b.Loop() {
 				q.Push(q.Next(true))
 			}
@@ -46,7 +46,7 @@
 func BenchmarkSlopeOverflow(b *testing.B) {
 	for _, n := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			q := full(4096, n)
+			q := fullQueue(4096, n)
 			for b.Loop() {
 				q.Push(&Item[int]{Customer: "customer-1", Weight: 1, Cost: 0.01})
 			}
