--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// Return puts an item back that Next returned and that was not run. It keeps
+// Requeue puts an item back that Next returned and that was not run. It keeps
 // its place: its share was spent once already.
-func (q *Queue[T]) Return(i *Item[T]) {
+func (q *Queue[T]) Requeue(i *Item[T]) {
 	q.revertCredit(i)
 	l := &q.classes[i.Class]
 	f := l.flows[i.Customer]
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -59,7 +59,7 @@
 				i := taken[len(taken)-1]
 				taken = taken[:len(taken)-1]
 				waiting[i] = true
-				q.Return(i)
+				q.Requeue(i)
 			},
 			"remove": func(t *rapid.T) {
 				for i := range waiting {
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -54,7 +54,7 @@
 		q.end(j, q.notOwner())
 	case grant != nil && j.grant != nil && grant.Rank != j.grant.Rank:
 		q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
-		q.waiting.Return(&j.item)
+		q.waiting.Requeue(&j.item)
 	default:
 		q.park(j, now)
 	}
@@ -73,7 +73,7 @@
 		left--
 		delete(q.parked, j)
 		q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
-		q.waiting.Return(&j.item)
+		q.waiting.Requeue(&j.item)
 	}
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -297,7 +297,7 @@
 	for j := range jobs {
 		delete(jobs, j)
 		q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
-		q.waiting.Return(&j.item)
+		q.waiting.Requeue(&j.item)
 	}
 }
 
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -56,7 +56,7 @@
 		q.launch(ctx, v, t, item.Value, now)
 	}
 	for _, j := range aside {
-		q.waiting.Return(&j.item)
+		q.waiting.Requeue(&j.item)
 	}
 }
 
@@ -298,7 +298,7 @@
 	}
 	j.lostBefore = j.lostBefore || out == retry.Lost
 	q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
-	q.waiting.Return(&j.item)
+	q.waiting.Requeue(&j.item)
 }
 
 // lose ends a job that may have run.
