--- a/internal/decide/fairqueue/fairqueue.go
+++ b/internal/decide/fairqueue/fairqueue.go
@@ -1,62 +1,66 @@
 // Package fairqueue orders the requests that wait for one target or pool.
 //
-// Load pattern: one customer sends ten times its contract while others send what
-// they always do; nightly background work stands beside a full interactive load.
-// Without it, first come is first served: the burst of one customer is waited
-// out by all, and background work either starves or makes interactive callers
-// wait behind it.
+// Load pattern: one customer sends ten times its contract while the others send
+// their usual load, or nightly background work arrives on top of a full interactive
+// load. With a FIFO queue every customer waits behind the burst of one, and
+// background work either starves or delays interactive requests.
 //
-// Inside a class, start-time fair queueing: each request gets the virtual time at
-// which its customer's share reaches it, and the lowest goes first. The cost of a
-// request is its expected service time, so that a share is one of slots and not
-// of requests: a customer of long jobs pays for them. Interactive work goes before
-// background work, but for each second of interactive work done while background
-// work waits, background work earns its floor and is served when it has earned
-// the next request. Nothing is earned while none waits, so no old claims build up.
+// Requests of one class are ordered by start-time fair queueing: each request is
+// tagged with the virtual time at which its customer's share reaches it, and the
+// lowest tag is served first. The cost of a request is its expected service time, so
+// shares are shares of slot time rather than of request counts, and long jobs are
+// charged to the customer that sends them. Interactive requests are served before
+// background requests. To keep background work from starving, each second of
+// interactive service earns it credit in proportion to its guaranteed share (floor),
+// and a background request is served as soon as the credit covers its cost. Credit
+// accrues only while background requests wait, so it cannot pile up when idle.
 //
-// Each class is bounded by itself, so that neither pushes the other out. When it is
-// full the customer that holds most of it for its share loses its newest request,
-// which may be the one that just came: a burst costs the customer that sent it. The newest goes, since the oldest has the best
-// prospect of being served in time.
+// Each class has its own limit, so neither can crowd out the other. When a class is
+// over its limit, a customer that holds more than its share loses its newest
+// request, possibly the one that has just arrived, so a burst is paid for by the
+// customer that sent it. The newest request is dropped because older ones have a
+// better chance of being served in time.
 //
-// Grounds: start-time fair queueing needs no rate of the server, which is unknown
-// and varies here, and is at most one request per customer away from ideal shares.
+// Rationale: start-time fair queueing does not need the service rate, which is
+// unknown and varies here, and deviates from ideal shares by at most one request per
+// customer.
 package fairqueue
 
 import (
 	"container/heap"
 )
 
-// Class is an item's class.
+// Class is the priority class of an item.
 type Class int
 
-// The numClasses, most urgent first.
+// Priority classes, highest first.
 const (
 	Interactive Class = iota
 	Background
 	numClasses
 )
 
-// Item is a waiting request. The exported fields are the caller's and stay
-// unchanged while the item waits.
+// Item is a waiting request. The caller sets the exported fields and must not change
+// them while the item waits.
 type Item[T any] struct {
 	Value    T
 	Customer string
 	Class    Class
-	// Weight is the customer's share against others of the class, at least 1.
+	// Weight is the customer's share relative to other customers of the class, at least 1.
 	Weight int
-	// Cost is the expected service time, seconds, above 0.
+	// Cost is the expected service time in seconds, above 0.
 	Cost float64
-	// Long items are passed over where the caller of Next asks for it.
+	// Long marks items that Next skips when it is called with includeLong false.
 	Long bool
 
+	// flow is nil unless the item waits.
 	flow *flow[T]
-	// start is the virtual time at which the item may go.
+	// start is the virtual start time, by which items are ordered.
 	start float64
 	seq   uint64
 }
 
-// Waiting reports whether the item is in a queue.
+// Waiting reports whether the item is in the queue.
 func (i *Item[T]) Waiting() bool { return i.flow != nil }
 
 // Queue is a bounded fair queue. It is not safe for concurrent use.
@@ -67,12 +71,12 @@
 	classes [numClasses]classQueue[T]
 	seq     uint64
 	size    int
-	// backgroundCredit is the background work that is due, seconds of service.
+	// backgroundCredit is the service time that background work has earned, in seconds.
 	backgroundCredit float64
 }
 
-// New returns a queue of at most limit items in each class that guarantees background work
-// the share floor, 0 to 0.5.
+// New returns a queue of at most limit items per class. Background work is guaranteed
+// the share floor of the service time, 0 to 0.5.
 func New[T any](limit int, floor float64) *Queue[T] {
 	q := &Queue[T]{limit: limit}
 	q.SetFloor(floor)
@@ -82,20 +86,21 @@
 	return q
 }
 
-// SetFloor changes the share of background work.
+// SetFloor changes the share that is guaranteed to background work. Values outside
+// 0 to 0.5 are clamped.
 func (q *Queue[T]) SetFloor(floor float64) { q.floor = min(max(floor, 0), 0.5) }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items in both classes.
 func (q *Queue[T]) Len() int { return q.size }
 
-// ClassLen returns how many items of a class wait.
+// ClassLen returns the number of waiting items of a class.
 func (q *Queue[T]) ClassLen(c Class) int { return q.classes[c].size }
 
-// Work returns the summed cost of a class, seconds.
+// Work returns the summed cost of the waiting items of a class, in seconds.
 func (q *Queue[T]) Work(c Class) float64 { return q.classes[c].work }
 
-// Push adds an item. When its class is over the limit it returns the item that
-// gives way, which may be the one that came; nil otherwise.
+// Push adds an item. If its class is over the limit afterwards, it drops and returns
+// one item of the class, possibly i itself; otherwise it returns nil.
 func (q *Queue[T]) Push(i *Item[T]) *Item[T] {
 	q.insert(i)
 	if q.classes[i.Class].size <= q.limit {
@@ -123,8 +128,8 @@
 	}
 }
 
-// Requeue puts an item back that Next returned and that was not run. It keeps
-// its place: its share was spent once already.
+// Requeue puts back an item that Next returned and that was not run. The item keeps
+// its start time and position, since its cost was already charged to its customer.
 func (q *Queue[T]) Requeue(i *Item[T]) {
 	q.revertCredit(i)
 	l := &q.classes[i.Class]
@@ -145,6 +150,8 @@
 	heap.Fix(&l.order, f.heapIndex)
 }
 
+// updateTotals adjusts the counts and sums for an item that enters the queue (n = 1) or
+// leaves it (n = -1).
 func (q *Queue[T]) updateTotals(i *Item[T], f *flow[T], n int) {
 	l := &q.classes[i.Class]
 	q.size += n
@@ -163,8 +170,8 @@
 	}
 }
 
-// Next takes out the item to serve. With includeLong false long items are passed
-// over. It returns nil if none qualifies.
+// Next removes and returns the item to serve. Long items are skipped unless
+// includeLong is set. It returns nil if no item qualifies.
 func (q *Queue[T]) Next(includeLong bool) *Item[T] {
 	first, second := Interactive, Background
 	if q.backgroundDue(includeLong) {
@@ -180,7 +187,7 @@
 	return i
 }
 
-// backgroundDue reports whether background work has earned its next item.
+// backgroundDue reports whether the credit of background work covers its next item.
 func (q *Queue[T]) backgroundDue(includeLong bool) bool {
 	f := q.classes[Background].nextFlow(includeLong)
 	if f == nil {
@@ -189,8 +196,8 @@
 	return q.backgroundCredit >= f.firstEligible(includeLong).Cost
 }
 
-// updateCredit keeps the account of the floor. A turn of cost c that interactive work
-// gets is worth c*floor/(1-floor) to the background work that waits.
+// updateCredit adjusts the background credit for an item that is served. Interactive
+// service of cost c earns waiting background work c*floor/(1-floor).
 func (q *Queue[T]) updateCredit(i *Item[T]) {
 	switch {
 	case i.Class == Background:
@@ -203,7 +210,7 @@
 	}
 }
 
-// revertCredit takes back what earn did.
+// revertCredit undoes updateCredit for an item that was not run.
 func (q *Queue[T]) revertCredit(i *Item[T]) {
 	switch {
 	case i.Class == Background:
@@ -225,7 +232,8 @@
 	return i
 }
 
-// Remove takes an item out, as when its caller went away.
+// Remove takes a waiting item out of the queue, for example after its caller has
+// disconnected. It does nothing if the item does not wait.
 func (q *Queue[T]) Remove(i *Item[T]) {
 	if i.flow != nil {
 		q.removeWaiting(i)
@@ -252,8 +260,8 @@
 	l.dropIdle()
 }
 
-// Ahead returns how much of the class's waiting work goes before a request that
-// the customer would push now, seconds of service.
+// Ahead returns how much of the class's waiting work would be served before a request
+// that the customer pushed now, in seconds of service time.
 func (q *Queue[T]) Ahead(customer string, c Class) float64 {
 	l := &q.classes[c]
 	start := l.virtualTime
--- a/internal/decide/fairqueue/fairqueue_test.go
+++ b/internal/decide/fairqueue/fairqueue_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Over any sequence of operations every item leaves exactly once, Next finds an
-// item whenever one qualifies, and the sums agree with what waits.
+// Over any sequence of operations every item leaves the queue exactly once, Next returns
+// an item whenever one qualifies, and the sums match the waiting items.
 func TestNothingIsLostOrServedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int](rapid.IntRange(1, 20).Draw(t, "limit"), rapid.Float64Range(0, 0.5).Draw(t, "floor"))
@@ -81,7 +81,8 @@
 	})
 }
 
-// While background work waits it gets its floor of all service, less one request.
+// While background work waits, it gets its floor of the service time to within two
+// requests of the highest cost.
 func TestBackgroundGetsItsFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		floor := rapid.Float64Range(0.05, 0.5).Draw(t, "floor")
@@ -107,8 +108,8 @@
 	})
 }
 
-// Customers that always have work waiting get service by their weights, whatever
-// they ask for and however dear their requests are.
+// Customers that always have work waiting are served in proportion to their weights,
+// whatever their requests cost.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New[int](100_000, 0)
@@ -133,8 +134,8 @@
 	})
 }
 
-// A burst fills the queue. The customer that sent it loses its newest requests;
-// one that has a single request waiting keeps it.
+// A burst fills the queue. Only the customer that sent it loses requests, the newest
+// first; customers with a single waiting request keep it.
 func TestBurstIsDroppedFromItsOwnCustomer(t *testing.T) {
 	q := New[int](10, 0.1)
 	calm := &Item[int]{Customer: "calm", Weight: 1, Cost: 1}
--- a/internal/decide/fairqueue/flow.go
+++ b/internal/decide/fairqueue/flow.go
@@ -4,33 +4,36 @@
 	"sort"
 )
 
-// flow is what one customer has waiting in one class.
+// flow holds the waiting items of one customer in one class.
 type flow[T any] struct {
 	customer string
 	class    Class
 	weight   float64
-	// items are in the order of their start times.
+	// items are sorted by sequence number, and hence by start time.
 	items []*Item[T]
-	// finish is the virtual time at which the newest item's share ends.
+	// finish is the virtual finish time of the newest item.
 	finish float64
 	// work is the summed cost of items.
-	work       float64
+	work float64
+	// shortItems is the number of items that are not long.
 	shortItems int
-	heapIndex  int
+	// heapIndex is the position in the class's heap, -1 while the flow has no items.
+	heapIndex int
 }
 
-// classQueue is one class. Flows without items are forgotten once their share has
-// been passed, so memory follows the customers that are active.
+// classQueue holds the flows of one class. Flows without items are deleted once virtual
+// time has reached their finish time, so memory is proportional to the number of active
+// customers.
 type classQueue[T any] struct {
 	flows map[string]*flow[T]
 	order flowHeap[T]
-	// virtualTime is the start time of the item served last: virtual time.
+	// virtualTime is the highest start time of the items served so far.
 	virtualTime float64
 	work        float64
 	size        int
 }
 
-// nextFlow returns the flow whose turn it is.
+// nextFlow returns the flow to serve next, nil if no item qualifies.
 func (l *classQueue[T]) nextFlow(includeLong bool) *flow[T] {
 	if len(l.order) == 0 {
 		return nil
@@ -38,8 +41,8 @@
 	if top := l.order[0]; includeLong || !top.items[0].Long {
 		return top
 	}
-	// The customer in turn has a long job first and long jobs must wait. Only
-	// then are the flows looked through one by one.
+	// The first flow starts with a long item, and long items are excluded. Only in this
+	// case are all flows scanned.
 	var best *flow[T]
 	for _, f := range l.order {
 		if f.shortItems > 0 && (best == nil || f.firstEligible(false).start < best.firstEligible(false).start) {
@@ -49,6 +52,7 @@
 	return best
 }
 
+// firstEligible returns the first item, or the first that is not long, nil if there is none.
 func (f *flow[T]) firstEligible(includeLong bool) *Item[T] {
 	for _, i := range f.items {
 		if includeLong || !i.Long {
@@ -58,17 +62,17 @@
 	return nil
 }
 
-// position returns the index at which the item is or would be.
+// position returns the index of the item in f.items, or the index to insert it at.
 func (f *flow[T]) position(i *Item[T]) int {
 	return sort.Search(len(f.items), func(n int) bool { return f.items[n].seq >= i.seq })
 }
 
-// minFlowsForCleanup is how many customers are remembered before idle ones are looked
-// for; below it the memory is not worth the look.
+// minFlowsForCleanup is the number of flows below which idle ones are not searched for,
+// since they take too little memory to be worth a scan.
 const minFlowsForCleanup = 64
 
-// dropIdle drops customers that have nothing waiting and whose share is used up
-// or unclaimed.
+// dropIdle deletes flows that have no items and whose finish time has been reached. A
+// customer that returns later starts at the current virtual time in either case.
 func (l *classQueue[T]) dropIdle() {
 	if len(l.flows) < minFlowsForCleanup || len(l.flows) < 2*len(l.order) {
 		return
@@ -80,7 +84,7 @@
 	}
 }
 
-// flowHeap orders flows by the start time of their first item.
+// flowHeap is a heap of flows, ordered by the start time of their first item.
 type flowHeap[T any] []*flow[T]
 
 func (h flowHeap[T]) Len() int { return len(h) }
--- a/internal/decide/fairqueue/overflow_test.go
+++ b/internal/decide/fairqueue/overflow_test.go
@@ -9,9 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overload offers requests of customers drawn by their rates, serves one for each
-// 1.5 that come, and keeps the queue at 60, as the dispatcher does. It returns how many others came between
-// each refused request and its refusal, sorted, and what was refused by customer.
+// overload pushes requests of customers drawn in proportion to the rates, serves one for
+// every 1.5 that arrive, and keeps the queue at 60, as the dispatcher does. It returns how
+// many requests arrived between each refused request and its refusal, sorted, and the number
+// of refused requests by customer.
 func overload(rates ...float64) (waited []int, refused map[string]int) {
 	random := rand.New(rand.NewPCG(1, 1))
 	q := New[int](1000, 0.1)
@@ -46,15 +47,16 @@
 	return waited, refused
 }
 
-// Two listeners' apps, or a hundred of them, send half more than the pool can do.
-// Refusals came milliseconds late, by a hundred customers a third of a second late:
-// another customer held a little more, and its newest request had waited already.
+// Two customers, or a hundred, together send 1.5 times the capacity of the pool. Guards
+// against late refusals: if the customer that holds slightly more loses its newest request,
+// that request has already waited for milliseconds, or for a third of a second with a
+// hundred customers.
 func TestNewestItemIsDroppedAmongEqualCustomers(t *testing.T) {
 	hundred := make([]float64, 100)
 	for i := range hundred {
 		hundred[i] = 1
 	}
-	// At 1,500 requests a second 7 come in 5 ms.
+	// At 1,500 requests a second, about 7 arrive in 5 ms.
 	for _, rates := range [][]float64{{1, 1}, {1, 1, 1}, {5, 4, 3}, hundred} {
 		waited, _ := overload(rates...)
 		require.Greater(t, len(waited), 5000)
@@ -62,8 +64,8 @@
 	}
 }
 
-// One customer sends more than the pool can do, two send a tenth of it each. These
-// are below their shares and lose nothing.
+// One customer sends more than the pool can serve, two others send a tenth of its capacity
+// each. The two are below their shares and must lose nothing.
 func TestCustomerBelowItsShareLosesNothing(t *testing.T) {
 	waited, refused := overload(1.3, 0.1, 0.1)
 	require.Equal(t, len(waited), refused["c0"])
--- a/internal/decide/fairqueue/slope_test.go
+++ b/internal/decide/fairqueue/slope_test.go
@@ -15,7 +15,7 @@
 	return q
 }
 
-// BenchmarkSlopeWaiting is one request out and in, by the length of the queue.
+// BenchmarkSlopeWaiting measures taking out and pushing one request by queue length.
 func BenchmarkSlopeWaiting(b *testing.B) {
 	for _, n := range []int{256, 1024, 4096} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// BenchmarkSlopeQueueCustomers is one request out and in, by the customers that
-// wait.
+// BenchmarkSlopeQueueCustomers measures taking out and pushing one request by the number
+// of customers with waiting requests.
 func BenchmarkSlopeQueueCustomers(b *testing.B) {
 	for _, n := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// BenchmarkSlopeOverflow is a request that finds the queue full.
+// BenchmarkSlopeOverflow measures pushing a request into a full queue by the number of
+// customers with waiting requests.
 func BenchmarkSlopeOverflow(b *testing.B) {
 	for _, n := range []int{16, 128, 1024} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
