--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -8,7 +8,7 @@
 
 // account is one contract's books at this entry.
 type account struct {
-	use     Use
+	use     Demand
 	touched time.Duration
 	// lent is by borrower, borrowed by lender.
 	lent     map[string]*lentQuota
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -81,8 +81,8 @@
 // Account is one customer's contract at one service.
 type Account struct{ Customer, Service string }
 
-// Use is what an entry's own callers need of an account.
-type Use struct {
+// Demand is what an entry's own callers need of an account.
+type Demand struct {
 	// Want is the share that the present demand asks for.
 	Want Units
 	// Busy is the share of the concurrency that requests in flight take up.
@@ -152,7 +152,7 @@
 func (b *Book) List(vms []string, now time.Duration) { b.roster.list(vms, now) }
 
 // SetUse says what the entry's own callers need of an account.
-func (b *Book) SetUse(a Account, u Use, now time.Duration) {
+func (b *Book) SetUse(a Account, u Demand, now time.Duration) {
 	x := b.account(a)
 	x.use, x.touched = u, now
 }
