--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -151,8 +151,8 @@
 // List takes the platform's list of VMs.
 func (b *Book) List(vms []string, now time.Duration) { b.roster.list(vms, now) }
 
-// SetUse says what the entry's own callers need of an account.
-func (b *Book) SetUse(a Account, u Demand, now time.Duration) {
+// SetDemand says what the entry's own callers need of an account.
+func (b *Book) SetDemand(a Account, u Demand, now time.Duration) {
 	x := b.account(a)
 	x.use, x.touched = u, now
 }
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -159,7 +159,7 @@
 // must run before and after each change of the book: the gate counts a lowered
 // share from the last update that it received.
 func (a *admitter) refresh(account shares.Account, l *ledger, now time.Duration) {
-	a.book.SetUse(account, l.use(a.vms, now), now)
+	a.book.SetDemand(account, l.use(a.vms, now), now)
 	rate, concurrency := a.book.Share(account, now)
 	l.gate.Set(admission.Share{
 		Rate:        part(rate, l.allowance.Rate),
