--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -137,7 +137,7 @@
 	if c := x.borrowed[peer]; c != nil && now < c.until {
 		fits -= c.units
 	}
-	return max(x.use.Busy-fits, 0)
+	return max(x.use.InUse-fits, 0)
 }
 
 // wantFrom spreads what is missing over the peers. A peer that lends gets asked
@@ -145,7 +145,7 @@
 // something to lend, the loan grows to it within a few rounds. Without the least
 // part a burst of one would be gathered to a hair below one for ever.
 func (x *account) wantFrom(c *borrowedQuota, peers, base Units, now time.Duration) Units {
-	need := max(x.use.Want, x.use.Busy) - max(base-x.lentRate(now), 0)
+	need := max(x.use.Want, x.use.InUse) - max(base-x.lentRate(now), 0)
 	if need <= 0 {
 		return 0
 	}
@@ -201,7 +201,7 @@
 func (b *Book) fits(now time.Duration) bool {
 	base := b.roster.base(now)
 	for _, x := range b.accounts {
-		if x.lentRate(now) > base || x.lentConcurrency(now) > base || x.use.Busy > b.ownConcurrency(x, now)+x.borrowedNow(now) {
+		if x.lentRate(now) > base || x.lentConcurrency(now) > base || x.use.InUse > b.ownConcurrency(x, now)+x.borrowedNow(now) {
 			return false
 		}
 	}
@@ -247,7 +247,7 @@
 // itself, split among those who ask by what they ask for.
 func (b *Book) spare(x *account, to string, now time.Duration) Units {
 	base := b.roster.base(now)
-	own := max(x.use.Want, x.use.Busy, x.use.Reserve)
+	own := max(x.use.Want, x.use.InUse, x.use.Reserve)
 	forRate, forConcurrency := base-own, b.concurrencyBase(x, now)-own
 	var wanted Units
 	for vm, l := range x.lent {
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -85,8 +85,8 @@
 type Demand struct {
 	// Want is the share that the present demand asks for.
 	Want Units
-	// Busy is the share of the concurrency that requests in flight take up.
-	Busy Units
+	// InUse is the share of the concurrency that requests in flight take up.
+	InUse Units
 	// Reserve is what the entry keeps of its base without any demand, for the
 	// first requests of a burst.
 	Reserve Units
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -74,7 +74,7 @@
 		n.gate.Done(time.Second)
 	}
 	busy := Units(math.Ceil(float64(len(n.running)) / testContract.Concurrency * float64(Whole)))
-	n.book.SetDemand(testAccount, Demand{Want: n.want, Busy: busy, Reserve: Whole / 16, Longest: testLongest}, f.now)
+	n.book.SetDemand(testAccount, Demand{Want: n.want, InUse: busy, Reserve: Whole / 16, Longest: testLongest}, f.now)
 	rate, concurrency := n.book.Share(testAccount, f.now)
 	n.gate.Set(admission.Share{
 		Rate:        part(rate, testContract.Rate),
@@ -311,7 +311,7 @@
 func TestRestartedLenderWaitsForItsBorrowers(t *testing.T) {
 	b := New("vm1", 1, 0)
 	b.List([]string{"vm1", "vm2"}, 0)
-	use := Demand{Want: Whole, Busy: 0, Longest: time.Minute}
+	use := Demand{Want: Whole, InUse: 0, Longest: time.Minute}
 	b.SetDemand(testAccount, use, 0)
 	ask := b.Ask("vm2", 1, 0)
 	lenders := Answer{From: "vm2", Incarnation: 1, Confirmed: true, Based: true, Loans: []Loan{{testAccount, Whole / 4}}}
@@ -319,14 +319,14 @@
 	rate, _ := b.Share(testAccount, 0)
 	require.Equal(t, Whole*3/4, rate)
 
-	use.Busy = Whole * 3 / 4
+	use.InUse = Whole * 3 / 4
 	b.SetDemand(testAccount, use, 0)
 	hello := Ask{From: "vm2", Incarnation: 2, Seq: 1, Counted: []string{"vm1", "vm2"}}
 	require.False(t, b.Receive(hello, 0).Confirmed)
 	rate, _ = b.Share(testAccount, 0)
 	require.Equal(t, Whole/2, rate, "the loan of the earlier life is gone")
 
-	use.Busy = Whole / 2
+	use.InUse = Whole / 2
 	b.SetDemand(testAccount, use, 0)
 	hello.Seq++
 	require.True(t, b.Receive(hello, 0).Confirmed)
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -182,7 +182,7 @@
 	running := float64(l.gate.Running())
 	burst, concurrency := float64(l.allowance.Burst), float64(l.allowance.Concurrency)
 	if running > 0 {
-		u.Busy = units(running, concurrency)
+		u.InUse = units(running, concurrency)
 	}
 	if l.demand > 0 || l.offered > 0 {
 		u.Want = max(units(headroom*l.demand, l.allowance.Rate), units(headroom*running+1, concurrency), units(1, burst))
