--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -225,7 +225,7 @@
 	until := now + Lease + drift
 	if units > 0 {
 		l.grants = append(l.grants, grant{seq: ask.Seq, units: units, until: until})
-		l.occupiedUntil = until + x.use.Longest
+		l.occupiedUntil = until + x.use.MaxDuration
 	}
 	l.open = append(l.open, grant{seq: ask.Seq, units: units})
 	x.expire(now)
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -90,8 +90,8 @@
 	// Reserve is what the entry keeps of its base without any demand, for the
 	// first requests of a burst.
 	Reserve Units
-	// Longest is how long a request may be in flight.
-	Longest time.Duration
+	// MaxDuration is how long a request may be in flight.
+	MaxDuration time.Duration
 }
 
 // Ask is what an entry sends to each other one every Renew.
@@ -195,7 +195,7 @@
 // concurrencyBase is 0 while requests of an earlier life may be in flight on
 // loans that this life knows nothing of and nobody confirmed to have ended.
 func (b *Book) concurrencyBase(x *account, now time.Duration) Units {
-	if b.roster.provisional && now-b.roster.started < x.use.Longest+Lease+drift {
+	if b.roster.provisional && now-b.roster.started < x.use.MaxDuration+Lease+drift {
 		return 0
 	}
 	return b.roster.base(now)
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -74,7 +74,7 @@
 		n.gate.Done(time.Second)
 	}
 	busy := Units(math.Ceil(float64(len(n.running)) / testContract.Concurrency * float64(Whole)))
-	n.book.SetDemand(testAccount, Demand{Want: n.want, InUse: busy, Reserve: Whole / 16, Longest: testLongest}, f.now)
+	n.book.SetDemand(testAccount, Demand{Want: n.want, InUse: busy, Reserve: Whole / 16, MaxDuration: testLongest}, f.now)
 	rate, concurrency := n.book.Share(testAccount, f.now)
 	n.gate.Set(admission.Share{
 		Rate:        part(rate, testContract.Rate),
@@ -311,7 +311,7 @@
 func TestRestartedLenderWaitsForItsBorrowers(t *testing.T) {
 	b := New("vm1", 1, 0)
 	b.List([]string{"vm1", "vm2"}, 0)
-	use := Demand{Want: Whole, InUse: 0, Longest: time.Minute}
+	use := Demand{Want: Whole, InUse: 0, MaxDuration: time.Minute}
 	b.SetDemand(testAccount, use, 0)
 	ask := b.Ask("vm2", 1, 0)
 	lenders := Answer{From: "vm2", Incarnation: 1, Confirmed: true, Based: true, Loans: []Loan{{testAccount, Whole / 4}}}
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -178,7 +178,7 @@
 // use says what this entry needs. With any demand at all that is enough for one
 // request: of a small burst or concurrency an equal part admits none.
 func (l *ledger) use(vms int, now time.Duration) shares.Demand {
-	u := shares.Demand{Longest: l.longest}
+	u := shares.Demand{MaxDuration: l.longest}
 	running := float64(l.gate.Running())
 	burst, concurrency := float64(l.allowance.Burst), float64(l.allowance.Concurrency)
 	if running > 0 {
