--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -161,8 +161,8 @@
 	return held + min(missing, max(2*missing/peers, smallestAsk))
 }
 
-// Receive answers the ask of another entry.
-func (b *Book) Receive(ask Ask, now time.Duration) Answer {
+// HandleAsk answers the ask of another entry.
+func (b *Book) HandleAsk(ask Ask, now time.Duration) Answer {
 	ok, renewed := b.roster.record(ask.From, ask.Incarnation, ask.Counted, now)
 	if renewed {
 		b.renew(ask.From)
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -125,7 +125,7 @@
 	f.refresh(to)
 	switch {
 	case m.answer == nil:
-		answer := to.book.Receive(m.ask, f.now)
+		answer := to.book.HandleAsk(m.ask, f.now)
 		f.wire = append(f.wire, message{from: m.to, to: m.from, ask: m.ask, answer: &answer, asked: m.asked, life: m.life})
 	case to.lives == m.life:
 		to.book.Take(m.ask, *m.answer, m.asked, f.now)
@@ -294,7 +294,7 @@
 func TestVMThatTheOldListLacksIsNotStruckOff(t *testing.T) {
 	b := New("vm1", 1, 0)
 	b.List([]string{"vm1", "vm2"}, 0)
-	answer := b.Receive(Ask{From: "vm3", Incarnation: 1, Seq: 1, Counted: []string{"vm1", "vm2", "vm3"}}, time.Second)
+	answer := b.HandleAsk(Ask{From: "vm3", Incarnation: 1, Seq: 1, Counted: []string{"vm1", "vm2", "vm3"}}, time.Second)
 	require.True(t, answer.Confirmed)
 	b.List([]string{"vm1", "vm2"}, 2*holdDown)
 	b.Expire(2 * holdDown)
@@ -322,14 +322,14 @@
 	use.InUse = Whole * 3 / 4
 	b.SetDemand(testAccount, use, 0)
 	hello := Ask{From: "vm2", Incarnation: 2, Seq: 1, Counted: []string{"vm1", "vm2"}}
-	require.False(t, b.Receive(hello, 0).Confirmed)
+	require.False(t, b.HandleAsk(hello, 0).Confirmed)
 	rate, _ = b.Share(testAccount, 0)
 	require.Equal(t, Whole/2, rate, "the loan of the earlier life is gone")
 
 	use.InUse = Whole / 2
 	b.SetDemand(testAccount, use, 0)
 	hello.Seq++
-	require.True(t, b.Receive(hello, 0).Confirmed)
+	require.True(t, b.HandleAsk(hello, 0).Confirmed)
 }
 
 // Found by TestSharesNeverExceedTheContract. vm1 and vm3 have bases and are cut off
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -254,7 +254,7 @@
 		a.activateNamed(w.Account, now)
 	}
 	a.refreshActive(now)
-	answer := a.book.Receive(ask, now)
+	answer := a.book.HandleAsk(ask, now)
 	a.refreshActive(now)
 	return answer
 }
