--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -267,9 +267,9 @@
 	return min(forRate, forConcurrency, Units(part))
 }
 
-// Take books the answer to an ask that was sent at the given time. An answer to
+// HandleAnswer books the answer to an ask that was sent at the given time. An answer to
 // an older ask than the last one taken is passed over.
-func (b *Book) Take(ask Ask, answer Answer, asked, now time.Duration) {
+func (b *Book) HandleAnswer(ask Ask, answer Answer, asked, now time.Duration) {
 	ok, renewed := b.roster.record(answer.From, answer.Incarnation, answer.Counted, now)
 	if !ok {
 		return
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -128,7 +128,7 @@
 		answer := to.book.HandleAsk(m.ask, f.now)
 		f.wire = append(f.wire, message{from: m.to, to: m.from, ask: m.ask, answer: &answer, asked: m.asked, life: m.life})
 	case to.lives == m.life:
-		to.book.Take(m.ask, *m.answer, m.asked, f.now)
+		to.book.HandleAnswer(m.ask, *m.answer, m.asked, f.now)
 	}
 	f.refresh(to)
 }
@@ -315,7 +315,7 @@
 	b.SetDemand(testAccount, use, 0)
 	ask := b.Ask("vm2", 1, 0)
 	lenders := Answer{From: "vm2", Incarnation: 1, Confirmed: true, Based: true, Loans: []Loan{{testAccount, Whole / 4}}}
-	b.Take(ask, lenders, 0, 0)
+	b.HandleAnswer(ask, lenders, 0, 0)
 	rate, _ := b.Share(testAccount, 0)
 	require.Equal(t, Whole*3/4, rate)
 
@@ -341,12 +341,12 @@
 	now := patience + time.Second
 	for i, peer := range []string{"vm4", "vm5"} {
 		ask := b.Ask(peer, uint64(i+1), now)
-		b.Take(ask, Answer{From: peer, Incarnation: 1, Confirmed: true}, now, now)
+		b.HandleAnswer(ask, Answer{From: peer, Incarnation: 1, Confirmed: true}, now, now)
 	}
 	rate, _ := b.Share(testAccount, now)
 	require.Zero(t, rate)
 	ask := b.Ask("vm3", 3, now)
-	b.Take(ask, Answer{From: "vm3", Incarnation: 2, Confirmed: true}, now, now)
+	b.HandleAnswer(ask, Answer{From: "vm3", Incarnation: 2, Confirmed: true}, now, now)
 	rate, _ = b.Share(testAccount, now)
 	require.Equal(t, Whole/5, rate, "all but one answer and none has a base")
 }
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -267,7 +267,7 @@
 		a.activateNamed(loan.Account, now)
 	}
 	a.refreshActive(now)
-	a.book.Take(ask, answer, asked, now)
+	a.book.HandleAnswer(ask, answer, asked, now)
 	a.refreshActive(now)
 }
 
