--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -148,8 +148,8 @@
 	return &Book{roster: newRoster(vm, incarnation, now), accounts: make(map[Account]*account)}
 }
 
-// List takes the platform's list of VMs.
-func (b *Book) List(vms []string, now time.Duration) { b.roster.list(vms, now) }
+// SetVMs takes the platform's list of VMs.
+func (b *Book) SetVMs(vms []string, now time.Duration) { b.roster.list(vms, now) }
 
 // SetDemand says what the entry's own callers need of an account.
 func (b *Book) SetDemand(a Account, u Demand, now time.Duration) {
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -187,7 +187,7 @@
 	case 18:
 		if !n.cut {
 			n.list = slices.Clone(f.listed)
-			n.book.List(n.list, f.now)
+			n.book.SetVMs(n.list, f.now)
 		}
 	case 19:
 		if f.warm {
@@ -212,7 +212,7 @@
 func (f *fleet) steady(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += Renew {
 		for _, n := range f.nodes {
-			n.book.List(f.listed, f.now)
+			n.book.SetVMs(f.listed, f.now)
 			f.askAll(n)
 		}
 		for len(f.wire) > 0 {
@@ -293,14 +293,14 @@
 // own base beside the new one's, so both together admitted too much.
 func TestVMThatTheOldListLacksIsNotStruckOff(t *testing.T) {
 	b := New("vm1", 1, 0)
-	b.List([]string{"vm1", "vm2"}, 0)
+	b.SetVMs([]string{"vm1", "vm2"}, 0)
 	answer := b.HandleAsk(Ask{From: "vm3", Incarnation: 1, Seq: 1, Counted: []string{"vm1", "vm2", "vm3"}}, time.Second)
 	require.True(t, answer.Confirmed)
-	b.List([]string{"vm1", "vm2"}, 2*holdDown)
+	b.SetVMs([]string{"vm1", "vm2"}, 2*holdDown)
 	b.Expire(2 * holdDown)
 	require.Contains(t, b.roster.names(), "vm3")
-	b.List([]string{"vm1", "vm2", "vm3"}, 2*holdDown)
-	b.List([]string{"vm1", "vm2"}, 2*holdDown)
+	b.SetVMs([]string{"vm1", "vm2", "vm3"}, 2*holdDown)
+	b.SetVMs([]string{"vm1", "vm2"}, 2*holdDown)
 	b.Expire(2 * holdDown)
 	require.NotContains(t, b.roster.names(), "vm3", "the platform dropped it")
 }
@@ -310,7 +310,7 @@
 // drops the loan and confirms only when its requests in flight fit without it.
 func TestRestartedLenderWaitsForItsBorrowers(t *testing.T) {
 	b := New("vm1", 1, 0)
-	b.List([]string{"vm1", "vm2"}, 0)
+	b.SetVMs([]string{"vm1", "vm2"}, 0)
 	use := Demand{Want: Whole, InUse: 0, MaxDuration: time.Minute}
 	b.SetDemand(testAccount, use, 0)
 	ask := b.Ask("vm2", 1, 0)
@@ -337,7 +337,7 @@
 // were a majority and took up bases: five shares of a fifth, but vm1's was a fourth.
 func TestMajorityOfRestartedEntriesIsNotEnough(t *testing.T) {
 	b := New("vm2", 2, 0)
-	b.List([]string{"vm1", "vm2", "vm3", "vm4", "vm5"}, 0)
+	b.SetVMs([]string{"vm1", "vm2", "vm3", "vm4", "vm5"}, 0)
 	now := patience + time.Second
 	for i, peer := range []string{"vm4", "vm5"} {
 		ask := b.Ask(peer, uint64(i+1), now)
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -217,7 +217,7 @@
 	a.vms = len(vms)
 	a.open(v, now)
 	a.refreshActive(now)
-	a.book.List(vms, now)
+	a.book.SetVMs(vms, now)
 	a.book.Expire(now)
 	for account, l := range a.active {
 		l.measure(now)
