--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -173,8 +173,8 @@
 // Base returns the part of every account that this entry owns.
 func (b *Book) Base(now time.Duration) Units { return b.roster.base(now) }
 
-// Involved reports whether anything of the account is lent or borrowed.
-func (b *Book) Involved(a Account) bool {
+// HasLoans reports whether anything of the account is lent or borrowed.
+func (b *Book) HasLoans(a Account) bool {
 	x := b.accounts[a]
 	return x != nil && len(x.lent)+len(x.borrowed) > 0
 }
@@ -182,7 +182,7 @@
 // Forget drops an account of which nothing is lent or borrowed, so that no message
 // looks at it. SetUse must come before the book is asked about it again.
 func (b *Book) Forget(a Account) {
-	if !b.Involved(a) {
+	if !b.HasLoans(a) {
 		delete(b.accounts, a)
 	}
 }
--- a/internal/entry/active.go
+++ b/internal/entry/active.go
@@ -56,7 +56,7 @@
 // rest lets accounts without use or loans be. They were refreshed just before.
 func (a *admitter) rest(now time.Duration) {
 	for account, l := range a.active {
-		if !l.busy(now) && !a.book.Involved(account) {
+		if !l.busy(now) && !a.book.HasLoans(account) {
 			delete(a.active, account)
 			a.book.Forget(account)
 		}
