--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -55,9 +55,9 @@
 	// Lease is how long a loan may be used, counted from the borrower's asking.
 	// It bounds how long a share lent and lost is missing.
 	Lease = time.Second
-	// Renew is how often entries ask: four times a lease, so that two messages
+	// RenewInterval is how often entries ask: four times a lease, so that two messages
 	// in a row may be lost before a loan lapses.
-	Renew = 250 * time.Millisecond
+	RenewInterval = 250 * time.Millisecond
 	// drift is what a lender adds to a lease. Clocks of VMs drift below 1e-3.
 	drift = Lease / 100
 	// holdDown is how long a VM that left the platform's list is still counted
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -210,7 +210,7 @@
 
 // steady lets all entries talk until their shares follow the demand.
 func (f *fleet) steady(d time.Duration) {
-	for end := f.now + d; f.now < end; f.now += Renew {
+	for end := f.now + d; f.now < end; f.now += RenewInterval {
 		for _, n := range f.nodes {
 			n.book.SetVMs(f.listed, f.now)
 			f.askAll(n)
--- a/internal/entry/admit_test.go
+++ b/internal/entry/admit_test.go
@@ -84,7 +84,7 @@
 	due := make([]float64, len(e.all))
 	for step := range int(d / tick) {
 		e.clock.now += tick
-		if step%int(shares.Renew/tick) == 0 {
+		if step%int(shares.RenewInterval/tick) == 0 {
 			e.renew()
 		}
 		for i, a := range e.all {
--- a/internal/entry/sharing.go
+++ b/internal/entry/sharing.go
@@ -61,7 +61,7 @@
 }
 
 func (s *sharer) run(ctx context.Context) {
-	period := time.NewTicker(shares.Renew)
+	period := time.NewTicker(shares.RenewInterval)
 	defer period.Stop()
 	var last time.Time
 	begun := time.Now()
--- a/internal/entry/slope_test.go
+++ b/internal/entry/slope_test.go
@@ -36,7 +36,7 @@
 		e.all = append(e.all, newAdmitter(name, 1, 0, e.clock, journal.New(name, processName, 16), metrics.NewRegistry()))
 	}
 	for range 8 {
-		e.clock.now += shares.Renew
+		e.clock.now += shares.RenewInterval
 		e.renew()
 	}
 	for _, c := range e.view.Contracts()[:used] {
@@ -47,7 +47,7 @@
 			_ = e.all[0].admit(v)
 		}
 	}
-	e.clock.now += shares.Renew
+	e.clock.now += shares.RenewInterval
 	e.renew()
 	return e
 }
@@ -113,7 +113,7 @@
 				return a
 			})
 			for b.Loop() {
-				e.clock.now += shares.Renew
+				e.clock.now += shares.RenewInterval
 				e.all[0].period(e.view)
 			}
 			b.ReportMetric(kept, "heap-B")
