--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -222,7 +222,7 @@
 	l.seq, l.wants, l.asked = ask.Seq, w.Units, now
 	l.echoed(ask.Echo, w.Needs, now)
 	units := max(min(w.Units, b.spare(x, ask.From, now)), 0)
-	until := now + Lease + drift
+	until := now + LeaseDuration + drift
 	if units > 0 {
 		l.grants = append(l.grants, grant{seq: ask.Seq, units: units, until: until})
 		l.occupiedUntil = until + x.use.MaxDuration
@@ -251,7 +251,7 @@
 	forRate, forConcurrency := base-own, b.concurrencyBase(x, now)-own
 	var wanted Units
 	for vm, l := range x.lent {
-		if now-l.asked < Lease {
+		if now-l.asked < LeaseDuration {
 			wanted += l.wants
 		}
 		if vm == to {
@@ -286,7 +286,7 @@
 	if answer.Confirmed {
 		c.confirmedBy = answer.Incarnation
 	}
-	b.replaceCredits(&ask, &answer, asked+Lease)
+	b.replaceCredits(&ask, &answer, asked+LeaseDuration)
 }
 
 // replaceCredits puts the loans of an answer in the place of the lender's
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -52,14 +52,14 @@
 
 // Times of the protocol.
 const (
-	// Lease is how long a loan may be used, counted from the borrower's asking.
+	// LeaseDuration is how long a loan may be used, counted from the borrower's asking.
 	// It bounds how long a share lent and lost is missing.
-	Lease = time.Second
+	LeaseDuration = time.Second
 	// RenewInterval is how often entries ask: four times a lease, so that two messages
 	// in a row may be lost before a loan lapses.
 	RenewInterval = 250 * time.Millisecond
 	// drift is what a lender adds to a lease. Clocks of VMs drift below 1e-3.
-	drift = Lease / 100
+	drift = LeaseDuration / 100
 	// holdDown is how long a VM that left the platform's list is still counted
 	// after its last message: its processes end within seconds.
 	holdDown = 10 * time.Second
@@ -195,7 +195,7 @@
 // concurrencyBase is 0 while requests of an earlier life may be in flight on
 // loans that this life knows nothing of and nobody confirmed to have ended.
 func (b *Book) concurrencyBase(x *account, now time.Duration) Units {
-	if b.roster.provisional && now-b.roster.started < x.use.MaxDuration+Lease+drift {
+	if b.roster.provisional && now-b.roster.started < x.use.MaxDuration+LeaseDuration+drift {
 		return 0
 	}
 	return b.roster.base(now)
--- a/internal/entry/sharing.go
+++ b/internal/entry/sharing.go
@@ -119,7 +119,7 @@
 		defer s.mu.Unlock()
 		delete(s.busy, m.VM)
 	}()
-	ctx, cancel := context.WithTimeout(ctx, shares.Lease)
+	ctx, cancel := context.WithTimeout(ctx, shares.LeaseDuration)
 	defer cancel()
 	ask, asked := s.admitter.ask(m.VM, seq)
 	var answer shares.Answer
