--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -106,7 +106,7 @@
 }
 
 // Ask returns the message to one peer.
-func (b *Book) Ask(peer string, seq uint64, now time.Duration) Ask {
+func (b *Ledger) Ask(peer string, seq uint64, now time.Duration) Ask {
 	ask := Ask{From: b.roster.self, Incarnation: b.roster.incarnation, Seq: seq, Counted: b.roster.names()}
 	if c := b.roster.counted[peer]; c != nil {
 		ask.Echo = c.taken
@@ -132,7 +132,7 @@
 
 // needs is what the requests in flight take up beyond the entry's own part and
 // the loans of others. It may name more than this peer lent; the peer knows.
-func (b *Book) needs(x *account, peer string, now time.Duration) Units {
+func (b *Ledger) needs(x *account, peer string, now time.Duration) Units {
 	fits := b.ownConcurrency(x, now) + x.borrowedNow(now)
 	if c := x.borrowed[peer]; c != nil && now < c.until {
 		fits -= c.units
@@ -162,7 +162,7 @@
 }
 
 // HandleAsk answers the ask of another entry.
-func (b *Book) HandleAsk(ask Ask, now time.Duration) Answer {
+func (b *Ledger) HandleAsk(ask Ask, now time.Duration) Answer {
 	ok, renewed := b.roster.record(ask.From, ask.Incarnation, ask.Counted, now)
 	if renewed {
 		b.renew(ask.From)
@@ -185,7 +185,7 @@
 // Its loans end: the new life knows nothing of them and would use or lend the
 // same share. What was lent to the old life lapses as before, but its requests
 // in flight went with it.
-func (b *Book) renew(vm string) {
+func (b *Ledger) renew(vm string) {
 	for _, x := range b.accounts {
 		if c := x.borrowed[vm]; c != nil {
 			c.units = 0
@@ -198,7 +198,7 @@
 
 // fits reports whether all that this entry uses and has lent stays within its
 // share, with all VMs counted that it knows now.
-func (b *Book) fits(now time.Duration) bool {
+func (b *Ledger) fits(now time.Duration) bool {
 	base := b.roster.base(now)
 	for _, x := range b.accounts {
 		if x.lentRate(now) > base || x.lentConcurrency(now) > base || x.use.InUse > b.ownConcurrency(x, now)+x.borrowedNow(now) {
@@ -209,7 +209,7 @@
 }
 
 // lend decides on a loan and books it before it is sent.
-func (b *Book) lend(ask *Ask, w Want, now time.Duration) Units {
+func (b *Ledger) lend(ask *Ask, w Want, now time.Duration) Units {
 	x := b.account(w.Account)
 	l := x.lent[ask.From]
 	if l == nil {
@@ -245,7 +245,7 @@
 
 // spare is what may be lent to one borrower: what the entry does not want
 // itself, split among those who ask by what they ask for.
-func (b *Book) spare(x *account, to string, now time.Duration) Units {
+func (b *Ledger) spare(x *account, to string, now time.Duration) Units {
 	base := b.roster.base(now)
 	own := max(x.use.Want, x.use.InUse, x.use.Reserve)
 	forRate, forConcurrency := base-own, b.concurrencyBase(x, now)-own
@@ -269,7 +269,7 @@
 
 // HandleAnswer books the answer to an ask that was sent at the given time. An answer to
 // an older ask than the last one taken is passed over.
-func (b *Book) HandleAnswer(ask Ask, answer Answer, asked, now time.Duration) {
+func (b *Ledger) HandleAnswer(ask Ask, answer Answer, asked, now time.Duration) {
 	ok, renewed := b.roster.record(answer.From, answer.Incarnation, answer.Counted, now)
 	if !ok {
 		return
@@ -292,7 +292,7 @@
 // replaceCredits puts the loans of an answer in the place of the lender's
 // earlier ones. An empty borrowedQuota stays until the lender was notified that nothing in
 // flight depends on it.
-func (b *Book) replaceCredits(ask *Ask, answer *Answer, until time.Duration) {
+func (b *Ledger) replaceCredits(ask *Ask, answer *Answer, until time.Duration) {
 	for _, x := range b.accounts {
 		c := x.borrowed[answer.From]
 		switch {
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -135,34 +135,34 @@
 	Units   Units
 }
 
-// Book is one entry's part of the protocol. It belongs to one goroutine at a
+// Ledger is one entry's part of the protocol. It belongs to one goroutine at a
 // time. Times are readings of one clock that never goes back.
-type Book struct {
+type Ledger struct {
 	roster   roster
 	accounts map[Account]*account
 }
 
 // New returns the book of an entry that has just started. The incarnation must
 // be above that of every earlier life of this VM.
-func New(vm string, incarnation int64, now time.Duration) *Book {
-	return &Book{roster: newRoster(vm, incarnation, now), accounts: make(map[Account]*account)}
+func New(vm string, incarnation int64, now time.Duration) *Ledger {
+	return &Ledger{roster: newRoster(vm, incarnation, now), accounts: make(map[Account]*account)}
 }
 
 // SetVMs takes the platform's list of VMs.
-func (b *Book) SetVMs(vms []string, now time.Duration) { b.roster.list(vms, now) }
+func (b *Ledger) SetVMs(vms []string, now time.Duration) { b.roster.list(vms, now) }
 
 // SetDemand says what the entry's own callers need of an account.
-func (b *Book) SetDemand(a Account, u Demand, now time.Duration) {
+func (b *Ledger) SetDemand(a Account, u Demand, now time.Duration) {
 	x := b.account(a)
 	x.use, x.touched = u, now
 }
 
 // Counted returns the VMs that this entry counts, sorted.
-func (b *Book) Counted() []string { return b.roster.names() }
+func (b *Ledger) Counted() []string { return b.roster.names() }
 
 // Share returns what the entry may use of an account now, for rate and burst,
 // and for concurrency.
-func (b *Book) Share(a Account, now time.Duration) (rate, concurrency Units) {
+func (b *Ledger) Share(a Account, now time.Duration) (rate, concurrency Units) {
 	x := b.account(a)
 	base := b.roster.base(now)
 	borrowed := x.borrowedNow(now)
@@ -171,30 +171,30 @@
 }
 
 // Base returns the part of every account that this entry owns.
-func (b *Book) Base(now time.Duration) Units { return b.roster.base(now) }
+func (b *Ledger) Base(now time.Duration) Units { return b.roster.base(now) }
 
 // HasLoans reports whether anything of the account is lent or borrowed.
-func (b *Book) HasLoans(a Account) bool {
+func (b *Ledger) HasLoans(a Account) bool {
 	x := b.accounts[a]
 	return x != nil && len(x.lent)+len(x.borrowed) > 0
 }
 
 // Forget drops an account of which nothing is lent or borrowed, so that no message
 // looks at it. SetUse must come before the book is asked about it again.
-func (b *Book) Forget(a Account) {
+func (b *Ledger) Forget(a Account) {
 	if !b.HasLoans(a) {
 		delete(b.accounts, a)
 	}
 }
 
 // ownConcurrency is what is left of the base.
-func (b *Book) ownConcurrency(x *account, now time.Duration) Units {
+func (b *Ledger) ownConcurrency(x *account, now time.Duration) Units {
 	return max(b.concurrencyBase(x, now)-x.lentConcurrency(now), 0)
 }
 
 // concurrencyBase is 0 while requests of an earlier life may be in flight on
 // loans that this life knows nothing of and nobody confirmed to have ended.
-func (b *Book) concurrencyBase(x *account, now time.Duration) Units {
+func (b *Ledger) concurrencyBase(x *account, now time.Duration) Units {
 	if b.roster.provisional && now-b.roster.started < x.use.MaxDuration+LeaseDuration+drift {
 		return 0
 	}
@@ -202,7 +202,7 @@
 }
 
 // Expire strikes off VMs that are gone and forgets accounts without use.
-func (b *Book) Expire(now time.Duration) {
+func (b *Ledger) Expire(now time.Duration) {
 	b.roster.expire(now)
 	for a, x := range b.accounts {
 		x.expire(now)
@@ -212,7 +212,7 @@
 	}
 }
 
-func (b *Book) account(a Account) *account {
+func (b *Ledger) account(a Account) *account {
 	x := b.accounts[a]
 	if x == nil {
 		x = newAccount()
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -24,7 +24,7 @@
 // node is one VM's entry.
 type node struct {
 	name    string
-	book    *Book
+	book    *Ledger
 	gate    *admission.Gate
 	lives   int64
 	seq     uint64
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -54,7 +54,7 @@
 	shareWanted chan struct{}
 
 	mu       sync.Mutex
-	book     *shares.Book
+	book     *shares.Ledger
 	accounts map[shares.Account]*ledger
 	// active are the accounts whose share or use may change; see active.go.
 	active map[shares.Account]*ledger
