--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -58,25 +58,25 @@
 	// RenewInterval is how often entries ask: four times a lease, so that two messages
 	// in a row may be lost before a loan lapses.
 	RenewInterval = 250 * time.Millisecond
-	// drift is what a lender adds to a lease. Clocks of VMs drift below 1e-3.
-	drift = LeaseDuration / 100
+	// driftMargin is what a lender adds to a lease. Clocks of VMs driftMargin below 1e-3.
+	driftMargin = LeaseDuration / 100
 	// holdDown is how long a VM that left the platform's list is still counted
 	// after its last message: its processes end within seconds.
 	holdDown = 10 * time.Second
-	// patience is how long restarted entries wait for one that is silent, if
+	// silenceTimeout is how long restarted entries wait for one that is silent, if
 	// there is no other entry with a base.
-	patience = 10 * time.Second
-	// listLag is how long an entry that knows of no other VM waits for the
+	silenceTimeout = 10 * time.Second
+	// listLagTimeout is how long an entry that knows of no other VM waits for the
 	// platform's lagging list to name one.
-	listLag = 5 * time.Second
-	// heardWithin is how recent an answer must be to say that a VM is reached.
-	heardWithin = 2 * time.Second
-	// forget is how long an account without use is kept.
-	forget = time.Minute
+	listLagTimeout = 5 * time.Second
+	// reachableWithin is how recent an answer must be to say that a VM is reached.
+	reachableWithin = 2 * time.Second
+	// idleAccountTTL is how long an account without use is kept.
+	idleAccountTTL = time.Minute
 )
 
-// smallestAsk is the least part by which a loan grows, if so much is missing.
-const smallestAsk = Whole / 64
+// minLoanIncrease is the least part by which a loan grows, if so much is missing.
+const minLoanIncrease = Whole / 64
 
 // Account is one customer's contract at one service.
 type Account struct{ Customer, Service string }
@@ -138,85 +138,85 @@
 // Ledger is one entry's part of the protocol. It belongs to one goroutine at a
 // time. Times are readings of one clock that never goes back.
 type Ledger struct {
-	roster   roster
+	members  membership
 	accounts map[Account]*account
 }
 
 // New returns the book of an entry that has just started. The incarnation must
 // be above that of every earlier life of this VM.
 func New(vm string, incarnation int64, now time.Duration) *Ledger {
-	return &Ledger{roster: newRoster(vm, incarnation, now), accounts: make(map[Account]*account)}
+	return &Ledger{members: newMembership(vm, incarnation, now), accounts: make(map[Account]*account)}
 }
 
 // SetVMs takes the platform's list of VMs.
-func (b *Ledger) SetVMs(vms []string, now time.Duration) { b.roster.list(vms, now) }
+func (l *Ledger) SetVMs(vms []string, now time.Duration) { l.members.setVMs(vms, now) }
 
 // SetDemand says what the entry's own callers need of an account.
-func (b *Ledger) SetDemand(a Account, u Demand, now time.Duration) {
-	x := b.account(a)
-	x.use, x.touched = u, now
+func (l *Ledger) SetDemand(a Account, u Demand, now time.Duration) {
+	x := l.account(a)
+	x.use, x.lastUsed = u, now
 }
 
 // Counted returns the VMs that this entry counts, sorted.
-func (b *Ledger) Counted() []string { return b.roster.names() }
+func (l *Ledger) Counted() []string { return l.members.countedVMs() }
 
 // Share returns what the entry may use of an account now, for rate and burst,
 // and for concurrency.
-func (b *Ledger) Share(a Account, now time.Duration) (rate, concurrency Units) {
-	x := b.account(a)
-	base := b.roster.base(now)
+func (l *Ledger) Share(a Account, now time.Duration) (rate, concurrency Units) {
+	x := l.account(a)
+	base := l.members.base(now)
 	borrowed := x.borrowedNow(now)
 	rate = max(base-x.lentRate(now), 0) + borrowed
-	return rate, b.ownConcurrency(x, now) + borrowed
+	return rate, l.ownConcurrency(x, now) + borrowed
 }
 
 // Base returns the part of every account that this entry owns.
-func (b *Ledger) Base(now time.Duration) Units { return b.roster.base(now) }
+func (l *Ledger) Base(now time.Duration) Units { return l.members.base(now) }
 
 // HasLoans reports whether anything of the account is lent or borrowed.
-func (b *Ledger) HasLoans(a Account) bool {
-	x := b.accounts[a]
+func (l *Ledger) HasLoans(a Account) bool {
+	x := l.accounts[a]
 	return x != nil && len(x.lent)+len(x.borrowed) > 0
 }
 
 // Forget drops an account of which nothing is lent or borrowed, so that no message
 // looks at it. SetUse must come before the book is asked about it again.
-func (b *Ledger) Forget(a Account) {
-	if !b.HasLoans(a) {
-		delete(b.accounts, a)
+func (l *Ledger) Forget(a Account) {
+	if !l.HasLoans(a) {
+		delete(l.accounts, a)
 	}
 }
 
 // ownConcurrency is what is left of the base.
-func (b *Ledger) ownConcurrency(x *account, now time.Duration) Units {
-	return max(b.concurrencyBase(x, now)-x.lentConcurrency(now), 0)
+func (l *Ledger) ownConcurrency(x *account, now time.Duration) Units {
+	return max(l.concurrencyBase(x, now)-x.lentConcurrency(now), 0)
 }
 
 // concurrencyBase is 0 while requests of an earlier life may be in flight on
 // loans that this life knows nothing of and nobody confirmed to have ended.
-func (b *Ledger) concurrencyBase(x *account, now time.Duration) Units {
-	if b.roster.provisional && now-b.roster.started < x.use.MaxDuration+LeaseDuration+drift {
+func (l *Ledger) concurrencyBase(x *account, now time.Duration) Units {
+	if l.members.provisional && now-l.members.started < x.use.MaxDuration+LeaseDuration+driftMargin {
 		return 0
 	}
-	return b.roster.base(now)
+	return l.members.base(now)
 }
 
 // Expire strikes off VMs that are gone and forgets accounts without use.
-func (b *Ledger) Expire(now time.Duration) {
-	b.roster.expire(now)
-	for a, x := range b.accounts {
+func (l *Ledger) Expire(now time.Duration) {
+	l.members.expire(now)
+	for a, x := range l.accounts {
 		x.expire(now)
-		if now-x.touched > forget && len(x.lent) == 0 && len(x.borrowed) == 0 {
-			delete(b.accounts, a)
+		if now-x.lastUsed > idleAccountTTL && len(x.lent) == 0 && len(x.borrowed) == 0 {
+			delete(l.accounts, a)
 		}
 	}
 }
 
-func (b *Ledger) account(a Account) *account {
-	x := b.accounts[a]
+func (l *Ledger) account(a Account) *account {
+	x := l.accounts[a]
 	if x == nil {
 		x = newAccount()
-		b.accounts[a] = x
+		l.accounts[a] = x
 	}
 	return x
 }
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -19,28 +19,28 @@
 	testContract = admission.Share{Rate: 40, Burst: 12, Concurrency: 10}
 )
 
-const testLongest = 3 * time.Second
+const testMaxDuration = 3 * time.Second
 
 // node is one VM's entry.
 type node struct {
-	name    string
-	book    *Ledger
-	gate    *admission.Gate
-	lives   int64
-	seq     uint64
-	want    Units
-	running []time.Duration
-	list    []string
-	cut     bool
+	name        string
+	ledger      *Ledger
+	gate        *admission.Gate
+	incarnation int64
+	seq         uint64
+	want        Units
+	running     []time.Duration
+	list        []string
+	partitioned bool
 }
 
 // message is an ask or an answer in flight.
 type message struct {
-	from, to string
-	ask      Ask
-	answer   *Answer
-	asked    time.Duration
-	life     int64
+	from, to    string
+	ask         Ask
+	answer      *Answer
+	asked       time.Duration
+	incarnation int64
 }
 
 // fleet is a set of entries, the network between them and the platform's list.
@@ -48,7 +48,7 @@
 	t        *rapid.T
 	now      time.Duration
 	nodes    []*node
-	wire     []message
+	inFlight []message
 	listed   []string
 	admitted []time.Duration
 	restarts int
@@ -57,15 +57,15 @@
 }
 
 func (f *fleet) start(n *node) {
-	n.lives++
-	n.book = New(n.name, n.lives, f.now)
+	n.incarnation++
+	n.ledger = New(n.name, n.incarnation, f.now)
 	n.gate = admission.New()
 	n.running, n.seq, n.list = nil, 0, nil
 }
 
-func (f *fleet) at() time.Time { return time.Unix(1000, 0).Add(f.now) }
+func (f *fleet) wallTime() time.Time { return time.Unix(1000, 0).Add(f.now) }
 
-func part(u Units, of float64) float64 { return float64(u) / float64(Whole) * of }
+func fractionOf(u Units, of float64) float64 { return float64(u) / float64(Whole) * of }
 
 // refresh passes the book what the entry's callers do and the gate its share.
 func (f *fleet) refresh(n *node) {
@@ -74,21 +74,21 @@
 		n.gate.Done(time.Second)
 	}
 	busy := Units(math.Ceil(float64(len(n.running)) / testContract.Concurrency * float64(Whole)))
-	n.book.SetDemand(testAccount, Demand{Want: n.want, InUse: busy, Reserve: Whole / 16, MaxDuration: testLongest}, f.now)
-	rate, concurrency := n.book.Share(testAccount, f.now)
+	n.ledger.SetDemand(testAccount, Demand{Want: n.want, InUse: busy, Reserve: Whole / 16, MaxDuration: testMaxDuration}, f.now)
+	rate, concurrency := n.ledger.Share(testAccount, f.now)
 	n.gate.Set(admission.Share{
-		Rate:        part(rate, testContract.Rate),
-		Burst:       part(rate, testContract.Burst),
-		Concurrency: part(concurrency, testContract.Concurrency),
-	}, f.at())
+		Rate:        fractionOf(rate, testContract.Rate),
+		Burst:       fractionOf(rate, testContract.Burst),
+		Concurrency: fractionOf(concurrency, testContract.Concurrency),
+	}, f.wallTime())
 }
 
 func (f *fleet) offer(n *node, count int) {
 	for range count {
 		f.refresh(n)
-		if n.gate.Admit(f.at()).OK {
+		if n.gate.Admit(f.wallTime()).OK {
 			f.admitted = append(f.admitted, f.now)
-			n.running = append(n.running, f.now+time.Duration(rapid.IntRange(1, int(testLongest/time.Millisecond)).Draw(f.t, "work"))*time.Millisecond)
+			n.running = append(n.running, f.now+time.Duration(rapid.IntRange(1, int(testMaxDuration/time.Millisecond)).Draw(f.t, "work"))*time.Millisecond)
 			slices.Sort(n.running)
 		}
 	}
@@ -110,25 +110,25 @@
 			continue
 		}
 		n.seq++
-		f.wire = append(f.wire, message{from: n.name, to: peer.name, ask: n.book.Ask(peer.name, n.seq, f.now), asked: f.now, life: n.lives})
+		f.inFlight = append(f.inFlight, message{from: n.name, to: peer.name, ask: n.ledger.Ask(peer.name, n.seq, f.now), asked: f.now, incarnation: n.incarnation})
 	}
 }
 
 // deliver hands over one message, or loses it on a cut.
 func (f *fleet) deliver(i int) {
-	m := f.wire[i]
-	f.wire = slices.Delete(f.wire, i, i+1)
+	m := f.inFlight[i]
+	f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	to, from := f.node(m.to), f.node(m.from)
-	if to == nil || from == nil || to.cut || from.cut {
+	if to == nil || from == nil || to.partitioned || from.partitioned {
 		return
 	}
 	f.refresh(to)
 	switch {
 	case m.answer == nil:
-		answer := to.book.HandleAsk(m.ask, f.now)
-		f.wire = append(f.wire, message{from: m.to, to: m.from, ask: m.ask, answer: &answer, asked: m.asked, life: m.life})
-	case to.lives == m.life:
-		to.book.HandleAnswer(m.ask, *m.answer, m.asked, f.now)
+		answer := to.ledger.HandleAsk(m.ask, f.now)
+		f.inFlight = append(f.inFlight, message{from: m.to, to: m.from, ask: m.ask, answer: &answer, asked: m.asked, incarnation: m.incarnation})
+	case to.incarnation == m.incarnation:
+		to.ledger.HandleAnswer(m.ask, *m.answer, m.asked, f.now)
 	}
 	f.refresh(to)
 }
@@ -138,7 +138,7 @@
 	running := 0
 	for _, n := range f.nodes {
 		f.refresh(n)
-		r, _ := n.book.Share(testAccount, f.now)
+		r, _ := n.ledger.Share(testAccount, f.now)
 		rate += r
 		running += len(n.running)
 	}
@@ -169,13 +169,13 @@
 	case 7, 8, 9:
 		f.askAll(n)
 	case 10, 11, 12, 13, 14:
-		for k := rapid.IntRange(1, 8).Draw(f.t, "deliveries"); k > 0 && len(f.wire) > 0; k-- {
-			f.deliver(rapid.IntRange(0, len(f.wire)-1).Draw(f.t, "message"))
+		for k := rapid.IntRange(1, 8).Draw(f.t, "deliveries"); k > 0 && len(f.inFlight) > 0; k-- {
+			f.deliver(rapid.IntRange(0, len(f.inFlight)-1).Draw(f.t, "message"))
 		}
 	case 15:
 		n.want = Units(rapid.IntRange(0, 100).Draw(f.t, "want")) * (Whole / 100)
 	case 16:
-		n.cut = !n.cut
+		n.partitioned = !n.partitioned
 	case 17:
 		// The stated exception is that all entries that answer were started
 		// lately, one is cut off and VMs were added. Two restarts among four
@@ -185,16 +185,16 @@
 			f.start(n)
 		}
 	case 18:
-		if !n.cut {
+		if !n.partitioned {
 			n.list = slices.Clone(f.listed)
-			n.book.SetVMs(n.list, f.now)
+			n.ledger.SetVMs(n.list, f.now)
 		}
 	case 19:
 		if f.warm {
 			f.join()
 		}
 	}
-	n.book.Expire(f.now)
+	n.ledger.Expire(f.now)
 }
 
 // join adds a VM to the platform's list and starts it.
@@ -208,14 +208,14 @@
 	f.start(n)
 }
 
-// steady lets all entries talk until their shares follow the demand.
-func (f *fleet) steady(d time.Duration) {
+// exchangeFor lets all entries talk until their shares follow the demand.
+func (f *fleet) exchangeFor(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += RenewInterval {
 		for _, n := range f.nodes {
-			n.book.SetVMs(f.listed, f.now)
+			n.ledger.SetVMs(f.listed, f.now)
 			f.askAll(n)
 		}
-		for len(f.wire) > 0 {
+		for len(f.inFlight) > 0 {
 			f.deliver(0)
 		}
 	}
@@ -236,7 +236,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, rapid.IntRange(4, 5).Draw(t, "entries"))
 		if rapid.Bool().Draw(t, "warm") {
-			f.steady(2 * time.Second)
+			f.exchangeFor(2 * time.Second)
 			f.warm = true
 		}
 		for range rapid.IntRange(20, 250).Draw(t, "steps") {
@@ -254,18 +254,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 4)
 		hot, cold := f.nodes[0], f.nodes[1]
-		f.steady(time.Second)
+		f.exchangeFor(time.Second)
 		hot.want = Whole
-		f.steady(2 * time.Second)
-		rate, _ := hot.book.Share(testAccount, f.now)
+		f.exchangeFor(2 * time.Second)
+		rate, _ := hot.ledger.Share(testAccount, f.now)
 		require.Greater(t, rate, Whole*7/10, "the share follows the demand")
 
-		hot.cut = true
+		hot.partitioned = true
 		cold.want = Whole
-		f.steady(testLongest + 3*time.Second)
-		rate, _ = hot.book.Share(testAccount, f.now)
+		f.exchangeFor(testMaxDuration + 3*time.Second)
+		rate, _ = hot.ledger.Share(testAccount, f.now)
 		require.Equal(t, Whole/4, rate, "cut off: limit / number of VMs")
-		rate, _ = cold.book.Share(testAccount, f.now)
+		rate, _ = cold.ledger.Share(testAccount, f.now)
 		require.Greater(t, rate, Whole/2)
 		f.check()
 	})
@@ -275,13 +275,13 @@
 func TestCompetingEntriesShareEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 4)
-		f.steady(time.Second)
+		f.exchangeFor(time.Second)
 		f.nodes[0].want = Whole
-		f.steady(2 * time.Second)
+		f.exchangeFor(2 * time.Second)
 		f.nodes[1].want = Whole
-		f.steady(4 * time.Second)
-		a, _ := f.nodes[0].book.Share(testAccount, f.now)
-		b, _ := f.nodes[1].book.Share(testAccount, f.now)
+		f.exchangeFor(4 * time.Second)
+		a, _ := f.nodes[0].ledger.Share(testAccount, f.now)
+		b, _ := f.nodes[1].ledger.Share(testAccount, f.now)
 		require.InEpsilon(t, float64(a), float64(b), 0.2)
 		require.Greater(t, a+b, Whole*8/10)
 	})
@@ -291,18 +291,18 @@
 // platform learns of a new VM from that VM alone and confirms to count it. Its
 // old list lacks the VM; after holdDown it struck the VM off and enlarged its
 // own base beside the new one's, so both together admitted too much.
-func TestVMThatTheOldListLacksIsNotStruckOff(t *testing.T) {
+func TestVMMissingFromStaleListIsNotRemoved(t *testing.T) {
 	b := New("vm1", 1, 0)
 	b.SetVMs([]string{"vm1", "vm2"}, 0)
 	answer := b.HandleAsk(Ask{From: "vm3", Incarnation: 1, Seq: 1, Counted: []string{"vm1", "vm2", "vm3"}}, time.Second)
 	require.True(t, answer.Confirmed)
 	b.SetVMs([]string{"vm1", "vm2"}, 2*holdDown)
 	b.Expire(2 * holdDown)
-	require.Contains(t, b.roster.names(), "vm3")
+	require.Contains(t, b.members.countedVMs(), "vm3")
 	b.SetVMs([]string{"vm1", "vm2", "vm3"}, 2*holdDown)
 	b.SetVMs([]string{"vm1", "vm2"}, 2*holdDown)
 	b.Expire(2 * holdDown)
-	require.NotContains(t, b.roster.names(), "vm3", "the platform dropped it")
+	require.NotContains(t, b.members.countedVMs(), "vm3", "the platform dropped it")
 }
 
 // A lender restarts while a borrower's requests run on its loan. The new life
@@ -314,8 +314,8 @@
 	use := Demand{Want: Whole, InUse: 0, MaxDuration: time.Minute}
 	b.SetDemand(testAccount, use, 0)
 	ask := b.Ask("vm2", 1, 0)
-	lenders := Answer{From: "vm2", Incarnation: 1, Confirmed: true, Based: true, Loans: []Loan{{testAccount, Whole / 4}}}
-	b.HandleAnswer(ask, lenders, 0, 0)
+	loan := Answer{From: "vm2", Incarnation: 1, Confirmed: true, Based: true, Loans: []Loan{{testAccount, Whole / 4}}}
+	b.HandleAnswer(ask, loan, 0, 0)
 	rate, _ := b.Share(testAccount, 0)
 	require.Equal(t, Whole*3/4, rate)
 
@@ -338,7 +338,7 @@
 func TestMajorityOfRestartedEntriesIsNotEnough(t *testing.T) {
 	b := New("vm2", 2, 0)
 	b.SetVMs([]string{"vm1", "vm2", "vm3", "vm4", "vm5"}, 0)
-	now := patience + time.Second
+	now := silenceTimeout + time.Second
 	for i, peer := range []string{"vm4", "vm5"} {
 		ask := b.Ask(peer, uint64(i+1), now)
 		b.HandleAnswer(ask, Answer{From: peer, Incarnation: 1, Confirmed: true}, now, now)
