--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -118,7 +118,7 @@
 		if units == 0 && c == nil {
 			continue
 		}
-		w := Want{Account: a, Units: units, Needs: l.neededFrom(x, peer, now)}
+		w := Want{Account: a, Units: units, Needs: l.loanInUse(x, peer, now)}
 		if c != nil && units == 0 && w.Needs == 0 && (c.units == 0 || now >= c.until) {
 			c.closingSeq = seq
 		}
@@ -130,9 +130,9 @@
 	return ask
 }
 
-// neededFrom is what the requests in flight take up beyond the entry's own part and
+// loanInUse is what the requests in flight take up beyond the entry's own part and
 // the loans of others. It may name more than this peer lent; the peer knows.
-func (l *Ledger) neededFrom(x *account, peer string, now time.Duration) Units {
+func (l *Ledger) loanInUse(x *account, peer string, now time.Duration) Units {
 	fits := l.ownConcurrency(x, now) + x.borrowedNow(now)
 	if c := x.borrowed[peer]; c != nil && now < c.until {
 		fits -= c.units
