--- a/internal/decide/shares/borrowing.go
+++ b/internal/decide/shares/borrowing.go
@@ -6,45 +6,48 @@
 	"time"
 )
 
-// account is one contract's books at this entry.
+// account holds the state of one contract at this entry.
 type account struct {
-	use      Demand
+	demand Demand
+	// lastUsed is when the demand was last set.
 	lastUsed time.Duration
-	// lent is by borrower, borrowed by lender.
+	// lent is keyed by borrower, borrowed by lender.
 	lent     map[string]*lentQuota
 	borrowed map[string]*borrowedQuota
 }
 
-// lent is what one borrower may be using.
+// lentQuota tracks what one borrower may be using.
 type lentQuota struct {
-	// grants are the loans that have not lapsed; the borrower uses one of them.
+	// grants are the loans that have not expired. The borrower uses one of them.
 	grants []grant
-	// open are the loans on which it may still admit or have admitted requests:
-	// the one it echoed and those after it, lapsed or not.
+	// open are the loans, expired or not, on which the borrower may have admitted requests
+	// that are in flight, or may still admit some: the one that it echoed and later ones.
 	open []grant
-	// needs is what its requests in flight took up when it echoed.
+	// needs is the concurrency that its requests in flight occupied when it sent the echo.
 	needs Units
-	// occupiedUntil is when the longest of its requests is over.
+	// occupiedUntil is when its longest possible request has ended.
 	occupiedUntil time.Duration
-	// lastWanted is its last request, for an even split among borrowers.
+	// lastWanted is the amount of its last ask, by which spare share is divided among
+	// borrowers.
 	lastWanted Units
 	lastAsked  time.Duration
-	// seq is the last ask received.
+	// seq is the Seq of the last ask received.
 	seq uint64
 }
 
+// grant is one loan, identified by the Seq of the ask that it answers.
 type grant struct {
 	seq   uint64
 	units Units
 	until time.Duration
 }
 
-// borrowedQuota is the loan in force from one lender. It stays, empty, until the
-// lender was notified that nothing in flight depends on it.
+// borrowedQuota is the current loan from one lender. An empty one is kept until the lender
+// has been notified that no request in flight depends on it.
 type borrowedQuota struct {
 	units Units
 	until time.Duration
-	// closingSeq is the Seq of an ask that notified the lender.
+	// closingSeq is the Seq of the ask that notified the lender, 0 for none.
 	closingSeq uint64
 }
 
@@ -105,7 +108,7 @@
 	}
 }
 
-// Ask returns the message to one peer.
+// Ask returns the next message to a peer. The seq must increase with each ask to it.
 func (l *Ledger) Ask(peer string, seq uint64, now time.Duration) Ask {
 	ask := Ask{From: l.members.self, Incarnation: l.members.incarnation, Seq: seq, Counted: l.members.countedVMs()}
 	if c := l.members.counted[peer]; c != nil {
@@ -130,22 +133,23 @@
 	return ask
 }
 
-// loanInUse is what the requests in flight take up beyond the entry's own part and
-// the loans of others. It may name more than this peer lent; the peer knows.
+// loanInUse returns the concurrency that requests in flight occupy beyond the entry's own
+// part and the loans of other peers. It may exceed what this peer has lent; the peer caps it.
 func (l *Ledger) loanInUse(x *account, peer string, now time.Duration) Units {
-	fits := l.ownConcurrency(x, now) + x.borrowedNow(now)
+	available := l.ownConcurrency(x, now) + x.borrowedNow(now)
 	if c := x.borrowed[peer]; c != nil && now < c.until {
-		fits -= c.units
+		available -= c.units
 	}
-	return max(x.use.InUse-fits, 0)
+	return max(x.demand.InUse-available, 0)
 }
 
-// amountToAsk spreads what is missing over the peers. A peer that lends gets asked
-// for what it lends and twice an even part of the rest: where one peer alone has
-// something to lend, the loan grows to it within a few rounds. Without the least
-// part a burst of one would be gathered to a hair below one for ever.
+// amountToAsk returns how much to ask of one peer, spreading what is missing over all
+// peers. A peer is asked for what it lends already plus twice an even part of the rest, so
+// that the loan grows within a few rounds where only one peer has share to lend. Without a
+// minimum increase, the loans for a burst of one request would approach one without ever
+// reaching it.
 func (x *account) amountToAsk(c *borrowedQuota, peers, base Units, now time.Duration) Units {
-	need := max(x.use.Want, x.use.InUse) - max(base-x.lentRate(now), 0)
+	need := max(x.demand.Want, x.demand.InUse) - max(base-x.lentRate(now), 0)
 	if need <= 0 {
 		return 0
 	}
@@ -180,11 +184,11 @@
 	return answer
 }
 
-// handleRestart takes note that a VM has begun a new life.
+// handleRestart records that a VM runs in a new incarnation.
 //
-// Its loans end: the new life knows nothing of them and would use or lend the
-// same share. What was lent to the old life lapses as before, but its requests
-// in flight went with it.
+// Loans from it end, since the new incarnation does not know of them and would use or
+// lend the same share. Loans to it expire as usual, but its requests in flight have ended
+// with the old incarnation.
 func (l *Ledger) handleRestart(vm string) {
 	for _, x := range l.accounts {
 		if c := x.borrowed[vm]; c != nil {
@@ -196,19 +200,20 @@
 	}
 }
 
-// withinBase reports whether all that this entry uses and has lent stays within its
-// share, with all VMs counted that it knows now.
+// withinBase reports whether everything that this entry uses and has lent is within its
+// share, given the VMs that it counts now.
 func (l *Ledger) withinBase(now time.Duration) bool {
 	base := l.members.base(now)
 	for _, x := range l.accounts {
-		if x.lentRate(now) > base || x.lentConcurrency(now) > base || x.use.InUse > l.ownConcurrency(x, now)+x.borrowedNow(now) {
+		if x.lentRate(now) > base || x.lentConcurrency(now) > base || x.demand.InUse > l.ownConcurrency(x, now)+x.borrowedNow(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// lend decides on a loan and books it before it is sent.
+// lend decides on a loan and records it before it is sent. It lends nothing for an ask
+// that is not newer than the last one received.
 func (l *Ledger) lend(ask *Ask, w Want, now time.Duration) Units {
 	x := l.account(w.Account)
 	q := x.lent[ask.From]
@@ -225,29 +230,28 @@
 	until := now + LeaseDuration + driftMargin
 	if units > 0 {
 		q.grants = append(q.grants, grant{seq: ask.Seq, units: units, until: until})
-		q.occupiedUntil = until + x.use.MaxDuration
+		q.occupiedUntil = until + x.demand.MaxDuration
 	}
 	q.open = append(q.open, grant{seq: ask.Seq, units: units})
 	x.expire(now)
 	return units
 }
 
-// closeOlderThan closes the loans before the one that the borrower closeOlderThan.
+// closeOlderThan closes the loans before the one that the borrower echoed.
 //
-// Failure: an ask is late. What it says of requests in flight was true when it
-// was sent; since then the borrower may have admitted more on the loan that it
-// held, or on one that was in flight to it. So the loan closeOlderThan and all after
-// it stay open, and only older ones are closed.
+// Failure: an ask is delayed. What it says about requests in flight was true when it was
+// sent; since then the borrower may have admitted more on the loan that it held, or on one
+// that was on its way. So the echoed loan and all later ones stay open.
 func (q *lentQuota) closeOlderThan(echo uint64, needs Units, now time.Duration) {
 	q.needs = min(needs, q.concurrency(now))
 	q.open = slices.DeleteFunc(q.open, func(g grant) bool { return g.seq < echo })
 }
 
-// lendable is what may be lent to one borrower: what the entry does not want
-// itself, split among those who ask by what they ask for.
+// lendable returns what may be lent to one borrower: what the entry does not need itself,
+// divided among the borrowers in proportion to what they ask for.
 func (l *Ledger) lendable(x *account, to string, now time.Duration) Units {
 	base := l.members.base(now)
-	own := max(x.use.Want, x.use.InUse, x.use.Reserve)
+	own := max(x.demand.Want, x.demand.InUse, x.demand.Reserve)
 	forRate, forConcurrency := base-own, l.concurrencyBase(x, now)-own
 	var wanted Units
 	for vm, q := range x.lent {
@@ -267,8 +271,8 @@
 	return min(forRate, forConcurrency, Units(part))
 }
 
-// HandleAnswer books the answer to an ask that was sent at the given time. An answer to
-// an older ask than the last one taken is passed over.
+// HandleAnswer applies the answer to an ask that was sent at the time asked. Answers to
+// asks that are not newer than the last one answered are ignored.
 func (l *Ledger) HandleAnswer(ask Ask, answer Answer, asked, now time.Duration) {
 	ok, restarted := l.members.recordMessage(answer.From, answer.Incarnation, answer.Counted, now)
 	if !ok {
@@ -289,9 +293,9 @@
 	l.replaceBorrowed(&ask, &answer, asked+LeaseDuration)
 }
 
-// replaceBorrowed puts the loans of an answer in the place of the lender's
-// earlier ones. An empty borrowedQuota stays until the lender was notified that nothing in
-// flight depends on it.
+// replaceBorrowed replaces the lender's earlier loans by those of an answer. An empty
+// borrowedQuota is kept until the lender has been notified that no request in flight
+// depends on it.
 func (l *Ledger) replaceBorrowed(ask *Ask, answer *Answer, until time.Duration) {
 	for _, x := range l.accounts {
 		c := x.borrowed[answer.From]
--- a/internal/decide/shares/membership.go
+++ b/internal/decide/shares/membership.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// membership is which VMs an entry counts, and whether it has a base; rule 1.
+// membership holds the VMs that an entry counts and whether it has a base; see rule 1 of
+// the package comment.
 type membership struct {
 	self        string
 	incarnation int64
 	started     time.Duration
 	counted     map[string]*countedVM
-	// removed is when VMs were removed off. What peers say about them is
-	// ignored for a while: they would remind each other of one for ever.
+	// removed holds when VMs were removed. For a while they are ignored in the messages of
+	// peers; otherwise entries would keep adding a removed VM to each other's sets.
 	removed map[string]time.Duration
-	// listReceived is false until the platform's list came: an entry that knows
-	// nobody must not believe that it is alone.
+	// listReceived is false until the platform's list has arrived: an entry that knows of
+	// no other VM must not conclude that there is none.
 	listReceived bool
-	// hasBase never becomes false again in this life. It is provisional where
-	// not every VM confirmed; see allRestarted.
+	// hasBase stays true for the rest of the incarnation. The base is provisional if not
+	// every VM has confirmed; see allRestarted.
 	hasBase     bool
 	provisional bool
 }
 
-// countedVM is what is known of a VM that counts.
+// countedVM holds what is known about a counted VM.
 type countedVM struct {
 	listed bool
-	// everListed says that this entry's own list named it at some time.
+	// everListed reports whether this entry's own list has ever contained the VM.
 	everListed bool
-	// incarnation is the latest heard of, 0 for none.
+	// incarnation is the highest one seen in its messages, 0 before the first message.
 	incarnation int64
-	// confirmedBy is the incarnation that confirmed to count this entry.
+	// confirmedBy is the incarnation that confirmed that it counts this entry, 0 for none.
 	confirmedBy int64
-	// hasBase is the VM's last word about its own base.
+	// hasBase is what its last answer said about its base.
 	hasBase bool
-	// lastHeard is when its last message came, or when it was first counted.
+	// lastHeard is when its last message arrived, or when it was first counted.
 	lastHeard time.Duration
 	answered  bool
-	// lastAnswered is the Seq of the last ask to it whose answer was lastAnswered.
+	// lastAnswered is the Seq of the last ask to the VM whose answer was applied.
 	lastAnswered uint64
 }
 
@@ -71,8 +72,8 @@
 	return c
 }
 
-// recordMessage notes a message of a VM and the VMs that it counts. It returns false for
-// a message of an earlier life, and renewed for the first one of a new life.
+// recordMessage records a message from a VM and the VMs that it counts. ok is false for a
+// message of an earlier incarnation; restarted is true for the first message of a new one.
 func (m *membership) recordMessage(vm string, incarnation int64, others []string, now time.Duration) (ok, restarted bool) {
 	c := m.ensureCounted(vm, now)
 	if incarnation < c.incarnation {
@@ -88,12 +89,12 @@
 	return true, restarted
 }
 
-// expire strikes off VMs that the platform no longer lists.
+// expire removes VMs that the platform no longer lists.
 //
-// Failure: a VM is added while this entry is cut off from the platform, and is
-// known from its messages only. The old list lacks it, which does not mean that
-// it is gone: to strike it off would enlarge this entry's base beside the new
-// VM's. So only a VM that this entry's own list once named can be struck off.
+// Failure: a VM is added while this entry is partitioned from the platform and learns
+// of the VM from its messages only. The VM is missing from the stale list, although it
+// runs; removing it would enlarge this entry's base while the new VM has one too. So only
+// a VM that has been on this entry's own list can be removed.
 func (m *membership) expire(now time.Duration) {
 	for vm, c := range m.counted {
 		if vm != m.self && c.everListed && !c.listed && now-c.lastHeard > holdDown {
@@ -108,10 +109,10 @@
 	}
 }
 
-// confirmed reports whether every VM that counts confirmed in its present life.
+// confirmed reports whether every counted VM has confirmed in its current incarnation.
 //
-// Failure: a VM restarts after it confirmed and forgets this entry. It has no
-// base of its own until this entry confirmed in turn, so nothing is lost.
+// Failure: a VM restarts after it confirmed and no longer knows this entry. This is safe:
+// the VM has no base until this entry has confirmed in turn.
 func (m *membership) confirmed() bool {
 	for vm, c := range m.counted {
 		if vm != m.self && (c.confirmedBy == 0 || c.confirmedBy != c.incarnation) {
@@ -121,7 +122,8 @@
 	return true
 }
 
-// updateBase decides whether this entry has a base from now on.
+// updateBase gives this entry a base once the conditions are met. A provisional base
+// becomes final when all counted VMs have confirmed.
 func (m *membership) updateBase(now time.Duration) {
 	switch {
 	case m.hasBase && !m.provisional || !m.listReceived:
@@ -133,13 +135,13 @@
 	}
 }
 
-// allRestarted is the way out when the fleet was restarted and some VM that is
-// listed never answers: all VMs answer but a quarter, and none of them has a base.
-// Without it no entry would admit anything until the platform drops the VM.
+// allRestarted reports whether the fleet was restarted: all VMs answer except at most a
+// quarter, and none that answers has a base. Without this rule, a listed VM that never
+// answers would keep every entry from admitting anything until the platform drops the VM.
 //
-// Failure: two entries with a base are cut off, three others are restarted or new.
-// A majority of the five once was enough for these to take up bases, beside one
-// that did not count the newest VM. The fewer may be silent, the fewer can have
+// Failure: two entries with a base are partitioned, three others are restarted or new. If
+// a majority of the five were enough, the three would take up bases next to that of an
+// entry that does not count the newest VM. The fewer VMs may be silent, the fewer can have
 // too large a base.
 func (m *membership) allRestarted(now time.Duration) bool {
 	if now-m.started < silenceTimeout {
@@ -161,7 +163,7 @@
 	return silent <= max(1, len(m.counted)/4)
 }
 
-// base is the part of every contract that this entry owns.
+// base returns the part of every contract that this entry owns, 0 while it has none.
 func (m *membership) base(now time.Duration) Units {
 	m.updateBase(now)
 	if !m.hasBase {
--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -1,81 +1,87 @@
-// Package shares splits a contract's limits over the entries of all VMs.
+// Package shares divides a contract's limits among the entries of all VMs.
 //
-// Load pattern: a customer's requests come through any entry, evenly or all
+// Load pattern: a customer's requests arrive through any entry, evenly or all
 // through one, and the mix changes within seconds. Without shares each entry
-// would have to admit the whole contract (nine entries: nine times the limit) or
-// a fixed ninth (a customer behind one entry gets a ninth of what it pays for).
+// would have to admit either the whole contract (with nine entries, nine times the
+// limit) or a fixed ninth (a customer that uses one entry gets a ninth of what it
+// pays for).
 //
 // Every VM owns an equal part of every contract, its base, and lends what it does
-// not need to entries that do, by leases. Nothing is handed out by a home or a
-// leader, so there is no takeover, and no two homes at once: a part of a contract
-// has one owner, who alone decides whether it uses or lends it.
+// not need to other entries for the duration of a lease. There is no coordinator or
+// leader that hands out shares, hence no failover and no split brain: each part of a
+// contract has one owner, which alone decides whether to use or lend it.
 //
-// The invariant, at every moment, whatever is cut, late, lost or restarted: the
-// shares in force at all entries add up to at most Whole. Three rules carry it:
+// Invariant: at every moment, whatever network partitions, message delays, losses
+// and restarts occur, the shares in force at all entries add up to at most Whole.
+// Three rules maintain it:
 //
-//  1. Base. An entry's base is Whole / (VMs that it counts), and an entry has a
-//     base only after every VM that it counts has confirmed to count it. So of
-//     any two entries with a base each counts the other, no count is below the
-//     number of entries with a base, and the bases add up to at most Whole.
-//     A VM is struck off only when the platform's list lacks it and it was
-//     silent for holdDown.
-//  2. Loans. The lender counts a loan against its base from when it sends it
-//     until a lease after that and a drift margin; the borrower uses it until a
-//     lease after it asked, which is earlier. A lost or late message costs share
-//     for one lease and never makes share.
-//  3. Concurrency. A request admitted on a loan outlives the lease. The lender
-//     leaves a lapsed loan's concurrency unused until the borrower says that its
-//     requests in flight do not need it, or the longest request is over.
+//  1. Base. Each entry keeps a set of counted VMs, and its base is Whole divided by
+//     their number. An entry has a base only after every VM that it counts has
+//     confirmed that it counts this entry in turn. Hence of any two entries with a
+//     base each counts the other, each counts at least as many VMs as there are
+//     entries with a base, and the bases add up to at most Whole. A VM is removed
+//     from the set only when the platform no longer lists it and no message has come
+//     from it for holdDown.
+//  2. Loans. The lender deducts a loan from its base from the time it sends it until
+//     a lease and a drift margin later. The borrower uses it until a lease after it
+//     sent the ask, which is earlier. A lost or late message therefore leaves share
+//     unused for one lease, and never creates share.
+//  3. Concurrency. A request admitted on a loan may outlive the lease. The lender
+//     leaves the concurrency of an expired loan unused until the borrower reports
+//     that its requests in flight do not need it, or until the longest request has
+//     ended.
 //
-// With rate and burst in proportion to the share, and buckets that start empty
-// and lose what a lowered share has no room for, this bounds what is admitted:
-// over all entries, in any window, rate * window + burst requests of a customer.
+// Rate and burst are proportional to the share, and token buckets start empty and
+// discard tokens above a lowered burst. The invariant therefore bounds what all
+// entries together admit in any window to rate * window + burst requests of a
+// customer.
 //
-// A cut-off entry keeps its loans for a lease and falls back to its base, the
-// limit / the VMs that it last knew; what it has lent is returned after a lease.
+// An entry that is partitioned from the others keeps its loans until their leases
+// expire and then falls back to its base, the limit divided by the number of VMs
+// that it last counted. What it has lent returns to it after a lease.
 //
-// What it does not cover: if every entry that answers was restarted within
-// patience while some entry is cut off, the restarted ones take up bases without
-// its word. That entry's base is too large then if VMs were added since its cut.
-// Nor VMs that start at the same time with lists that lack each other, and have
-// no third VM in common.
+// Two cases are not covered. If every reachable entry was restarted within
+// silenceTimeout while another entry is partitioned, the restarted entries take up
+// bases without its confirmation; its base is then too large if VMs were added since
+// the partition began. The other case is VMs that start at the same time with lists
+// that do not contain each other, and that have no third VM in common.
 package shares
 
 import "time"
 
-// Units count parts of a contract, so that shares add up exactly.
+// Units measure parts of a contract. They are integers, so that shares add up exactly.
 type Units int64
 
-// Whole is a whole contract. It divides without rest by every number of VMs up
-// to 16.
+// Whole is the whole contract. It is divisible by every number of VMs up to 16.
 const Whole Units = 720720 << 20
 
-// Times of the protocol.
+// Timing of the protocol.
 const (
-	// LeaseDuration is how long a loan may be used, counted from the borrower's asking.
-	// It bounds how long a share lent and lost is missing.
+	// LeaseDuration is how long a loan may be used, counted from when the borrower sent
+	// the ask. It bounds how long a share stays unused if the loan is lost on the way.
 	LeaseDuration = time.Second
-	// RenewInterval is how often entries ask: four times a lease, so that two messages
-	// in a row may be lost before a loan lapses.
+	// RenewInterval is the interval between asks to a peer. With four asks per lease, two
+	// consecutive messages may be lost before a loan expires.
 	RenewInterval = 250 * time.Millisecond
-	// driftMargin is what a lender adds to a lease. Clocks of VMs driftMargin below 1e-3.
+	// driftMargin is added to a lease by the lender. Clocks of VMs drift by less than 1e-3.
 	driftMargin = LeaseDuration / 100
-	// holdDown is how long a VM that left the platform's list is still counted
-	// after its last message: its processes end within seconds.
+	// holdDown is how long a VM that the platform no longer lists is still counted after
+	// its last message. Its processes end within seconds.
 	holdDown = 10 * time.Second
-	// silenceTimeout is how long restarted entries wait for one that is silent, if
-	// there is no other entry with a base.
+	// silenceTimeout is how long restarted entries wait for VMs that do not answer if no
+	// reachable entry has a base. Accounts of borrowers that stop asking are kept as long.
 	silenceTimeout = 10 * time.Second
-	// listLagTimeout is how long an entry that knows of no other VM waits for the
-	// platform's lagging list to name one.
+	// listLagTimeout is how long an entry that counts no other VM waits for the
+	// platform's list, which lags behind, to contain one.
 	listLagTimeout = 5 * time.Second
-	// reachableWithin is how recent an answer must be to say that a VM is reached.
+	// reachableWithin is the maximum age of the last message from a VM that is taken to be
+	// reachable.
 	reachableWithin = 2 * time.Second
-	// idleAccountTTL is how long an account without use is kept.
+	// idleAccountTTL is how long an account without demand or loans is kept.
 	idleAccountTTL = time.Minute
 )
 
-// minLoanIncrease is the least part by which a loan grows, if so much is missing.
+// minLoanIncrease is the minimum by which an ask enlarges a loan, unless less is missing.
 const minLoanIncrease = Whole / 64
 
 // Account is one customer's contract at one service.
@@ -83,14 +89,14 @@
 
 // Demand is what an entry's own callers need of an account.
 type Demand struct {
-	// Want is the share that the present demand asks for.
+	// Want is the share that would satisfy the present demand.
 	Want Units
-	// InUse is the share of the concurrency that requests in flight take up.
+	// InUse is the share of the concurrency that requests in flight occupy.
 	InUse Units
-	// Reserve is what the entry keeps of its base without any demand, for the
-	// first requests of a burst.
+	// Reserve is the part of its base that the entry does not lend even without
+	// demand, for the first requests of a burst.
 	Reserve Units
-	// MaxDuration is how long a request may be in flight.
+	// MaxDuration is the longest time that a request may be in flight.
 	MaxDuration time.Duration
 }
 
@@ -111,8 +117,8 @@
 type Want struct {
 	Account Account
 	Units   Units
-	// Needs is how much of the concurrency lent by this peer the sender's
-	// requests in flight take up.
+	// Needs is how much of the concurrency lent by the receiver is occupied by the
+	// sender's requests in flight.
 	Needs Units
 }
 
@@ -121,47 +127,47 @@
 	From        string
 	Incarnation int64
 	Counted     []string
-	// Confirmed says that the answering entry counts the asking one and keeps
-	// within the smaller base.
+	// Confirmed reports whether the answering entry counts the asking one and stays
+	// within the base that results from it.
 	Confirmed bool
-	// Based says that the answering entry has a base.
+	// Based reports whether the answering entry has a base that is not provisional.
 	Based bool
 	Loans []Loan
 }
 
-// Loan is what an Answer lends until a Lease after the Ask was sent.
+// Loan is what an Answer lends. It ends LeaseDuration after the Ask was sent.
 type Loan struct {
 	Account Account
 	Units   Units
 }
 
-// Ledger is one entry's part of the protocol. It belongs to one goroutine at a
-// time. Times are readings of one clock that never goes back.
+// Ledger is one entry's side of the protocol: what it has lent and borrowed. It is not
+// safe for concurrent use. Times are readings of a single monotonic clock.
 type Ledger struct {
 	members  membership
 	accounts map[Account]*account
 }
 
-// New returns the book of an entry that has just started. The incarnation must
-// be above that of every earlier life of this VM.
+// New returns the ledger of an entry that has just started. The incarnation must be
+// higher than every earlier one of this VM.
 func New(vm string, incarnation int64, now time.Duration) *Ledger {
 	return &Ledger{members: newMembership(vm, incarnation, now), accounts: make(map[Account]*account)}
 }
 
-// SetVMs takes the platform's list of VMs.
+// SetVMs sets the platform's list of VMs. An empty list is ignored.
 func (l *Ledger) SetVMs(vms []string, now time.Duration) { l.members.setVMs(vms, now) }
 
-// SetDemand says what the entry's own callers need of an account.
+// SetDemand sets what the entry's own callers need of an account.
 func (l *Ledger) SetDemand(a Account, u Demand, now time.Duration) {
 	x := l.account(a)
-	x.use, x.lastUsed = u, now
+	x.demand, x.lastUsed = u, now
 }
 
 // Counted returns the VMs that this entry counts, sorted.
 func (l *Ledger) Counted() []string { return l.members.countedVMs() }
 
-// Share returns what the entry may use of an account now, for rate and burst,
-// and for concurrency.
+// Share returns the share of an account that the entry may use now: one for rate and
+// burst, one for concurrency.
 func (l *Ledger) Share(a Account, now time.Duration) (rate, concurrency Units) {
 	x := l.account(a)
 	base := l.members.base(now)
@@ -170,7 +176,7 @@
 	return rate, l.ownConcurrency(x, now) + borrowed
 }
 
-// Base returns the part of every account that this entry owns.
+// Base returns the part of every account that this entry owns, 0 while it has no base.
 func (l *Ledger) Base(now time.Duration) Units { return l.members.base(now) }
 
 // HasLoans reports whether anything of the account is lent or borrowed.
@@ -179,29 +185,30 @@
 	return x != nil && len(x.lent)+len(x.borrowed) > 0
 }
 
-// Forget drops an account of which nothing is lent or borrowed, so that no message
-// looks at it. SetUse must come before the book is asked about it again.
+// Forget deletes an account of which nothing is lent or borrowed, so that messages no
+// longer include it. The caller must call SetDemand before it uses the account again.
 func (l *Ledger) Forget(a Account) {
 	if !l.HasLoans(a) {
 		delete(l.accounts, a)
 	}
 }
 
-// ownConcurrency is what is left of the base.
+// ownConcurrency returns the concurrency of the base that is not lent.
 func (l *Ledger) ownConcurrency(x *account, now time.Duration) Units {
 	return max(l.concurrencyBase(x, now)-x.lentConcurrency(now), 0)
 }
 
-// concurrencyBase is 0 while requests of an earlier life may be in flight on
-// loans that this life knows nothing of and nobody confirmed to have ended.
+// concurrencyBase returns the base for concurrency. With a provisional base it is 0 as long
+// as requests may be in flight on loans of an earlier incarnation, which this one does not
+// know of and whose end no VM has confirmed.
 func (l *Ledger) concurrencyBase(x *account, now time.Duration) Units {
-	if l.members.provisional && now-l.members.started < x.use.MaxDuration+LeaseDuration+driftMargin {
+	if l.members.provisional && now-l.members.started < x.demand.MaxDuration+LeaseDuration+driftMargin {
 		return 0
 	}
 	return l.members.base(now)
 }
 
-// Expire strikes off VMs that are gone and forgets accounts without use.
+// Expire removes VMs that are gone, expired loans and idle accounts.
 func (l *Ledger) Expire(now time.Duration) {
 	l.members.expire(now)
 	for a, x := range l.accounts {
--- a/internal/decide/shares/shares_test.go
+++ b/internal/decide/shares/shares_test.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/decide/admission"
 )
 
-// The contract of the fleet tests.
+// The account and contract used by the fleet tests.
 var (
 	testAccount  = Account{Customer: "studio", Service: "booth"}
 	testContract = admission.Share{Rate: 40, Burst: 12, Concurrency: 10}
@@ -21,7 +21,7 @@
 
 const testMaxDuration = 3 * time.Second
 
-// node is one VM's entry.
+// node is the entry of one VM.
 type node struct {
 	name        string
 	ledger      *Ledger
@@ -52,7 +52,7 @@
 	listed   []string
 	admitted []time.Duration
 	restarts int
-	// warm fleets begin with a base at every entry.
+	// warm is set if every entry had a base at the start.
 	warm bool
 }
 
@@ -67,7 +67,7 @@
 
 func fractionOf(u Units, of float64) float64 { return float64(u) / float64(Whole) * of }
 
-// refresh passes the book what the entry's callers do and the gate its share.
+// refresh ends finished requests, sets the ledger's demand and applies the share to the gate.
 func (f *fleet) refresh(n *node) {
 	for len(n.running) > 0 && n.running[0] <= f.now {
 		n.running = n.running[1:]
@@ -114,7 +114,7 @@
 	}
 }
 
-// deliver hands over one message, or loses it on a cut.
+// deliver delivers one message, or drops it if either end is partitioned.
 func (f *fleet) deliver(i int) {
 	m := f.inFlight[i]
 	f.inFlight = slices.Delete(f.inFlight, i, i+1)
@@ -177,9 +177,9 @@
 	case 16:
 		n.partitioned = !n.partitioned
 	case 17:
-		// The stated exception is that all entries that answer were started
-		// lately, one is cut off and VMs were added. Two restarts among four
-		// entries with a base, or no VM added, exclude it.
+		// The package comment excludes the case in which every reachable entry was
+		// restarted recently, one is partitioned and VMs were added. At most two restarts
+		// among four entries with a base, or no added VM, keep the test out of it.
 		if !f.warm || f.restarts < 2 {
 			f.restarts++
 			f.start(n)
@@ -197,7 +197,7 @@
 	n.ledger.Expire(f.now)
 }
 
-// join adds a VM to the platform's list and starts it.
+// join adds a VM to the platform's list and starts its entry, up to six VMs.
 func (f *fleet) join() {
 	if len(f.nodes) == 6 {
 		return
@@ -208,7 +208,7 @@
 	f.start(n)
 }
 
-// exchangeFor lets all entries talk until their shares follow the demand.
+// exchangeFor runs rounds of asks and answers among all entries for the time d, without losses.
 func (f *fleet) exchangeFor(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += RenewInterval {
 		for _, n := range f.nodes {
@@ -229,9 +229,9 @@
 	return f
 }
 
-// A customer sends through all entries at once while they are cut off from each
-// other, restarted, added, and their messages are lost or late by seconds. Were
-// shares counted twice, it would get more than its contract, and others less.
+// A customer sends through all entries at once while entries are partitioned, restarted
+// and added, and messages are lost or delayed by seconds. Guards against share that is
+// counted twice: the customer would get more than its contract, and others less.
 func TestSharesNeverExceedTheContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, rapid.IntRange(4, 5).Draw(t, "entries"))
@@ -247,9 +247,9 @@
 	})
 }
 
-// A hot customer behind one entry: within two seconds that entry holds nearly
-// the whole contract. Cut off, it falls back to the limit / number of VMs, and
-// the others have theirs back.
+// All demand of a customer arrives at one entry: within two seconds the entry holds most of
+// the contract. When it is partitioned, it falls back to the limit divided by the number of
+// VMs, and the others get back what they have lent.
 func TestShareFollowsDemandAndFallsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 4)
@@ -264,14 +264,14 @@
 		cold.want = Whole
 		f.exchangeFor(testMaxDuration + 3*time.Second)
 		rate, _ = hot.ledger.Share(testAccount, f.now)
-		require.Equal(t, Whole/4, rate, "cut off: limit / number of VMs")
+		require.Equal(t, Whole/4, rate, "partitioned: limit / number of VMs")
 		rate, _ = cold.ledger.Share(testAccount, f.now)
 		require.Greater(t, rate, Whole/2)
 		f.check()
 	})
 }
 
-// Two customers' entries both want the whole: neither starves.
+// Two entries that both want the whole contract get about equal shares.
 func TestCompetingEntriesShareEvenly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, 4)
@@ -287,10 +287,10 @@
 	})
 }
 
-// Found by TestSharesNeverExceedTheContract. An entry that is cut off from the
-// platform learns of a new VM from that VM alone and confirms to count it. Its
-// old list lacks the VM; after holdDown it struck the VM off and enlarged its
-// own base beside the new one's, so both together admitted too much.
+// Found by TestSharesNeverExceedTheContract. An entry that is partitioned from the
+// platform learns of a new VM from that VM's messages and confirms that it counts it.
+// Guards against removing the VM after holdDown because the stale list does not contain it:
+// the entry's base would grow while the new VM has one, and both would admit too much.
 func TestVMMissingFromStaleListIsNotRemoved(t *testing.T) {
 	b := New("vm1", 1, 0)
 	b.SetVMs([]string{"vm1", "vm2"}, 0)
@@ -302,12 +302,12 @@
 	b.SetVMs([]string{"vm1", "vm2", "vm3"}, 2*holdDown)
 	b.SetVMs([]string{"vm1", "vm2"}, 2*holdDown)
 	b.Expire(2 * holdDown)
-	require.NotContains(t, b.members.countedVMs(), "vm3", "the platform dropped it")
+	require.NotContains(t, b.members.countedVMs(), "vm3", "the platform no longer lists it")
 }
 
-// A lender restarts while a borrower's requests run on its loan. The new life
-// knows nothing of the loan and would use the same share at once: the borrower
-// drops the loan and confirms only when its requests in flight fit without it.
+// A lender restarts while a borrower's requests run on its loan. The new incarnation does
+// not know of the loan and would use the same share at once, so the borrower drops the loan
+// and confirms only when its requests in flight fit without it.
 func TestRestartedLenderWaitsForItsBorrowers(t *testing.T) {
 	b := New("vm1", 1, 0)
 	b.SetVMs([]string{"vm1", "vm2"}, 0)
@@ -324,7 +324,7 @@
 	hello := Ask{From: "vm2", Incarnation: 2, Seq: 1, Counted: []string{"vm1", "vm2"}}
 	require.False(t, b.HandleAsk(hello, 0).Confirmed)
 	rate, _ = b.Share(testAccount, 0)
-	require.Equal(t, Whole/2, rate, "the loan of the earlier life is gone")
+	require.Equal(t, Whole/2, rate, "the loan of the earlier incarnation is dropped")
 
 	use.InUse = Whole / 2
 	b.SetDemand(testAccount, use, 0)
@@ -332,9 +332,9 @@
 	require.True(t, b.HandleAsk(hello, 0).Confirmed)
 }
 
-// Found by TestSharesNeverExceedTheContract. vm1 and vm3 have bases and are cut off
-// from the others, which are restarted or new; vm1 does not know of vm5. The three
-// were a majority and took up bases: five shares of a fifth, but vm1's was a fourth.
+// Found by TestSharesNeverExceedTheContract. vm1 and vm3 have bases and are partitioned
+// from the others, which are restarted or new; vm1 does not know of vm5. Guards against the
+// three taking up bases as a majority: vm1's base is a fourth, the other four are fifths.
 func TestMajorityOfRestartedEntriesIsNotEnough(t *testing.T) {
 	b := New("vm2", 2, 0)
 	b.SetVMs([]string{"vm1", "vm2", "vm3", "vm4", "vm5"}, 0)
@@ -348,5 +348,5 @@
 	ask := b.Ask("vm3", 3, now)
 	b.HandleAnswer(ask, Answer{From: "vm3", Incarnation: 2, Confirmed: true}, now, now)
 	rate, _ = b.Share(testAccount, now)
-	require.Equal(t, Whole/5, rate, "all but one answer and none has a base")
+	require.Equal(t, Whole/5, rate, "all VMs but one answer, and none has a base")
 }
