--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -120,8 +120,8 @@
 	g.held += time.Duration(holdWeight * float64(took-g.held))
 }
 
-// Running returns the requests in flight.
-func (g *Gate) Running() int { return g.running }
+// InFlight returns the requests in flight.
+func (g *Gate) InFlight() int { return g.running }
 
 // nextEnd estimates when one of the requests in flight will end.
 func (g *Gate) nextEnd() time.Duration {
--- a/internal/entry/active.go
+++ b/internal/entry/active.go
@@ -65,7 +65,7 @@
 
 // busy reports whether the ledger's use of its share may change by itself.
 func (l *ledger) busy(now time.Duration) bool {
-	return l.offered > 0 || l.demand > 0 || l.gate.Running() > 0 || l.refusedAt != 0 || l.seen != 0 && now-l.seen < reserveFor
+	return l.offered > 0 || l.demand > 0 || l.gate.InFlight() > 0 || l.refusedAt != 0 || l.seen != 0 && now-l.seen < reserveFor
 }
 
 // open keeps a ledger for each account of the contracts in force, once for each
@@ -93,7 +93,7 @@
 	for account, l := range a.accounts {
 		switch {
 		case known[account]:
-		case l.gate.Running() == 0:
+		case l.gate.InFlight() == 0:
 			delete(a.accounts, account)
 			delete(a.active, account)
 		default:
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -179,7 +179,7 @@
 // request: of a small burst or concurrency an equal part admits none.
 func (l *ledger) use(vms int, now time.Duration) shares.Demand {
 	u := shares.Demand{MaxDuration: l.longest}
-	running := float64(l.gate.Running())
+	running := float64(l.gate.InFlight())
 	burst, concurrency := float64(l.allowance.Burst), float64(l.allowance.Concurrency)
 	if running > 0 {
 		u.InUse = units(running, concurrency)
@@ -298,7 +298,7 @@
 		out.Accounts = append(out.Accounts, AccountState{
 			Customer: account.Customer, Service: account.Service,
 			Share: part(rate, 1), Concurrency: part(concurrency, 1),
-			Running: l.gate.Running(), Demand: l.demand, Refusing: l.refusedAt != 0,
+			Running: l.gate.InFlight(), Demand: l.demand, Refusing: l.refusedAt != 0,
 		})
 	}
 	slices.SortFunc(out.Accounts, func(p, q AccountState) int {
