--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -46,32 +46,32 @@
 	RetryAfter time.Duration
 }
 
-// perRequest is what one request takes from the bucket. The limiter counts whole
+// tokensPerRequest is what one request takes from the bucket. The limiter counts whole
 // tokens, and a share of a burst is a fraction: thousandths keep its error under
 // a thousandth of a request.
-const perRequest = 1000
+const tokensPerRequest = 1000
 
-// rounding lets a share that sums to a whole request but for the last bit of a
+// epsilon lets a share that sums to a whole request but for the last bit of a
 // float pass as that whole.
-const rounding = 1e-6
+const epsilon = 1e-6
 
-// shareWait is when to ask again where the share is too small for any request:
+// retryAfterNoShare is when to ask again where the share is too small for any request:
 // shares are borrowed and renewed several times in that time.
-const shareWait = time.Second
+const retryAfterNoShare = time.Second
 
-// holdWeight is the weight of the newest request in the mean time in flight.
-const holdWeight = 0.1
+// durationWeight is the weight of the newest request in the mean time in flight.
+const durationWeight = 0.1
 
 // Gate admits the requests of one customer to one service. It belongs to one
 // goroutine at a time.
 type Gate struct {
-	limiter *rate.Limiter
-	share   Share
-	running int
-	// last is when the share was last known to be in force.
-	last time.Time
-	// held is the mean time a request is in flight.
-	held time.Duration
+	limiter  *rate.Limiter
+	share    Share
+	inFlight int
+	// lastSet is when the share was lastSet known to be in force.
+	lastSet time.Time
+	// meanDuration is the mean time a request is in flight.
+	meanDuration time.Duration
 }
 
 // New returns a gate that admits nothing until Set.
@@ -83,58 +83,58 @@
 func (g *Gate) Set(s Share, now time.Time) {
 	at := now
 	if s.Rate < g.share.Rate {
-		at = g.last
+		at = g.lastSet
 	}
-	g.last = now
+	g.lastSet = now
 	if s == g.share {
 		return
 	}
 	g.share = s
 	g.limiter.SetBurstAt(at, tokens(s.Burst))
-	g.limiter.SetLimitAt(at, rate.Limit(s.Rate*perRequest))
+	g.limiter.SetLimitAt(at, rate.Limit(s.Rate*tokensPerRequest))
 }
 
 func tokens(requests float64) int {
-	t := math.Floor((requests + rounding) * perRequest)
-	return int(min(t, math.MaxInt32*perRequest))
+	t := math.Floor((requests + epsilon) * tokensPerRequest)
+	return int(min(t, math.MaxInt32*tokensPerRequest))
 }
 
 // Admit decides on a request that came now. Each admitted request needs a Done.
 func (g *Gate) Admit(now time.Time) Decision {
-	if float64(g.running+1) > g.share.Concurrency+rounding {
-		return Decision{Reason: OverConcurrency, RetryAfter: g.nextEnd()}
+	if float64(g.inFlight+1) > g.share.Concurrency+epsilon {
+		return Decision{Reason: OverConcurrency, RetryAfter: g.untilNextEnd()}
 	}
-	if !g.limiter.AllowN(now, perRequest) {
-		return Decision{Reason: OverRate, RetryAfter: g.nextToken(now)}
+	if !g.limiter.AllowN(now, tokensPerRequest) {
+		return Decision{Reason: OverRate, RetryAfter: g.untilNextToken(now)}
 	}
-	g.running++
+	g.inFlight++
 	return Decision{OK: true}
 }
 
 // Done ends an admitted request that was in flight for so long.
 func (g *Gate) Done(took time.Duration) {
-	g.running--
-	if g.held == 0 {
-		g.held = took
+	g.inFlight--
+	if g.meanDuration == 0 {
+		g.meanDuration = took
 	}
-	g.held += time.Duration(holdWeight * float64(took-g.held))
+	g.meanDuration += time.Duration(durationWeight * float64(took-g.meanDuration))
 }
 
 // InFlight returns the requests in flight.
-func (g *Gate) InFlight() int { return g.running }
+func (g *Gate) InFlight() int { return g.inFlight }
 
-// nextEnd estimates when one of the requests in flight will end.
-func (g *Gate) nextEnd() time.Duration {
-	if g.running == 0 {
-		return shareWait
+// untilNextEnd estimates when one of the requests in flight will end.
+func (g *Gate) untilNextEnd() time.Duration {
+	if g.inFlight == 0 {
+		return retryAfterNoShare
 	}
-	return max(g.held/time.Duration(g.running), time.Millisecond)
+	return max(g.meanDuration/time.Duration(g.inFlight), time.Millisecond)
 }
 
-func (g *Gate) nextToken(now time.Time) time.Duration {
-	if g.limiter.Burst() < perRequest || g.share.Rate <= 0 {
-		return shareWait
+func (g *Gate) untilNextToken(now time.Time) time.Duration {
+	if g.limiter.Burst() < tokensPerRequest || g.share.Rate <= 0 {
+		return retryAfterNoShare
 	}
-	missing := perRequest - g.limiter.TokensAt(now)
-	return time.Duration(missing / (g.share.Rate * perRequest) * float64(time.Second))
+	missing := tokensPerRequest - g.limiter.TokensAt(now)
+	return time.Duration(missing / (g.share.Rate * tokensPerRequest) * float64(time.Second))
 }
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestRetryAfterIsTrue(t *testing.T) {
+func TestRequestPassesExactlyAfterRetryAfter(t *testing.T) {
 	g := New()
 	now := time.Unix(1000, 0)
 	g.Set(Share{Rate: 7, Burst: 2, Concurrency: 100}, now)
