--- a/internal/decide/admission/admission.go
+++ b/internal/decide/admission/admission.go
@@ -1,14 +1,14 @@
-// Package admission holds one customer to its contract at one entry.
+// Package admission limits a customer to its contract at one entry.
 //
-// Load pattern: a customer sends more than its contract allows, steadily or in a
-// burst, or more requests at once. Without the gate its requests fill queues and
-// slots that other customers have paid for, and are refused only after they
-// waited. With it they are refused at the door, at once and as not run.
+// Load pattern: a customer exceeds the rate, burst or concurrency of its contract.
+// Without the limit its requests fill queues and slots that other customers pay for,
+// and are refused only after they have waited. With it they are refused on arrival,
+// before they have run.
 //
-// The gate is a token bucket (rate, burst) and a count of requests in flight
-// (concurrency). Its limits are this entry's share of the contract and change
-// several times a second; see package shares. The bucket starts empty: an entry
-// that is restarted again and again must not give a full burst each time.
+// A gate combines a token bucket (rate, burst) with a count of requests in flight
+// (concurrency). Its limits are this entry's share of the contract and change several
+// times a second; see package shares. The bucket starts empty, so that an entry that
+// restarts repeatedly does not admit a full burst each time.
 package admission
 
 import (
@@ -18,68 +18,70 @@
 	"golang.org/x/time/rate"
 )
 
-// Share is what this entry may use of a customer's contract at one service.
-// Shares are fractions of a contract, so all figures may be fractions.
+// Share is the part of a customer's contract at one service that this entry may use. Its
+// values need not be whole numbers.
 type Share struct {
 	// Rate is in requests per second.
 	Rate float64 `json:"rate"`
-	// Burst is how many requests may come at once.
+	// Burst is the number of requests that may arrive at once.
 	Burst float64 `json:"burst"`
 	// Concurrency bounds the requests in flight.
 	Concurrency float64 `json:"concurrency"`
 }
 
-// Reason says which limit refused a request.
+// Reason is the limit that a refused request would have exceeded.
 type Reason string
 
-// The reasons.
+// The limits that a request may exceed.
 const (
 	OverRate        Reason = "rate"
 	OverConcurrency Reason = "concurrency"
 )
 
-// Decision is the gate's word on one request.
+// Decision is the result of Admit for one request. Reason and RetryAfter are set for
+// refused requests.
 type Decision struct {
 	OK     bool
 	Reason Reason
-	// RetryAfter is when a request would pass if no other came before it.
+	// RetryAfter is the time after which a request would be admitted if no other request
+	// arrived before it.
 	RetryAfter time.Duration
 }
 
-// tokensPerRequest is what one request takes from the bucket. The limiter counts whole
-// tokens, and a share of a burst is a fraction: thousandths keep its error under
-// a thousandth of a request.
+// tokensPerRequest is the number of tokens that a request takes from the bucket. The
+// limiter counts whole tokens, but a share of a burst may be fractional; a thousand tokens
+// per request keep the error below a thousandth of a request.
 const tokensPerRequest = 1000
 
-// epsilon lets a share that sums to a whole request but for the last bit of a
-// float pass as that whole.
+// epsilon absorbs floating-point error in shares that add up to a whole request.
 const epsilon = 1e-6
 
-// retryAfterNoShare is when to ask again where the share is too small for any request:
-// shares are borrowed and renewed several times in that time.
+// retryAfterNoShare is the RetryAfter when the share is too small for any request. Shares
+// are borrowed and renewed several times in that time.
 const retryAfterNoShare = time.Second
 
-// durationWeight is the weight of the newest request in the mean time in flight.
+// durationWeight is the weight of the latest request in the moving mean of durations.
 const durationWeight = 0.1
 
-// Gate admits the requests of one customer to one service. It belongs to one
-// goroutine at a time.
+// Gate admits the requests of one customer to one service. It is not safe for concurrent
+// use.
 type Gate struct {
 	limiter  *rate.Limiter
 	share    Share
 	inFlight int
-	// lastSet is when the share was lastSet known to be in force.
+	// lastSet is when Set was last called: the share was known to be in force until then.
 	lastSet time.Time
-	// meanDuration is the mean time a request is in flight.
+	// meanDuration is the moving mean of the time that requests are in flight.
 	meanDuration time.Duration
 }
 
-// New returns a gate that admits nothing until Set.
+// New returns a gate that admits nothing until Set is called.
 func New() *Gate { return &Gate{limiter: rate.NewLimiter(0, 0)} }
 
-// Set puts a share in force; it is called before every Admit.
-// The old share may have lapsed unnoticed and be in use elsewhere: tokens above the lowered burst are
-// lost, and a lowered rate counts from when the old share was last known to be in force.
+// Set applies a share and must be called before every Admit. The previous share may have
+// expired since and be in use at another entry. Tokens above a lowered burst are therefore
+// discarded, and a lowered rate applies from when the previous share was last known to be in
+// force.
 func (g *Gate) Set(s Share, now time.Time) {
 	at := now
 	if s.Rate < g.share.Rate {
@@ -99,7 +101,8 @@
 	return int(min(t, math.MaxInt32*tokensPerRequest))
 }
 
-// Admit decides on a request that came now. Each admitted request needs a Done.
+// Admit decides whether a request that arrives now is admitted. The caller must call Done
+// for each admitted request.
 func (g *Gate) Admit(now time.Time) Decision {
 	if float64(g.inFlight+1) > g.share.Concurrency+epsilon {
 		return Decision{Reason: OverConcurrency, RetryAfter: g.untilNextEnd()}
@@ -111,7 +114,7 @@
 	return Decision{OK: true}
 }
 
-// Done ends an admitted request that was in flight for so long.
+// Done records the end of an admitted request and how long it was in flight.
 func (g *Gate) Done(took time.Duration) {
 	g.inFlight--
 	if g.meanDuration == 0 {
@@ -120,10 +123,10 @@
 	g.meanDuration += time.Duration(durationWeight * float64(took-g.meanDuration))
 }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of requests in flight.
 func (g *Gate) InFlight() int { return g.inFlight }
 
-// untilNextEnd estimates when one of the requests in flight will end.
+// untilNextEnd estimates the time until one of the requests in flight ends.
 func (g *Gate) untilNextEnd() time.Duration {
 	if g.inFlight == 0 {
 		return retryAfterNoShare
--- a/internal/decide/admission/admission_test.go
+++ b/internal/decide/admission/admission_test.go
@@ -9,9 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// A customer at ten times its contract: of any window no more than rate times
-// window plus burst is admitted, whatever the share does meanwhile, and a
-// refusal's Retry-After is true: one request sent then passes.
+// A customer sends as much as is admitted while its share changes: in any window, at most
+// rate times window plus burst requests are admitted.
 func TestAdmittedInAnyWindowIsWithinRateAndBurst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Share{
@@ -48,9 +47,9 @@
 		if d.OK {
 			continue
 		}
-		assert.False(t, g.Admit(now.Add(d.RetryAfter-2*time.Millisecond)).OK, "before it no request passes")
+		assert.False(t, g.Admit(now.Add(d.RetryAfter-2*time.Millisecond)).OK, "refused before Retry-After")
 		now = now.Add(d.RetryAfter + time.Microsecond)
-		assert.True(t, g.Admit(now).OK, "after it one passes")
+		assert.True(t, g.Admit(now).OK, "admitted after Retry-After")
 	}
 }
 
