--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -73,9 +73,9 @@
 // shortShare of the slots, one at least, is kept free of long jobs.
 const shortShare = 0.1
 
-// LongLimit returns how many long jobs may run at a time on so many slots. A
+// MaxLongJobs returns how many long jobs may run at a time on so many slots. A
 // single slot must serve both.
-func LongLimit(total int) int {
+func MaxLongJobs(total int) int {
 	if total <= 1 {
 		return 1
 	}
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -41,8 +41,8 @@
 
 func TestLongJobsLeaveASlot(t *testing.T) {
 	for total := 2; total < 100; total++ {
-		require.Less(t, LongLimit(total), total)
-		require.GreaterOrEqual(t, LongLimit(total), total*8/10-1)
+		require.Less(t, MaxLongJobs(total), total)
+		require.GreaterOrEqual(t, MaxLongJobs(total), total*8/10-1)
 	}
-	require.Equal(t, 1, LongLimit(1))
+	require.Equal(t, 1, MaxLongJobs(1))
 }
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -70,7 +70,7 @@
 // longMayRun reports whether a long job may take a slot now.
 func (q *queue) longMayRun(now time.Time) bool {
 	_, total := q.pool.capacity(now)
-	return q.fifo || q.longRunning < slots.LongLimit(total)
+	return q.fifo || q.longRunning < slots.MaxLongJobs(total)
 }
 
 // choose returns the target for the job, or nil if it must wait; j nil asks
