--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -47,8 +47,8 @@
 // rounding keeps sums such as 2.9999 from costing a slot.
 const rounding = 1e-6
 
-// Shed notes that the target had no room.
-func (l *Limit) Shed(now time.Time, full int) { l.cut(now, full, shedFactor, 1) }
+// OnShed notes that the target had no room.
+func (l *Limit) OnShed(now time.Time, full int) { l.cut(now, full, shedFactor, 1) }
 
 // Answered notes an answer; slow says that the target's answers take far longer
 // than expected on the whole.
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -17,7 +17,7 @@
 		for range rapid.IntRange(0, 100).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "shed") {
-				l.Shed(now, full)
+				l.OnShed(now, full)
 			} else {
 				l.Answered(now, full, rapid.Bool().Draw(t, "slow"))
 			}
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -247,7 +247,7 @@
 	t := r.target
 	switch {
 	case out == retry.Shed:
-		t.limit.Shed(now, q.pool.service.Slots)
+		t.limit.OnShed(now, q.pool.service.Slots)
 		q.pool.update(t)
 	case out == retry.Unsent || r.died:
 		rest := t.measured.Failed(now)
