--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -50,9 +50,9 @@
 // OnShed notes that the target had no room.
 func (l *Limit) OnShed(now time.Time, full int) { l.cut(now, full, shedFactor, 1) }
 
-// Answered notes an answer; slow says that the target's answers take far longer
+// OnAnswer notes an answer; slow says that the target's answers take far longer
 // than expected on the whole.
-func (l *Limit) Answered(now time.Time, full int, slow bool) {
+func (l *Limit) OnAnswer(now time.Time, full int, slow bool) {
 	if slow {
 		l.cut(now, full, slowFactor, math.Ceil(float64(full)/2))
 		return
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -19,13 +19,13 @@
 			if rapid.Bool().Draw(t, "shed") {
 				l.OnShed(now, full)
 			} else {
-				l.Answered(now, full, rapid.Bool().Draw(t, "slow"))
+				l.OnAnswer(now, full, rapid.Bool().Draw(t, "slow"))
 			}
 			require.GreaterOrEqual(t, l.Value(full), 1)
 			require.LessOrEqual(t, l.Value(full), full)
 		}
 		for range full * full {
-			l.Answered(now, full, false)
+			l.OnAnswer(now, full, false)
 		}
 		require.Equal(t, full, l.Value(full))
 	})
@@ -34,7 +34,7 @@
 func TestSlowAnswersAloneLeaveHalf(t *testing.T) {
 	var l Limit
 	for i := range 100 {
-		l.Answered(time.Unix(int64(i), 0), 8, true)
+		l.OnAnswer(time.Unix(int64(i), 0), 8, true)
 	}
 	require.Equal(t, 4, l.Value(8))
 }
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -233,7 +233,7 @@
 	if !t.measured.Slow() || q.pool.mostlySlow() {
 		q.table.Add(j.kind, r.took)
 	}
-	t.limit.Answered(now, q.pool.service.Slots, t.measured.Slow())
+	t.limit.OnAnswer(now, q.pool.service.Slots, t.measured.Slow())
 	q.pool.update(t)
 	if !j.parkedAt.IsZero() {
 		q.release(q.parked)
