--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	shedFactor = 2.0 / 3
-	slowFactor = 0.9
-	cutPause   = 100 * time.Millisecond
-	gain       = 0.5
+	shedFactor     = 2.0 / 3
+	slowFactor     = 0.9
+	minCutInterval = 100 * time.Millisecond
+	increaseStep   = 0.5
 )
 
 // Limit is the adaptive number in flight at one target.
@@ -41,37 +41,37 @@
 	if l.value == 0 || l.value > float64(full) {
 		l.value = float64(full)
 	}
-	return max(int(math.Floor(l.value+rounding)), 1)
+	return max(int(math.Floor(l.value+epsilon)), 1)
 }
 
-// rounding keeps sums such as 2.9999 from costing a slot.
-const rounding = 1e-6
+// epsilon keeps sums such as 2.9999 from costing a slot.
+const epsilon = 1e-6
 
 // OnShed notes that the target had no room.
-func (l *Limit) OnShed(now time.Time, full int) { l.cut(now, full, shedFactor, 1) }
+func (l *Limit) OnShed(now time.Time, full int) { l.decrease(now, full, shedFactor, 1) }
 
 // OnAnswer notes an answer; slow says that the target's answers take far longer
 // than expected on the whole.
 func (l *Limit) OnAnswer(now time.Time, full int, slow bool) {
 	if slow {
-		l.cut(now, full, slowFactor, math.Ceil(float64(full)/2))
+		l.decrease(now, full, slowFactor, math.Ceil(float64(full)/2))
 		return
 	}
 	l.Value(full)
-	l.value = min(l.value+gain/l.value, float64(full))
+	l.value = min(l.value+increaseStep/l.value, float64(full))
 }
 
-func (l *Limit) cut(now time.Time, full int, factor, least float64) {
+func (l *Limit) decrease(now time.Time, full int, factor, lowest float64) {
 	l.Value(full)
-	if now.Sub(l.lastCut) < cutPause {
+	if now.Sub(l.lastCut) < minCutInterval {
 		return
 	}
 	l.lastCut = now
-	l.value = max(l.value*factor, min(least, l.value))
+	l.value = max(l.value*factor, min(lowest, l.value))
 }
 
-// shortShare of the slots, one at least, is kept free of long jobs.
-const shortShare = 0.1
+// reservedForShort of the slots, one at least, is kept free of long jobs.
+const reservedForShort = 0.1
 
 // MaxLongJobs returns how many long jobs may run at a time on so many slots. A
 // single slot must serve both.
@@ -79,5 +79,5 @@
 	if total <= 1 {
 		return 1
 	}
-	return total - max(int(math.Ceil(shortShare*float64(total))), 1)
+	return total - max(int(math.Ceil(reservedForShort*float64(total))), 1)
 }
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestSlowAnswersAloneLeaveHalf(t *testing.T) {
+func TestSlowAnswersKeepHalfOfTheSlots(t *testing.T) {
 	var l Limit
 	for i := range 100 {
 		l.OnAnswer(time.Unix(int64(i), 0), 8, true)
@@ -39,7 +39,7 @@
 	require.Equal(t, 4, l.Value(8))
 }
 
-func TestLongJobsLeaveASlot(t *testing.T) {
+func TestLongJobsLeaveASlotForShortOnes(t *testing.T) {
 	for total := 2; total < 100; total++ {
 		require.Less(t, MaxLongJobs(total), total)
 		require.GreaterOrEqual(t, MaxLongJobs(total), total*8/10-1)
