--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The limit stays between 1 and the slots over any sequence of answers, and comes
-// back to the slots with good answers.
+// The limit stays between 1 and the number of slots over any sequence of answers and
+// sheds, and recovers to the number of slots with good answers.
 func TestLimitStaysInBoundsAndRecovers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Limit
