--- a/internal/decide/urgency/urgency.go
+++ b/internal/decide/urgency/urgency.go
@@ -44,9 +44,9 @@
 	m.counts[priority]++
 }
 
-// First reports whether requests of this priority are the most urgent of several: others
+// MostUrgent reports whether requests of this priority are the most urgent of several: others
 // come after them, and none before, to speak of.
-func (m *Meter) First(priority int) bool {
+func (m *Meter) MostUrgent(priority int) bool {
 	total := 0.0
 	for _, n := range m.counts {
 		total += n
--- a/internal/decide/urgency/urgency_test.go
+++ b/internal/decide/urgency/urgency_test.go
@@ -9,7 +9,7 @@
 
 func TestMostUrgentOfThoseAskedForIsFirst(t *testing.T) {
 	var m Meter
-	require.False(t, m.First(7), "nothing was seen yet that comes after it")
+	require.False(t, m.MostUrgent(7), "nothing was seen yet that comes after it")
 	for i := range 300 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		m.Note(2, now)
@@ -17,9 +17,9 @@
 			m.Note(1, now)
 		}
 	}
-	require.True(t, m.First(1))
-	require.False(t, m.First(2))
-	require.True(t, m.First(0), "one that was not seen yet is no later than others")
+	require.True(t, m.MostUrgent(1))
+	require.False(t, m.MostUrgent(2))
+	require.True(t, m.MostUrgent(0), "one that was not seen yet is no later than others")
 }
 
 // A route of the highest priority is called once a minute. It must not keep places of
@@ -30,8 +30,8 @@
 	for i := range 100 {
 		m.Note(1+i%2, time.Duration(i)*10*time.Millisecond)
 	}
-	require.True(t, m.First(1))
-	require.False(t, m.First(2))
+	require.True(t, m.MostUrgent(1))
+	require.False(t, m.MostUrgent(2))
 }
 
 // The urgent requests end. Half a minute later the others have all places.
@@ -46,5 +46,5 @@
 		m.Note(1, now)
 		m.Note(2, now)
 	}
-	require.True(t, m.First(1))
+	require.True(t, m.MostUrgent(1))
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -23,7 +23,7 @@
 // urgentLocked reports whether requests of a priority may have the last places.
 func (s *routingState) urgentLocked(service string, priority int) bool {
 	m := s.urgency[service]
-	return m != nil && m.First(priority)
+	return m != nil && m.MostUrgent(priority)
 }
 
 // usualLocked returns the usual service time of a route; 0 while it is not known.
