--- a/internal/decide/urgency/urgency.go
+++ b/internal/decide/urgency/urgency.go
@@ -31,8 +31,8 @@
 	at     time.Duration
 }
 
-// Note records a request of a priority, 0 the most urgent.
-func (m *Meter) Note(priority int, now time.Duration) {
+// Record records a request of a priority, 0 the most urgent.
+func (m *Meter) Record(priority int, now time.Duration) {
 	if m.counts == nil {
 		m.counts = make(map[int]float64)
 	}
--- a/internal/decide/urgency/urgency_test.go
+++ b/internal/decide/urgency/urgency_test.go
@@ -12,9 +12,9 @@
 	require.False(t, m.MostUrgent(7), "nothing was seen yet that comes after it")
 	for i := range 300 {
 		now := time.Duration(i) * 10 * time.Millisecond
-		m.Note(2, now)
+		m.Record(2, now)
 		if i%3 == 0 {
-			m.Note(1, now)
+			m.Record(1, now)
 		}
 	}
 	require.True(t, m.MostUrgent(1))
@@ -26,9 +26,9 @@
 // every target free for requests that do not come.
 func TestPriorityThatHardlyAnyoneAsksForTakesNothing(t *testing.T) {
 	var m Meter
-	m.Note(0, 0)
+	m.Record(0, 0)
 	for i := range 100 {
-		m.Note(1+i%2, time.Duration(i)*10*time.Millisecond)
+		m.Record(1+i%2, time.Duration(i)*10*time.Millisecond)
 	}
 	require.True(t, m.MostUrgent(1))
 	require.False(t, m.MostUrgent(2))
@@ -38,13 +38,13 @@
 func TestPriorityThatIsNoLongerAskedForFades(t *testing.T) {
 	var m Meter
 	for i := range 100 {
-		m.Note(0, time.Duration(i)*10*time.Millisecond)
+		m.Record(0, time.Duration(i)*10*time.Millisecond)
 	}
 	now := time.Second
 	for now < 31*time.Second {
 		now += 10 * time.Millisecond
-		m.Note(1, now)
-		m.Note(2, now)
+		m.Record(1, now)
+		m.Record(2, now)
 	}
 	require.True(t, m.MostUrgent(1))
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -17,7 +17,7 @@
 		m = new(urgency.Meter)
 		s.urgency[service] = m
 	}
-	m.Note(priority, now)
+	m.Record(priority, now)
 }
 
 // urgentLocked reports whether requests of a priority may have the last places.
