--- a/internal/decide/urgency/urgency.go
+++ b/internal/decide/urgency/urgency.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// leastShare is the part of the requests from which a priority counts.
-	leastShare = 0.05
-	// memory is the time constant with which requests are forgotten.
-	memory = 10 * time.Second
+	// minShare is the part of the requests from which a priority counts.
+	minShare = 0.05
+	// timeConstant is the time constant with which requests are forgotten.
+	timeConstant = 10 * time.Second
 )
 
 // Meter counts the requests for one service by their priority. The zero value has seen
 // none. It is not safe for concurrent use.
 type Meter struct {
-	counts map[int]float64
-	at     time.Duration
+	counts  map[int]float64
+	updated time.Duration
 }
 
 // Record records a request of a priority, 0 the most urgent.
@@ -36,10 +36,10 @@
 	if m.counts == nil {
 		m.counts = make(map[int]float64)
 	}
-	fade := math.Exp(-float64(now-m.at) / float64(memory))
-	m.at = now
+	decay := math.Exp(-float64(now-m.updated) / float64(timeConstant))
+	m.updated = now
 	for p := range m.counts {
-		m.counts[p] *= fade
+		m.counts[p] *= decay
 	}
 	m.counts[priority]++
 }
@@ -51,15 +51,15 @@
 	for _, n := range m.counts {
 		total += n
 	}
-	later := false
+	lessUrgent := false
 	for p, n := range m.counts {
-		if n < leastShare*total {
+		if n < minShare*total {
 			continue
 		}
 		if p < priority {
 			return false
 		}
-		later = later || p > priority
+		lessUrgent = lessUrgent || p > priority
 	}
-	return later
+	return lessUrgent
 }
--- a/internal/decide/urgency/urgency_test.go
+++ b/internal/decide/urgency/urgency_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMostUrgentOfThoseAskedForIsFirst(t *testing.T) {
+func TestMostUrgentPriorityInUseIsFound(t *testing.T) {
 	var m Meter
 	require.False(t, m.MostUrgent(7), "nothing was seen yet that comes after it")
 	for i := range 300 {
@@ -24,7 +24,7 @@
 
 // A route of the highest priority is called once a minute. It must not keep places of
 // every target free for requests that do not come.
-func TestPriorityThatHardlyAnyoneAsksForTakesNothing(t *testing.T) {
+func TestRarePriorityIsIgnored(t *testing.T) {
 	var m Meter
 	m.Record(0, 0)
 	for i := range 100 {
@@ -35,7 +35,7 @@
 }
 
 // The urgent requests end. Half a minute later the others have all places.
-func TestPriorityThatIsNoLongerAskedForFades(t *testing.T) {
+func TestUnusedPriorityDecays(t *testing.T) {
 	var m Meter
 	for i := range 100 {
 		m.Record(0, time.Duration(i)*10*time.Millisecond)
