--- a/internal/decide/urgency/urgency.go
+++ b/internal/decide/urgency/urgency.go
@@ -1,15 +1,17 @@
-// Package urgency decides which requests may have the last places of a full target.
+// Package urgency decides which requests may use the last free places of a target.
 //
-// Load pattern: a service's targets have more than they can do, and its routes differ in
-// priority. Refused as they come, a booking is turned away as often as a search, though
-// it is worth more to its caller. With some more places for the most urgent, these are
-// nearly all served, and the others have nearly as many answers as before.
+// Load pattern: the targets of a service are overloaded, and its routes differ in
+// priority. If requests are refused in order of arrival, a booking is refused as often as a
+// search, although it is worth more to its caller. If some places are reserved for the
+// most urgent requests, nearly all of these are served, and the others get nearly as many
+// answers as before.
 //
-// The most urgent priority is one that is seen, not one that is configured: a route that
-// nobody calls must not take places from all others.
+// The most urgent priority is determined from the requests seen, not from the
+// configuration: a route that nobody calls must not take places from all others.
 //
-// Grounds: a priority counts with a twentieth of the requests, over a time constant of
-// ten seconds: hundreds of requests a VM, so that chance moves it little.
+// Rationale: a priority counts if it makes up at least a twentieth of the requests, over a
+// time constant of ten seconds. That is hundreds of requests on each VM, so random
+// variation has little effect.
 package urgency
 
 import (
@@ -18,20 +20,20 @@
 )
 
 const (
-	// minShare is the part of the requests from which a priority counts.
+	// minShare is the fraction of the requests from which a priority counts.
 	minShare = 0.05
-	// timeConstant is the time constant with which requests are forgotten.
+	// timeConstant is the time constant of the decay of the counts.
 	timeConstant = 10 * time.Second
 )
 
-// Meter counts the requests for one service by their priority. The zero value has seen
-// none. It is not safe for concurrent use.
+// Meter keeps decaying counts of the requests to one service by priority. The zero value
+// is an empty meter. It is not safe for concurrent use.
 type Meter struct {
 	counts  map[int]float64
 	updated time.Duration
 }
 
-// Record records a request of a priority, 0 the most urgent.
+// Record counts a request of a priority; 0 is the most urgent.
 func (m *Meter) Record(priority int, now time.Duration) {
 	if m.counts == nil {
 		m.counts = make(map[int]float64)
@@ -44,8 +46,8 @@
 	m.counts[priority]++
 }
 
-// MostUrgent reports whether requests of this priority are the most urgent of several: others
-// come after them, and none before, to speak of.
+// MostUrgent reports whether no other priority that counts is more urgent than the given
+// one, and at least one that counts is less urgent.
 func (m *Meter) MostUrgent(priority int) bool {
 	total := 0.0
 	for _, n := range m.counts {
--- a/internal/decide/urgency/urgency_test.go
+++ b/internal/decide/urgency/urgency_test.go
@@ -9,7 +9,7 @@
 
 func TestMostUrgentPriorityInUseIsFound(t *testing.T) {
 	var m Meter
-	require.False(t, m.MostUrgent(7), "nothing was seen yet that comes after it")
+	require.False(t, m.MostUrgent(7), "no less urgent priority was seen yet")
 	for i := range 300 {
 		now := time.Duration(i) * 10 * time.Millisecond
 		m.Record(2, now)
@@ -19,11 +19,11 @@
 	}
 	require.True(t, m.MostUrgent(1))
 	require.False(t, m.MostUrgent(2))
-	require.True(t, m.MostUrgent(0), "one that was not seen yet is no later than others")
+	require.True(t, m.MostUrgent(0), "an unseen priority that is more urgent than the others")
 }
 
-// A route of the highest priority is called once a minute. It must not keep places of
-// every target free for requests that do not come.
+// A route of the highest priority is called only once. It must not keep places of every
+// target free for requests that do not arrive.
 func TestRarePriorityIsIgnored(t *testing.T) {
 	var m Meter
 	m.Record(0, 0)
@@ -34,7 +34,7 @@
 	require.False(t, m.MostUrgent(2))
 }
 
-// The urgent requests end. Half a minute later the others have all places.
+// Requests of the highest priority stop. Half a minute later that priority no longer counts.
 func TestUnusedPriorityDecays(t *testing.T) {
 	var m Meter
 	for i := range 100 {
