--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -58,9 +58,9 @@
 // Meets reports whether a request can still be answered in time.
 func Meets(left, wait, service time.Duration) bool { return wait+service <= left }
 
-// GiveUp returns the moment from which a waiting request is past hope: its own
+// LatestStart returns the moment from which a waiting request is past hope: its own
 // service time no longer fits. It is refused then and not at the deadline.
-func GiveUp(deadline time.Time, service time.Duration) time.Time {
+func LatestStart(deadline time.Time, service time.Duration) time.Time {
 	return deadline.Add(-service)
 }
 
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -29,13 +29,13 @@
 	}
 }
 
-func TestWaitMeetsAndGiveUp(t *testing.T) {
+func TestWaitMeetsAndLatestStart(t *testing.T) {
 	require.Equal(t, 500*ms, Wait(10, 20))
 	require.Zero(t, Wait(10, 0), "unknown without slots")
 	require.True(t, Meets(100*ms, 80*ms, 20*ms))
 	require.False(t, Meets(100*ms, 80*ms, 20*ms+1))
 	deadline := time.Unix(10, 0)
-	require.Equal(t, deadline.Add(-20*ms), GiveUp(deadline, 20*ms))
+	require.Equal(t, deadline.Add(-20*ms), LatestStart(deadline, 20*ms))
 }
 
 const never = time.Duration(-1)
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -53,7 +53,7 @@
 	case q.ownedElsewhere(v, j):
 		q.end(j, q.notOwner())
 	case grant != nil && j.grant != nil && grant.Rank != j.grant.Rank:
-		q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
+		q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
 		q.waiting.Requeue(&j.item)
 	default:
 		q.park(j, now)
@@ -72,7 +72,7 @@
 		}
 		left--
 		delete(q.parked, j)
-		q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
+		q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
 		q.waiting.Requeue(&j.item)
 	}
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -211,7 +211,7 @@
 		q.standing.Came(j.item.Cost)
 	}
 	q.jobs[j.request.ID] = j
-	q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
+	q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
 	if out := q.waiting.Push(&j.item); out != nil {
 		q.counts.full.Inc(1)
 		q.end(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").After(time.Second))
@@ -296,7 +296,7 @@
 func (q *queue) release(jobs map[*job]struct{}) {
 	for j := range jobs {
 		delete(jobs, j)
-		q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
+		q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
 		q.waiting.Requeue(&j.item)
 	}
 }
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -122,7 +122,7 @@
 		j.parkedAt = now
 	}
 	q.parked[j] = struct{}{}
-	giveUp := deadline.GiveUp(j.deadline, q.patience(j))
+	giveUp := deadline.LatestStart(j.deadline, q.patience(j))
 	if bound := j.parkedAt.Add(ownerlessFor); bound.Before(giveUp) {
 		giveUp = bound
 	}
@@ -297,7 +297,7 @@
 		return
 	}
 	j.lostBefore = j.lostBefore || out == retry.Lost
-	q.await(j, deadline.GiveUp(j.deadline, q.patience(j)))
+	q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
 	q.waiting.Requeue(&j.item)
 }
 
