--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -64,9 +64,9 @@
 	return deadline.Add(-service)
 }
 
-// Standing notices a queue that does not empty because too much comes. The zero
+// StandingQueue notices a queue that does not empty because too much comes. The zero
 // value is ready.
-type Standing struct {
+type StandingQueue struct {
 	// begun is when the window began, over how many before it were over.
 	begun time.Time
 	over  int
@@ -75,17 +75,17 @@
 }
 
 // Came notes work that came, seconds of service.
-func (s *Standing) Came(work float64) { s.came += work }
+func (s *StandingQueue) Came(work float64) { s.came += work }
 
 // Note takes the wait that a request would have now. It returns whether the queue
 // is to be kept at the bound. That ends when the queue has been empty.
-func (s *Standing) Note(now time.Time, wait, bound time.Duration, slots float64) bool {
+func (s *StandingQueue) Note(now time.Time, wait, bound time.Duration, slots float64) bool {
 	switch {
 	case wait <= 0:
-		*s = Standing{}
+		*s = StandingQueue{}
 	case s.on:
 	case wait < bound || s.begun.IsZero():
-		*s = Standing{begun: now}
+		*s = StandingQueue{begun: now}
 	case now.Sub(s.begun) >= window:
 		s.turn(now, slots)
 	}
@@ -93,12 +93,12 @@
 }
 
 // turn ends a window.
-func (s *Standing) turn(now time.Time, slots float64) {
+func (s *StandingQueue) turn(now time.Time, slots float64) {
 	over := 0
 	if s.came > slots*now.Sub(s.begun).Seconds() {
 		over = s.over + 1
 	}
-	*s = Standing{begun: now, over: over, on: over >= windows}
+	*s = StandingQueue{begun: now, over: over, on: over >= windows}
 }
 
 // Rate is a decayed sum of work, service seconds per second. The zero value is
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -42,7 +42,7 @@
 
 // follow notes so much work in each millisecond for a while, with a wait over the
 // bound, and returns when the queue was found standing; never if it was not.
-func follow(s *Standing, from time.Time, during time.Duration, slots, load float64) time.Duration {
+func follow(s *StandingQueue, from time.Time, during time.Duration, slots, load float64) time.Duration {
 	for at := time.Duration(0); at <= during; at += ms {
 		s.Came(load * slots * ms.Seconds())
 		if s.Note(from.Add(at), 100*ms, 70*ms, slots) {
@@ -56,7 +56,7 @@
 // can do. It fits into its deadline and none of it may be cut, however long the
 // queue takes to empty.
 func TestBurstIsNotStanding(t *testing.T) {
-	var s Standing
+	var s StandingQueue
 	s.Came(20 * 0.5)
 	require.Equal(t, never, follow(&s, time.Unix(1, 0), 3*time.Second, 20, 0.9))
 }
@@ -66,7 +66,7 @@
 // queue; a wait under the bound is what the cut itself brings about.
 func TestOverloadIsFoundAndEndsWithAnEmptyQueue(t *testing.T) {
 	for _, load := range []float64{1.2, 1.5, 3} {
-		var s Standing
+		var s StandingQueue
 		begun := time.Unix(1, 0)
 		found := follow(&s, begun, time.Second, 20, load)
 		require.InDelta(t, (windows * window).Seconds(), found.Seconds(), 0.01, "load %v", load)
@@ -79,7 +79,7 @@
 // One window of overload by chance among others, as a pool at 90% sees, is none.
 func TestSingleWindowsOverDoNotAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Standing
+		var s StandingQueue
 		at := time.Unix(1, 0)
 		last := false
 		for range rapid.IntRange(1, 40).Draw(t, "windows") {
@@ -98,7 +98,7 @@
 // More comes than the slots can do, but the wait stays under the bound, as where few
 // requests of a large pool wait: cutting it would leave slots idle.
 func TestShortQueueIsNotStanding(t *testing.T) {
-	var s Standing
+	var s StandingQueue
 	at := time.Unix(1, 0)
 	for range 1000 {
 		at = at.Add(ms)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -112,7 +112,7 @@
 	workers  *workerPool
 	table    *duration.Table
 	budget   *retry.Budget
-	standing deadline.Standing
+	standing deadline.StandingQueue
 	stands   bool
 	// urgent is the rate of interactive work.
 	urgent deadline.Rate
