--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -74,8 +74,8 @@
 	on    bool
 }
 
-// Came notes work that came, seconds of service.
-func (s *StandingQueue) Came(work float64) { s.came += work }
+// AddArrival notes work that came, seconds of service.
+func (s *StandingQueue) AddArrival(work float64) { s.came += work }
 
 // Note takes the wait that a request would have now. It returns whether the queue
 // is to be kept at the bound. That ends when the queue has been empty.
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -44,7 +44,7 @@
 // bound, and returns when the queue was found standing; never if it was not.
 func follow(s *StandingQueue, from time.Time, during time.Duration, slots, load float64) time.Duration {
 	for at := time.Duration(0); at <= during; at += ms {
-		s.Came(load * slots * ms.Seconds())
+		s.AddArrival(load * slots * ms.Seconds())
 		if s.Note(from.Add(at), 100*ms, 70*ms, slots) {
 			return at
 		}
@@ -57,7 +57,7 @@
 // queue takes to empty.
 func TestBurstIsNotStanding(t *testing.T) {
 	var s StandingQueue
-	s.Came(20 * 0.5)
+	s.AddArrival(20 * 0.5)
 	require.Equal(t, never, follow(&s, time.Unix(1, 0), 3*time.Second, 20, 0.9))
 }
 
@@ -102,7 +102,7 @@
 	at := time.Unix(1, 0)
 	for range 1000 {
 		at = at.Add(ms)
-		s.Came(1)
+		s.AddArrival(1)
 		require.False(t, s.Note(at, 69*ms, 70*ms, 20))
 	}
 }
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -208,7 +208,7 @@
 		return
 	}
 	if j.item.Class == fairqueue.Interactive {
-		q.standing.Came(j.item.Cost)
+		q.standing.AddArrival(j.item.Cost)
 	}
 	q.jobs[j.request.ID] = j
 	q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
