--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -77,9 +77,9 @@
 // AddArrival notes work that came, seconds of service.
 func (s *StandingQueue) AddArrival(work float64) { s.came += work }
 
-// Note takes the wait that a request would have now. It returns whether the queue
+// Update takes the wait that a request would have now. It returns whether the queue
 // is to be kept at the bound. That ends when the queue has been empty.
-func (s *StandingQueue) Note(now time.Time, wait, bound time.Duration, slots float64) bool {
+func (s *StandingQueue) Update(now time.Time, wait, bound time.Duration, slots float64) bool {
 	switch {
 	case wait <= 0:
 		*s = StandingQueue{}
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -45,7 +45,7 @@
 func follow(s *StandingQueue, from time.Time, during time.Duration, slots, load float64) time.Duration {
 	for at := time.Duration(0); at <= during; at += ms {
 		s.AddArrival(load * slots * ms.Seconds())
-		if s.Note(from.Add(at), 100*ms, 70*ms, slots) {
+		if s.Update(from.Add(at), 100*ms, 70*ms, slots) {
 			return at
 		}
 	}
@@ -70,9 +70,9 @@
 		begun := time.Unix(1, 0)
 		found := follow(&s, begun, time.Second, 20, load)
 		require.InDelta(t, (windows * window).Seconds(), found.Seconds(), 0.01, "load %v", load)
-		require.True(t, s.Note(begun.Add(found+ms), 10*ms, 70*ms, 20))
-		require.False(t, s.Note(begun.Add(found+2*ms), 0, 70*ms, 20))
-		require.False(t, s.Note(begun.Add(found+3*ms), 100*ms, 70*ms, 20), "begins anew")
+		require.True(t, s.Update(begun.Add(found+ms), 10*ms, 70*ms, 20))
+		require.False(t, s.Update(begun.Add(found+2*ms), 0, 70*ms, 20))
+		require.False(t, s.Update(begun.Add(found+3*ms), 100*ms, 70*ms, 20), "begins anew")
 	}
 }
 
@@ -103,7 +103,7 @@
 	for range 1000 {
 		at = at.Add(ms)
 		s.AddArrival(1)
-		require.False(t, s.Note(at, 69*ms, 70*ms, 20))
+		require.False(t, s.Update(at, 69*ms, 70*ms, 20))
 	}
 }
 
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -155,7 +155,7 @@
 
 // note follows whether the queue stands, and journals the change.
 func (q *queue) note(now time.Time, wait, bound time.Duration, slots float64) bool {
-	stands := q.standing.Note(now, wait, bound, slots)
+	stands := q.standing.Update(now, wait, bound, slots)
 	if stands != q.stands {
 		q.stands = stands
 		if stands {
