--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -38,8 +38,8 @@
 	windows = 2
 )
 
-// Bound returns the longest wait of a standing queue.
-func Bound(mean time.Duration, slots float64) time.Duration {
+// MaxStandingWait returns the longest wait of a standing queue.
+func MaxStandingWait(mean time.Duration, slots float64) time.Duration {
 	if slots < 1 {
 		slots = 1
 	}
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-func TestBound(t *testing.T) {
+func TestMaxStandingWait(t *testing.T) {
 	cases := []struct {
 		name  string
 		mean  time.Duration
@@ -25,7 +25,7 @@
 		{"so short that a scheduler's pause is longer", 100 * time.Microsecond, 1000, leastBound},
 	}
 	for _, c := range cases {
-		require.Equal(t, c.want, Bound(c.mean, c.slots), c.name)
+		require.Equal(t, c.want, MaxStandingWait(c.mean, c.slots), c.name)
 	}
 }
 
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -112,7 +112,7 @@
 		return
 	}
 	slots, total := q.pool.capacity(now)
-	bound := deadline.Bound(q.table.Mean(), slots)
+	bound := deadline.MaxStandingWait(q.table.Mean(), slots)
 	if !q.note(now, q.interactiveWait(slots), bound, slots) {
 		return
 	}
