--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -27,15 +27,15 @@
 )
 
 const (
-	// boundServices and boundPerSlot make the bound; see the package comment.
-	boundServices = 2
-	boundPerSlot  = 30
-	// leastBound is below what a network of 1 ms and a scheduler can resolve.
-	leastBound = 5 * time.Millisecond
-	// window and windows are how long more must come than can be done before
+	// boundMeans and boundPerSlot make the bound; see the package comment.
+	boundMeans   = 2
+	boundPerSlot = 30
+	// minBound is below what a network of 1 ms and a scheduler can resolve.
+	minBound = 5 * time.Millisecond
+	// overloadWindow and windows are how long more must come than can be done before
 	// the queue is cut to the bound.
-	window  = 100 * time.Millisecond
-	windows = 2
+	overloadWindow  = 100 * time.Millisecond
+	overloadWindows = 2
 )
 
 // MaxStandingWait returns the longest wait of a standing queue.
@@ -43,7 +43,7 @@
 	if slots < 1 {
 		slots = 1
 	}
-	return max(time.Duration(float64(mean)*(boundServices+boundPerSlot/slots)), leastBound)
+	return max(time.Duration(float64(mean)*(boundMeans+boundPerSlot/slots)), minBound)
 }
 
 // Wait returns how long the work ahead takes on the slots, seconds of service
@@ -67,15 +67,15 @@
 // StandingQueue notices a queue that does not empty because too much comes. The zero
 // value is ready.
 type StandingQueue struct {
-	// begun is when the window began, over how many before it were over.
-	begun time.Time
-	over  int
-	came  float64
-	on    bool
+	// windowStart is when the window began, over how many before it were over.
+	windowStart time.Time
+	overloaded  int
+	arrived     float64
+	standing    bool
 }
 
 // AddArrival notes work that came, seconds of service.
-func (s *StandingQueue) AddArrival(work float64) { s.came += work }
+func (s *StandingQueue) AddArrival(work float64) { s.arrived += work }
 
 // Update takes the wait that a request would have now. It returns whether the queue
 // is to be kept at the bound. That ends when the queue has been empty.
@@ -83,46 +83,46 @@
 	switch {
 	case wait <= 0:
 		*s = StandingQueue{}
-	case s.on:
-	case wait < bound || s.begun.IsZero():
-		*s = StandingQueue{begun: now}
-	case now.Sub(s.begun) >= window:
-		s.turn(now, slots)
+	case s.standing:
+	case wait < bound || s.windowStart.IsZero():
+		*s = StandingQueue{windowStart: now}
+	case now.Sub(s.windowStart) >= overloadWindow:
+		s.endWindow(now, slots)
 	}
-	return s.on
+	return s.standing
 }
 
-// turn ends a window.
-func (s *StandingQueue) turn(now time.Time, slots float64) {
-	over := 0
-	if s.came > slots*now.Sub(s.begun).Seconds() {
-		over = s.over + 1
+// endWindow ends a window.
+func (s *StandingQueue) endWindow(now time.Time, slots float64) {
+	overloaded := 0
+	if s.arrived > slots*now.Sub(s.windowStart).Seconds() {
+		overloaded = s.overloaded + 1
 	}
-	*s = StandingQueue{begun: now, over: over, on: over >= windows}
+	*s = StandingQueue{windowStart: now, overloaded: overloaded, standing: overloaded >= overloadWindows}
 }
 
 // Rate is a decayed sum of work, service seconds per second. The zero value is
 // ready.
 type Rate struct {
-	sum float64
-	at  time.Time
+	sum     float64
+	updated time.Time
 }
 
-// rateOver is the time over which a rate is taken: a few bursts.
-const rateOver = time.Second
+// rateTimeConstant is the time over which a rate is taken: a few bursts.
+const rateTimeConstant = time.Second
 
 // Add notes work that was begun.
 func (r *Rate) Add(now time.Time, work float64) {
 	r.sum = r.decayed(now) + work
-	r.at = now
+	r.updated = now
 }
 
 // Value returns the rate.
-func (r *Rate) Value(now time.Time) float64 { return r.decayed(now) / rateOver.Seconds() }
+func (r *Rate) Value(now time.Time) float64 { return r.decayed(now) / rateTimeConstant.Seconds() }
 
 func (r *Rate) decayed(now time.Time) float64 {
-	if r.at.IsZero() {
+	if r.updated.IsZero() {
 		return 0
 	}
-	return r.sum * math.Exp(-now.Sub(r.at).Seconds()/rateOver.Seconds())
+	return r.sum * math.Exp(-now.Sub(r.updated).Seconds()/rateTimeConstant.Seconds())
 }
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -22,7 +22,7 @@
 		{"one slot", 20 * ms, 1, 640 * ms},
 		{"less than a slot, as a slow target has, counts as one", 20 * ms, 0.1, 640 * ms},
 		{"no slot", 20 * ms, 0, 640 * ms},
-		{"so short that a scheduler's pause is longer", 100 * time.Microsecond, 1000, leastBound},
+		{"so short that a scheduler's pause is longer", 100 * time.Microsecond, 1000, minBound},
 	}
 	for _, c := range cases {
 		require.Equal(t, c.want, MaxStandingWait(c.mean, c.slots), c.name)
@@ -38,18 +38,18 @@
 	require.Equal(t, deadline.Add(-20*ms), LatestStart(deadline, 20*ms))
 }
 
-const never = time.Duration(-1)
+const notFound = time.Duration(-1)
 
-// follow notes so much work in each millisecond for a while, with a wait over the
+// feed notes so much work in each millisecond for a while, with a wait over the
 // bound, and returns when the queue was found standing; never if it was not.
-func follow(s *StandingQueue, from time.Time, during time.Duration, slots, load float64) time.Duration {
+func feed(s *StandingQueue, from time.Time, during time.Duration, slots, load float64) time.Duration {
 	for at := time.Duration(0); at <= during; at += ms {
 		s.AddArrival(load * slots * ms.Seconds())
 		if s.Update(from.Add(at), 100*ms, 70*ms, slots) {
 			return at
 		}
 	}
-	return never
+	return notFound
 }
 
 // A burst fills the queue over the bound; what comes after it is less than the slots
@@ -58,18 +58,18 @@
 func TestBurstIsNotStanding(t *testing.T) {
 	var s StandingQueue
 	s.AddArrival(20 * 0.5)
-	require.Equal(t, never, follow(&s, time.Unix(1, 0), 3*time.Second, 20, 0.9))
+	require.Equal(t, notFound, feed(&s, time.Unix(1, 0), 3*time.Second, 20, 0.9))
 }
 
 // More comes than the slots can do: found after two whole windows, not in the first
 // millisecond, and not only when callers have given up. It ends only with an empty
 // queue; a wait under the bound is what the cut itself brings about.
-func TestOverloadIsFoundAndEndsWithAnEmptyQueue(t *testing.T) {
+func TestOverloadIsDetectedAndEndsWithAnEmptyQueue(t *testing.T) {
 	for _, load := range []float64{1.2, 1.5, 3} {
 		var s StandingQueue
 		begun := time.Unix(1, 0)
-		found := follow(&s, begun, time.Second, 20, load)
-		require.InDelta(t, (windows * window).Seconds(), found.Seconds(), 0.01, "load %v", load)
+		found := feed(&s, begun, time.Second, 20, load)
+		require.InDelta(t, (overloadWindows * overloadWindow).Seconds(), found.Seconds(), 0.01, "load %v", load)
 		require.True(t, s.Update(begun.Add(found+ms), 10*ms, 70*ms, 20))
 		require.False(t, s.Update(begun.Add(found+2*ms), 0, 70*ms, 20))
 		require.False(t, s.Update(begun.Add(found+3*ms), 100*ms, 70*ms, 20), "begins anew")
@@ -77,7 +77,7 @@
 }
 
 // One window of overload by chance among others, as a pool at 90% sees, is none.
-func TestSingleWindowsOverDoNotAddUp(t *testing.T) {
+func TestIsolatedOverloadedWindowsDoNotAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s StandingQueue
 		at := time.Unix(1, 0)
@@ -89,8 +89,8 @@
 			if over {
 				load = 2
 			}
-			require.Equal(t, never, follow(&s, at, window-ms, 20, load))
-			at = at.Add(window)
+			require.Equal(t, notFound, feed(&s, at, overloadWindow-ms, 20, load))
+			at = at.Add(overloadWindow)
 		}
 	})
 }
@@ -116,5 +116,5 @@
 		r.Add(now, 0.002)
 	}
 	require.InEpsilon(t, 2, r.Value(now), 0.02)
-	require.InEpsilon(t, 2*math.Exp(-1), r.Value(now.Add(rateOver)), 0.02)
+	require.InEpsilon(t, 2*math.Exp(-1), r.Value(now.Add(rateTimeConstant)), 0.02)
 }
