--- a/internal/decide/deadline/deadline.go
+++ b/internal/decide/deadline/deadline.go
@@ -1,23 +1,23 @@
 // Package deadline decides which requests are refused early.
 //
-// Load pattern: more work comes than the targets can do, for seconds or hours.
-// Without early refusal every request waits until its deadline and most of the
-// work is done for callers that have just gone: goodput falls towards nothing
-// while all slots are busy, and each refusal takes the caller's whole patience.
+// Load pattern: more work arrives than the targets can serve, for seconds or hours.
+// Without early refusal every request waits until its deadline, and most work is done for
+// callers that have just timed out: goodput falls towards zero while all slots are busy,
+// and each refusal arrives only at the caller's deadline.
 //
-// Two rules. A request whose expected wait and service time do not fit into its
-// deadline is refused when it comes. And where interactive work is over the bound
-// while more comes than the slots can do, the queue is kept at the bound until it
-// has been empty. A burst may use the whole deadline; a standing queue gains
-// nothing, it only makes each answer late.
+// There are two rules. A request whose expected wait and service time exceed the time to
+// its deadline is refused on arrival. And if the wait of interactive work is over a bound
+// while more work arrives than the slots can serve, the queue is kept at the bound until it
+// has been empty. A burst may use the whole deadline; a standing queue has no benefit and
+// delays every answer.
 //
-// Grounds of the bound: with c slots and exponential service times of mean m at
-// 90% of capacity, a wait has mean 10m/c where there is one, and about one request
-// in a hundred waits 30 to 40 m/c (M/M/c). A wait of 2m + 30m/c at overload is
-// therefore near what callers see at 90%, and is far more work than the slots need
-// to stay busy. Overload differs from a burst by what comes after it: two windows
-// of 100 ms one after the other, each with more work than the slots can do. In 100
-// ms a pool of 20 slots and 8 ms gets 225 requests at 90% and passes its capacity
+// Rationale for the bound: with c slots and exponential service times of mean m at 90% of
+// capacity (M/M/c), the mean wait of requests that wait is 10m/c, and about one request in
+// a hundred waits 30 to 40 m/c. A wait of 2m + 30m/c under overload is therefore close to
+// what callers see at 90%, and is far more work than needed to keep the slots busy.
+// Overload is told from a burst by what follows: two consecutive windows of 100 ms, each
+// with more work than the slots can serve. One window is not enough: at 90% a pool of 20
+// slots with a service time of 8 ms gets 225 requests in 100 ms, and exceeds its capacity
 // by chance in one window of eight.
 package deadline
 
@@ -27,18 +27,21 @@
 )
 
 const (
-	// boundMeans and boundPerSlot make the bound; see the package comment.
+	// boundMeans and boundPerSlot are the factors of the bound, in mean service times and
+	// in mean service times per slot; see the package comment.
 	boundMeans   = 2
 	boundPerSlot = 30
-	// minBound is below what a network of 1 ms and a scheduler can resolve.
+	// minBound is the lower limit of the bound. Shorter waits cannot be told from the delays
+	// of a network with 1 ms latency and of the scheduler.
 	minBound = 5 * time.Millisecond
-	// overloadWindow and windows are how long more must come than can be done before
-	// the queue is cut to the bound.
+	// overloadWindow and overloadWindows are the length and number of consecutive windows
+	// in which more work must arrive than can be served before the queue is cut to the bound.
 	overloadWindow  = 100 * time.Millisecond
 	overloadWindows = 2
 )
 
-// MaxStandingWait returns the longest wait of a standing queue.
+// MaxStandingWait returns the bound on the wait in a standing queue, from the mean service
+// time and the number of slots. Less than one slot counts as one.
 func MaxStandingWait(mean time.Duration, slots float64) time.Duration {
 	if slots < 1 {
 		slots = 1
@@ -46,8 +49,8 @@
 	return max(time.Duration(float64(mean)*(boundMeans+boundPerSlot/slots)), minBound)
 }
 
-// Wait returns how long the work ahead takes on the slots, seconds of service
-// over slots. No slots means that the wait is unknown, and 0 is returned.
+// Wait returns how long the slots need for the work ahead, given in seconds of service
+// time. Without slots the wait is unknown, and Wait returns 0.
 func Wait(ahead, slots float64) time.Duration {
 	if slots <= 0 {
 		return 0
@@ -55,30 +58,32 @@
 	return time.Duration(ahead / slots * float64(time.Second))
 }
 
-// Meets reports whether a request can still be answered in time.
+// Meets reports whether a request with the given time left to its deadline can still be
+// answered in time.
 func Meets(left, wait, service time.Duration) bool { return wait+service <= left }
 
-// LatestStart returns the moment from which a waiting request is past hope: its own
-// service time no longer fits. It is refused then and not at the deadline.
+// LatestStart returns the latest time at which a request can start and still meet its
+// deadline. A request that waits longer is refused then rather than at the deadline.
 func LatestStart(deadline time.Time, service time.Duration) time.Time {
 	return deadline.Add(-service)
 }
 
-// StandingQueue notices a queue that does not empty because too much comes. The zero
-// value is ready.
+// StandingQueue detects a queue that does not empty because more work arrives than can be
+// served. The zero value is ready to use.
 type StandingQueue struct {
-	// windowStart is when the window began, over how many before it were over.
 	windowStart time.Time
-	overloaded  int
-	arrived     float64
-	standing    bool
+	// overloaded is the number of consecutive overloaded windows before the current one.
+	overloaded int
+	// arrived is the work that arrived in the current window, in seconds of service time.
+	arrived  float64
+	standing bool
 }
 
-// AddArrival notes work that came, seconds of service.
+// AddArrival adds work that has arrived, in seconds of service time.
 func (s *StandingQueue) AddArrival(work float64) { s.arrived += work }
 
-// Update takes the wait that a request would have now. It returns whether the queue
-// is to be kept at the bound. That ends when the queue has been empty.
+// Update takes the wait that a request would have now, and reports whether the queue must
+// be kept at the bound. Once it must, that remains so until the queue has been empty.
 func (s *StandingQueue) Update(now time.Time, wait, bound time.Duration, slots float64) bool {
 	switch {
 	case wait <= 0:
@@ -92,7 +97,7 @@
 	return s.standing
 }
 
-// endWindow ends a window.
+// endWindow evaluates the current window and starts the next one.
 func (s *StandingQueue) endWindow(now time.Time, slots float64) {
 	overloaded := 0
 	if s.arrived > slots*now.Sub(s.windowStart).Seconds() {
@@ -101,23 +106,23 @@
 	*s = StandingQueue{windowStart: now, overloaded: overloaded, standing: overloaded >= overloadWindows}
 }
 
-// Rate is a decayed sum of work, service seconds per second. The zero value is
-// ready.
+// Rate is an exponentially decaying rate of work, in seconds of service time per second.
+// The zero value is ready to use.
 type Rate struct {
 	sum     float64
 	updated time.Time
 }
 
-// rateTimeConstant is the time over which a rate is taken: a few bursts.
+// rateTimeConstant is the time constant of the decay. It covers a few bursts.
 const rateTimeConstant = time.Second
 
-// Add notes work that was begun.
+// Add adds work that was started, in seconds of service time.
 func (r *Rate) Add(now time.Time, work float64) {
 	r.sum = r.decayed(now) + work
 	r.updated = now
 }
 
-// Value returns the rate.
+// Value returns the rate at the time now.
 func (r *Rate) Value(now time.Time) float64 { return r.decayed(now) / rateTimeConstant.Seconds() }
 
 func (r *Rate) decayed(now time.Time) float64 {
--- a/internal/decide/deadline/deadline_test.go
+++ b/internal/decide/deadline/deadline_test.go
@@ -20,9 +20,9 @@
 	}{
 		{"20 slots of 20 ms", 20 * ms, 20, 70 * ms},
 		{"one slot", 20 * ms, 1, 640 * ms},
-		{"less than a slot, as a slow target has, counts as one", 20 * ms, 0.1, 640 * ms},
+		{"less than one slot, as with a slow target, counts as one", 20 * ms, 0.1, 640 * ms},
 		{"no slot", 20 * ms, 0, 640 * ms},
-		{"so short that a scheduler's pause is longer", 100 * time.Microsecond, 1000, minBound},
+		{"a bound shorter than scheduling delays is raised to the minimum", 100 * time.Microsecond, 1000, minBound},
 	}
 	for _, c := range cases {
 		require.Equal(t, c.want, MaxStandingWait(c.mean, c.slots), c.name)
@@ -40,8 +40,8 @@
 
 const notFound = time.Duration(-1)
 
-// feed notes so much work in each millisecond for a while, with a wait over the
-// bound, and returns when the queue was found standing; never if it was not.
+// feed adds arrivals at the given load in each millisecond of a period, with a wait over
+// the bound. It returns the time until the queue was detected as standing, or notFound.
 func feed(s *StandingQueue, from time.Time, during time.Duration, slots, load float64) time.Duration {
 	for at := time.Duration(0); at <= during; at += ms {
 		s.AddArrival(load * slots * ms.Seconds())
@@ -52,8 +52,8 @@
 	return notFound
 }
 
-// A burst fills the queue over the bound; what comes after it is less than the slots
-// can do. It fits into its deadline and none of it may be cut, however long the
+// A burst fills the queue over the bound, and the load after it is below capacity. The
+// requests of the burst can meet their deadlines, so none may be refused, however long the
 // queue takes to empty.
 func TestBurstIsNotStanding(t *testing.T) {
 	var s StandingQueue
@@ -61,9 +61,9 @@
 	require.Equal(t, notFound, feed(&s, time.Unix(1, 0), 3*time.Second, 20, 0.9))
 }
 
-// More comes than the slots can do: found after two whole windows, not in the first
-// millisecond, and not only when callers have given up. It ends only with an empty
-// queue; a wait under the bound is what the cut itself brings about.
+// Overload is detected after two whole windows, neither in the first millisecond nor only
+// after callers have timed out. It ends only with an empty queue, since a wait under the
+// bound is the result of cutting the queue.
 func TestOverloadIsDetectedAndEndsWithAnEmptyQueue(t *testing.T) {
 	for _, load := range []float64{1.2, 1.5, 3} {
 		var s StandingQueue
@@ -72,11 +72,11 @@
 		require.InDelta(t, (overloadWindows * overloadWindow).Seconds(), found.Seconds(), 0.01, "load %v", load)
 		require.True(t, s.Update(begun.Add(found+ms), 10*ms, 70*ms, 20))
 		require.False(t, s.Update(begun.Add(found+2*ms), 0, 70*ms, 20))
-		require.False(t, s.Update(begun.Add(found+3*ms), 100*ms, 70*ms, 20), "begins anew")
+		require.False(t, s.Update(begun.Add(found+3*ms), 100*ms, 70*ms, 20), "detection starts over")
 	}
 }
 
-// One window of overload by chance among others, as a pool at 90% sees, is none.
+// Single windows that exceed capacity by chance, as in a pool at 90% load, are not overload.
 func TestIsolatedOverloadedWindowsDoNotAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s StandingQueue
@@ -95,8 +95,8 @@
 	})
 }
 
-// More comes than the slots can do, but the wait stays under the bound, as where few
-// requests of a large pool wait: cutting it would leave slots idle.
+// More work arrives than the slots can serve, but the wait stays under the bound, as in a
+// large pool with few waiting requests. Cutting the queue would leave slots idle.
 func TestShortQueueIsNotStanding(t *testing.T) {
 	var s StandingQueue
 	at := time.Unix(1, 0)
