--- a/internal/decide/duration/duration.go
+++ b/internal/decide/duration/duration.go
@@ -44,58 +44,58 @@
 	allSamples  = 256
 	// longFactor times the usual service time makes a job long.
 	longFactor = 8
-	// longSamples of a kind are needed before it counts as long.
-	longSamples = 2
-	// knownSamples are needed before an estimate may refuse a request.
-	knownSamples = 8
+	// minLongSamples of a kind are needed before it counts as long.
+	minLongSamples = 2
+	// minSamples are needed before an estimate may refuse a request.
+	minSamples = 8
 	// maxKinds bounds the memory; callers choose paths, so kinds are endless.
 	maxKinds = 1024
-	// guess is the service time before any answer.
-	guess = 10 * time.Millisecond
-	// shortest keeps logarithms and shares finite.
-	shortest = 10 * time.Microsecond
+	// defaultEstimate is the service time before any answer.
+	defaultEstimate = 10 * time.Millisecond
+	// minDuration keeps logarithms and shares finite.
+	minDuration = 10 * time.Microsecond
 )
 
-// mean is a moving mean that starts as a plain one.
-type mean struct {
+// movingMean is a moving movingMean that starts as a plain one.
+type movingMean struct {
 	value float64
 	n     int
 }
 
-func (m *mean) add(x float64, samples int) {
+func (m *movingMean) add(x float64, samples int) {
 	m.n = min(m.n+1, samples)
 	m.value += (x - m.value) / float64(m.n)
 }
 
 // Table holds the means of one service. It is not safe for concurrent use.
 type Table struct {
-	kinds map[Kind]*mean
-	all   mean
-	logs  mean
+	kinds   map[Kind]*movingMean
+	overall movingMean
+	logMean movingMean
 }
 
 // NewTable returns a table without samples.
-func NewTable() *Table { return &Table{kinds: make(map[Kind]*mean)} }
+func NewTable() *Table { return &Table{kinds: make(map[Kind]*movingMean)} }
 
 // Add notes a service time.
 func (t *Table) Add(k Kind, d time.Duration) {
-	s := max(d, shortest).Seconds()
-	t.all.add(s, allSamples)
-	t.logs.add(math.Log(s), allSamples)
+	s := max(d, minDuration).Seconds()
+	t.overall.add(s, allSamples)
+	t.logMean.add(math.Log(s), allSamples)
 	m := t.kinds[k]
 	if m == nil {
 		if len(t.kinds) >= maxKinds {
-			t.forgetOne()
+			t.evictOne()
 		}
-		m = &mean{}
+		m = &movingMean{}
 		t.kinds[k] = m
 	}
 	m.add(s, kindSamples)
 }
 
-// forgetOne drops a kind that the map yields first: any will do, a kind in use
+// evictOne drops a kind that the map yields first: any will do, a kind in use
 // is learned again within a few answers.
-func (t *Table) forgetOne() {
+func (t *Table) evictOne() {
 	for k := range t.kinds {
 		delete(t.kinds, k)
 		return
@@ -103,14 +103,14 @@
 }
 
 // Known reports whether estimates rest on enough answers to refuse by them.
-func (t *Table) Known() bool { return t.all.n >= knownSamples }
+func (t *Table) Known() bool { return t.overall.n >= minSamples }
 
 // Mean returns the mean service time of all requests.
 func (t *Table) Mean() time.Duration {
-	if t.all.n == 0 {
-		return guess
+	if t.overall.n == 0 {
+		return defaultEstimate
 	}
-	return seconds(t.all.value)
+	return seconds(t.overall.value)
 }
 
 // Expect returns the expected service time of a kind.
@@ -124,7 +124,7 @@
 // Long reports whether requests of the kind take far longer than usual.
 func (t *Table) Long(k Kind) bool {
 	m := t.kinds[k]
-	return m != nil && m.n >= longSamples && t.Known() && m.value > longFactor*math.Exp(t.logs.value)
+	return m != nil && m.n >= minLongSamples && t.Known() && m.value > longFactor*math.Exp(t.logMean.value)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/decide/duration/duration_test.go
+++ b/internal/decide/duration/duration_test.go
@@ -23,14 +23,14 @@
 
 // A dispatcher has just started. It must not refuse by a guess, and must not take
 // the first slow answer, that of a target that has just started too, for long jobs.
-func TestNothingIsKnownAtFirst(t *testing.T) {
+func TestNoEstimateWithoutSamples(t *testing.T) {
 	table := NewTable()
 	require.False(t, table.Known())
-	require.Equal(t, guess, table.Expect(short))
+	require.Equal(t, defaultEstimate, table.Expect(short))
 	table.Add(long, 2*time.Second)
 	require.False(t, table.Known())
 	require.False(t, table.Long(long))
-	for range knownSamples {
+	for range minSamples {
 		table.Add(short, 20*ms)
 	}
 	require.True(t, table.Known())
@@ -86,12 +86,12 @@
 
 // Time stands still between two readings of a coarse clock: an answer took nothing.
 // Logarithms and shares of work stay finite.
-func TestAnswerThatTookNothing(t *testing.T) {
+func TestZeroDuration(t *testing.T) {
 	table := NewTable()
-	for range knownSamples {
+	for range minSamples {
 		table.Add(short, 0)
 	}
-	require.Equal(t, shortest, table.Expect(short))
+	require.Equal(t, minDuration, table.Expect(short))
 	table.Add(long, time.Second)
 	table.Add(long, time.Second)
 	require.True(t, table.Long(long))
