--- a/internal/decide/duration/duration.go
+++ b/internal/decide/duration/duration.go
@@ -1,20 +1,20 @@
-// Package duration learns how long requests take, by customer and kind of work.
+// Package duration estimates the service time of requests by customer and kind of work.
 //
-// Load pattern: one request in a thousand takes a hundred times longer than the
-// rest. Without an estimate for each kind, long jobs are taken for short ones:
-// they fill all slots of a target at once, short requests behind them wait for a
-// second, and a refusal by deadline is a guess.
+// Load pattern: one request in a thousand takes a hundred times longer than the rest.
+// Without an estimate per kind, long jobs are treated as short ones: they occupy all slots
+// of a target at once, short requests wait behind them for a second, and refusals by
+// deadline are guesswork.
 //
-// A kind is the customer, the method and the first part of the path; what else
-// distinguishes a long job from a short one, only its target knows. A kind that was not
-// seen yet is expected to take the mean of all.
+// A kind consists of the customer, the method and the first segment of the path. Other
+// differences between long and short jobs are known only to the target. A kind that has not
+// been seen yet is expected to take the mean of all kinds.
 //
-// Grounds: a moving mean over the last 16 answers of a kind follows a change
-// within a second at 16 requests a second and has a standard error of a quarter
-// of the mean for exponential service times, far below the factor of 8 that makes
-// a job long. The usual service time is a geometric mean, since that moves little
-// with a few long jobs: it is 0.56 of the mean for exponential times, so 8 times
-// it is 4.5 times the mean, which the mean of 16 never reaches by chance.
+// Rationale: a moving mean over the last 16 answers of a kind follows a change within a
+// second at 16 requests a second. For exponential service times its standard error is a
+// quarter of the mean, far below the factor of 8 from which a job counts as long. The usual
+// service time is a geometric mean, which a few long jobs hardly affect. For exponential
+// times it is 0.56 of the mean, so 8 times the usual time is 4.5 times the mean, which a
+// mean of 16 samples never reaches by chance.
 package duration
 
 import (
@@ -23,15 +23,15 @@
 	"time"
 )
 
-// Kind is a class of requests that take about as long as each other.
+// Kind is a class of requests that are expected to take about the same time.
 type Kind struct {
 	Customer string
 	Method   string
-	// Part is the first part of the path.
+	// Part is the first segment of the path.
 	Part string
 }
 
-// KindOf returns the kind of a request. The path may hold a query.
+// KindOf returns the kind of a request. The path may contain a query, which is ignored.
 func KindOf(customer, method, path string) Kind {
 	path, _, _ = strings.Cut(path, "?")
 	part, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -39,24 +39,26 @@
 }
 
 const (
-	// kindSamples and allSamples are how many answers the means reach over.
+	// kindSamples and allSamples are the window lengths of the moving means.
 	kindSamples = 16
 	allSamples  = 256
-	// longFactor times the usual service time makes a job long.
+	// longFactor is the multiple of the usual service time above which a kind is long.
 	longFactor = 8
-	// minLongSamples of a kind are needed before it counts as long.
+	// minLongSamples is the number of samples of a kind before it may count as long.
 	minLongSamples = 2
-	// minSamples are needed before an estimate may refuse a request.
+	// minSamples is the number of samples before requests may be refused by an estimate.
 	minSamples = 8
-	// maxKinds bounds the memory; callers choose paths, so kinds are endless.
+	// maxKinds bounds the memory: callers choose the paths, so the number of kinds is
+	// unbounded.
 	maxKinds = 1024
-	// defaultEstimate is the service time before any answer.
+	// defaultEstimate is the expected service time before the first answer.
 	defaultEstimate = 10 * time.Millisecond
-	// minDuration keeps logarithms and shares finite.
+	// minDuration is the shortest time recorded, so that logarithms and shares are finite.
 	minDuration = 10 * time.Microsecond
 )
 
-// movingMean is a moving movingMean that starts as a plain one.
+// movingMean is an exponential moving mean. Until it has as many values as its window, it is
+// the arithmetic mean.
 type movingMean struct {
 	value float64
 	n     int
@@ -67,17 +69,18 @@
 	m.value += (x - m.value) / float64(m.n)
 }
 
-// Table holds the means of one service. It is not safe for concurrent use.
+// Table holds the service times of one service. It is not safe for concurrent use.
 type Table struct {
 	kinds   map[Kind]*movingMean
 	overall movingMean
+	// logMean is the mean of the logarithms, for the geometric mean.
 	logMean movingMean
 }
 
 // NewTable returns a table without samples.
 func NewTable() *Table { return &Table{kinds: make(map[Kind]*movingMean)} }
 
-// Add notes a service time.
+// Add records a service time.
 func (t *Table) Add(k Kind, d time.Duration) {
 	s := max(d, minDuration).Seconds()
 	t.overall.add(s, allSamples)
@@ -93,8 +96,8 @@
 	m.add(s, kindSamples)
 }
 
-// evictOne drops a kind that the map yields first: any will do, a kind in use
-// is learned again within a few answers.
+// evictOne deletes an arbitrary kind. Any will do, since a kind in use is learned again
+// within a few answers.
 func (t *Table) evictOne() {
 	for k := range t.kinds {
 		delete(t.kinds, k)
@@ -102,7 +105,7 @@
 	}
 }
 
-// Known reports whether estimates rest on enough answers to refuse by them.
+// Known reports whether there are enough samples to refuse requests by the estimates.
 func (t *Table) Known() bool { return t.overall.n >= minSamples }
 
 // Mean returns the mean service time of all requests.
--- a/internal/decide/duration/duration_test.go
+++ b/internal/decide/duration/duration_test.go
@@ -21,8 +21,9 @@
 	require.NotEqual(t, KindOf("c", "GET", "/book/1"), KindOf("c", "GET", "/shelf/1"))
 }
 
-// A dispatcher has just started. It must not refuse by a guess, and must not take
-// the first slow answer, that of a target that has just started too, for long jobs.
+// A dispatcher has just started. It must not refuse requests by the default estimate, and
+// must not classify a kind as long because of one slow answer from a target that has just
+// started too.
 func TestNoEstimateWithoutSamples(t *testing.T) {
 	table := NewTable()
 	require.False(t, table.Known())
@@ -34,14 +35,14 @@
 		table.Add(short, 20*ms)
 	}
 	require.True(t, table.Known())
-	require.False(t, table.Long(long), "one answer may be a pause of its target")
+	require.False(t, table.Long(long), "one slow answer may be a pause of the target")
 	table.Add(long, 2*time.Second)
 	require.True(t, table.Long(long))
-	require.Equal(t, table.Mean(), table.Expect(KindOf("new", "GET", "/")), "an unseen kind is as the mean of all")
+	require.Equal(t, table.Mean(), table.Expect(KindOf("new", "GET", "/")), "an unseen kind takes the mean of all")
 }
 
-// One job in a hundred takes a hundred times longer, by a path of its own. Both are
-// expected to take what they take, and only the long ones count as long.
+// One job in a hundred has a path of its own and takes a hundred times longer. Both kinds
+// are estimated correctly, and only the long one counts as long.
 func TestLongKindAmongShortOnes(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	table := NewTable()
@@ -57,8 +58,8 @@
 	require.InDelta(t, 0.02, table.Expect(short).Seconds(), 0.015)
 }
 
-// A service gets ten times slower in a deployment. Expectations follow within the
-// last 16 answers; else requests are let in that cannot be answered in time.
+// A service becomes ten times slower in a deployment. Estimates must follow within four
+// times 16 answers; otherwise requests are accepted that cannot be answered in time.
 func TestExpectationFollowsAChange(t *testing.T) {
 	table := NewTable()
 	for range 1000 {
@@ -70,8 +71,8 @@
 	require.InEpsilon(t, 0.2, table.Expect(short).Seconds(), 0.05)
 }
 
-// A caller puts a number into the first part of its paths, so that kinds are
-// endless. Memory is bounded, and a kind in use is still known.
+// A caller puts a number into the first segment of its paths, so that the number of kinds
+// is unbounded. Memory stays bounded, and a kind in use is still estimated.
 func TestKindsAreBounded(t *testing.T) {
 	table := NewTable()
 	for i := range 5 * maxKinds {
@@ -84,8 +85,8 @@
 	require.Equal(t, time.Second, table.Expect(long))
 }
 
-// Time stands still between two readings of a coarse clock: an answer took nothing.
-// Logarithms and shares of work stay finite.
+// Two readings of a coarse clock are equal, so the measured duration is 0. Logarithms and
+// shares of work must stay finite.
 func TestZeroDuration(t *testing.T) {
 	table := NewTable()
 	for range minSamples {
