--- a/internal/decide/loadmeter/loadmeter.go
+++ b/internal/decide/loadmeter/loadmeter.go
@@ -17,8 +17,8 @@
 	"time"
 )
 
-// Constant is the time constant of the decay.
-const Constant = 10 * time.Second
+// TimeConstant is the time constant of the decay.
+const TimeConstant = 10 * time.Second
 
 // forgetBelow is the rate, per second, below which a group is dropped, so that a
 // meter holds only what is in use.
@@ -47,7 +47,7 @@
 
 func (d *decayed) to(now time.Duration) {
 	if now > d.at {
-		d.sum *= math.Exp(-float64(now-d.at) / float64(Constant))
+		d.sum *= math.Exp(-float64(now-d.at) / float64(TimeConstant))
 		d.at = now
 	}
 }
@@ -72,7 +72,7 @@
 	rates := make([]Rate, 0, len(m.groups))
 	for g, d := range m.groups {
 		d.to(now)
-		rate := d.sum / Constant.Seconds()
+		rate := d.sum / TimeConstant.Seconds()
 		if rate < forgetBelow {
 			delete(m.groups, g)
 			continue
--- a/internal/decide/loadmeter/loadmeter_test.go
+++ b/internal/decide/loadmeter/loadmeter_test.go
@@ -20,7 +20,7 @@
 	require.InDelta(t, 100, rates[0].Rate, 2)
 	require.InDelta(t, 50, rates[1].Rate, 1)
 	require.Len(t, m.Hottest(1, now), 1)
-	for end := now + 3*Constant; now < end; now += 10 * time.Millisecond {
+	for end := now + 3*TimeConstant; now < end; now += 10 * time.Millisecond {
 		m.Add(steady, 0.5, now)
 	}
 	rates = m.Hottest(8, now)
--- a/internal/decide/placement/balance.go
+++ b/internal/decide/placement/balance.go
@@ -60,7 +60,7 @@
 // warmUp is how long figures are gathered before a move is made for them: the
 // time constant of the meters.
 // The first dozen requests may look like one target with nine times the mean.
-const warmUp = loadmeter.Constant
+const warmUp = loadmeter.TimeConstant
 
 // warm reports whether the figures may move anything. Without any load, groups are
 // spread by number at once.
