--- a/internal/decide/loadmeter/loadmeter.go
+++ b/internal/decide/loadmeter/loadmeter.go
@@ -20,9 +20,9 @@
 // TimeConstant is the time constant of the decay.
 const TimeConstant = 10 * time.Second
 
-// forgetBelow is the rate, per second, below which a group is dropped, so that a
+// minRate is the rate, per second, below which a group is dropped, so that a
 // meter holds only what is in use.
-const forgetBelow = 1e-3
+const minRate = 1e-3
 
 // Group names a group of slices of a service.
 type Group struct {
@@ -37,32 +37,32 @@
 }
 
 // Meter keeps the rates of groups. It is not safe for concurrent use.
-type Meter struct{ groups map[Group]*decayed }
+type Meter struct{ groups map[Group]*decayingSum }
 
-// decayed is a sum that decays from the time at.
-type decayed struct {
-	sum float64
-	at  time.Duration
+// decayingSum is a sum that decays from the time at.
+type decayingSum struct {
+	sum     float64
+	updated time.Duration
 }
 
-func (d *decayed) to(now time.Duration) {
-	if now > d.at {
-		d.sum *= math.Exp(-float64(now-d.at) / float64(TimeConstant))
-		d.at = now
+func (d *decayingSum) decayTo(now time.Duration) {
+	if now > d.updated {
+		d.sum *= math.Exp(-float64(now-d.updated) / float64(TimeConstant))
+		d.updated = now
 	}
 }
 
 // New returns an empty meter.
-func New() *Meter { return &Meter{groups: make(map[Group]*decayed)} }
+func New() *Meter { return &Meter{groups: make(map[Group]*decayingSum)} }
 
 // Add counts n requests of a group at the time now.
 func (m *Meter) Add(g Group, n float64, now time.Duration) {
 	d := m.groups[g]
 	if d == nil {
-		d = &decayed{at: now}
+		d = &decayingSum{updated: now}
 		m.groups[g] = d
 	}
-	d.to(now)
+	d.decayTo(now)
 	d.sum += n
 }
 
@@ -71,9 +71,9 @@
 func (m *Meter) Hottest(n int, now time.Duration) []Rate {
 	rates := make([]Rate, 0, len(m.groups))
 	for g, d := range m.groups {
-		d.to(now)
+		d.decayTo(now)
 		rate := d.sum / TimeConstant.Seconds()
-		if rate < forgetBelow {
+		if rate < minRate {
 			delete(m.groups, g)
 			continue
 		}
--- a/internal/decide/loadmeter/loadmeter_test.go
+++ b/internal/decide/loadmeter/loadmeter_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRateFollowsAndForgets(t *testing.T) {
+func TestRateFollowsLoadAndDecays(t *testing.T) {
 	m := New()
 	hot, steady := Group{"s", 1}, Group{"s", 2}
 	var now time.Duration
