--- a/internal/decide/loadmeter/loadmeter.go
+++ b/internal/decide/loadmeter/loadmeter.go
@@ -1,13 +1,13 @@
-// Package loadmeter keeps the rate of requests of each group of slices.
+// Package loadmeter measures the request rate of each group of slices.
 //
-// Load pattern: a key turns hot within seconds and cools within minutes. Counts
-// since the start would hide it behind the history; counts of the last second are
-// noise, and placement would chase it. Each meter decays exponentially, so it
-// follows a hot key within its time constant and forgets it as fast.
+// Load pattern: a key becomes hot within seconds and cools down within minutes. Counts
+// since the start would hide the change behind the history; counts of the last second are
+// noisy, and placement would react to the noise. Each rate decays exponentially, so it
+// follows a key that becomes hot or cools down within its time constant.
 //
-// Grounds: with a time constant of 10 s a group of 30 requests a second is known
-// to about 4% (one over the root of twice 300), well inside the band of
-// placement, and a key that stays hot for a minute is seen for most of it.
+// Rationale: with a time constant of 10 s, the rate of a group with 30 requests a second is
+// known to about 4% (one over the square root of twice 300), well within the tolerance of
+// placement, and a key that stays hot for a minute is visible for most of it.
 package loadmeter
 
 import (
@@ -17,29 +17,29 @@
 	"time"
 )
 
-// TimeConstant is the time constant of the decay.
+// TimeConstant is the time constant of the exponential decay.
 const TimeConstant = 10 * time.Second
 
-// minRate is the rate, per second, below which a group is dropped, so that a
-// meter holds only what is in use.
+// minRate is the rate per second below which a group is deleted, so that a meter holds
+// only groups in use.
 const minRate = 1e-3
 
-// Group names a group of slices of a service.
+// Group identifies a group of slices of a service.
 type Group struct {
 	Service string
 	Group   uint64
 }
 
-// Rate is a group's requests per second.
+// Rate is the request rate of a group, per second.
 type Rate struct {
 	Group
 	Rate float64
 }
 
-// Meter keeps the rates of groups. It is not safe for concurrent use.
+// Meter holds the request rates of groups. It is not safe for concurrent use.
 type Meter struct{ groups map[Group]*decayingSum }
 
-// decayingSum is a sum that decays from the time at.
+// decayingSum is an exponentially decaying sum as of the time updated.
 type decayingSum struct {
 	sum     float64
 	updated time.Duration
@@ -55,7 +55,7 @@
 // New returns an empty meter.
 func New() *Meter { return &Meter{groups: make(map[Group]*decayingSum)} }
 
-// Add counts n requests of a group at the time now.
+// Add counts n requests to a group at the time now.
 func (m *Meter) Add(g Group, n float64, now time.Duration) {
 	d := m.groups[g]
 	if d == nil {
@@ -66,8 +66,8 @@
 	d.sum += n
 }
 
-// Hottest returns at most n groups, the hottest first, and drops those that have
-// cooled down.
+// Hottest returns at most n groups in descending order of rate, and deletes groups with a
+// rate below minRate.
 func (m *Meter) Hottest(n int, now time.Duration) []Rate {
 	rates := make([]Rate, 0, len(m.groups))
 	for g, d := range m.groups {
