--- a/internal/decide/shares/shares.go
+++ b/internal/decide/shares/shares.go
@@ -69,7 +69,7 @@
 	// its last message. Its processes end within seconds.
 	holdDown = 10 * time.Second
 	// silenceTimeout is how long restarted entries wait for VMs that do not answer if no
-	// reachable entry has a base. Accounts of borrowers that stop asking are kept as long.
+	// reachable entry has a base. The record of a borrower that stops asking is kept as long.
 	silenceTimeout = 10 * time.Second
 	// listLagTimeout is how long an entry that counts no other VM waits for the
 	// platform's list, which lags behind, to contain one.
@@ -100,20 +100,20 @@
 	MaxDuration time.Duration
 }
 
-// Ask is what an entry sends to each other one every Renew.
+// Ask is the message that an entry sends to each of the others every RenewInterval.
 type Ask struct {
 	From        string
 	Incarnation int64
-	// Seq numbers the asks of an incarnation to one peer.
+	// Seq increases with each ask of an incarnation to one peer.
 	Seq uint64
-	// Echo is the Seq of the ask whose answer the sender took last.
+	// Echo is the Seq of the last ask whose answer the sender has applied.
 	Echo uint64
-	// Counted are the VMs that the sender counts, itself included.
+	// Counted are the VMs that the sender counts, including itself.
 	Counted []string
 	Wants   []Want
 }
 
-// Want asks for a loan, and replaces the last one.
+// Want requests a loan that replaces the previous one of the account.
 type Want struct {
 	Account Account
 	Units   Units
