--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -231,7 +231,7 @@
 		return err
 	}
 	done := c.Clock.Now()
-	timing := lease.Timing{Hold: min(lease.HoldTime, c.HoldMost), Renew: renewEvery, Retry: orderRetry, Cold: c.coldMove()}
+	timing := lease.Timing{Hold: min(lease.HoldTime, c.MaxHold), Renew: renewEvery, Retry: orderRetry, Cold: c.coldMove()}
 	c.Log.Info().Str("step", "leases").Str("service", c.service).Uint64("epoch", next.Epoch).Str("before", old.Holder).
 		Int("slices", len(next.Slices)).Int("past", int(past)).Msg("grantor of the service")
 	grants := lease.NewGrantor(next, timing, sent, done, past)
@@ -248,7 +248,7 @@
 	if last == nil || last.Epoch != old.Epoch || !known {
 		return
 	}
-	grants.PresumeServed(last, heard+min(lease.HoldTime, c.HoldMost)-renewEvery)
+	grants.PresumeServed(last, heard+min(lease.HoldTime, c.MaxHold)-renewEvery)
 }
 
 // coldMove is how long keys are slow at an owner that got them without the state of
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -32,8 +32,8 @@
 	Clock    boottime.Clock
 	Log      *log.Logger
 	Registry metrics.Registry
-	// HoldMost bounds the hold of a lease, as targets take it.
-	HoldMost time.Duration
+	// MaxHold bounds the hold of a lease, as targets take it.
+	MaxHold time.Duration
 
 	Store Store
 	// StoreTimeout bounds a call to the store, StorePause follows a failed one.
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -67,7 +67,7 @@
 	self := mesh.Member{VM: "self", Addr: "127.0.0.1:1", DataCentre: "a", Incarnation: uint64(time.Now().UnixNano())}
 	n.mesh = mesh.New(self, clock, quiet())
 	n.Manager = New(context.Background(), Deps{
-		Self: self, Clock: clock, Log: quiet(), Registry: metrics.NewRegistry(), HoldMost: 10 * time.Second,
+		Self: self, Clock: clock, Log: quiet(), Registry: metrics.NewRegistry(), MaxHold: 10 * time.Second,
 		Store: &changingStore{}, StoreTimeout: time.Second, StorePause: 400 * time.Millisecond,
 		Mesh: n.mesh, Leases: n.state.leases, LocalState: localState{n}, TargetDirectory: emptyDirectory{}, Orders: plainOrders{},
 		TargetIDHeader: "Target", InstanceIDHeader: "Instance",
