--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -12,7 +12,7 @@
 	lent := granting{g}
 	return leasing.New(g.ctx, leasing.Deps{
 		Self: g.self, Clock: g.clock, Log: g.log, Registry: g.registry, MaxHold: g.settings.HoldMost.D(),
-		Store: g.leaseStore(), StoreTimeout: storeTimeout, StorePause: storePauseMost,
+		Store: g.leaseStore(), StoreTimeout: storeTimeout, StoreRetryDelay: storePauseMost,
 		Mesh: g.mesh, Leases: g.state.leases, LocalState: lent, TargetDirectory: lent, Orders: g.adapter,
 		TargetIDHeader: g.headers.TargetID, InstanceIDHeader: g.headers.InstanceID,
 	})
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -29,7 +29,7 @@
 	}
 	l.queryEpoch(ctx, func(err error) {
 		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("epoch not confirmed")
-		pause.For(ctx, l.StorePause)
+		pause.For(ctx, l.StoreRetryDelay)
 	}, func() {})
 }
 
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -36,8 +36,8 @@
 	MaxHold time.Duration
 
 	Store Store
-	// StoreTimeout bounds a call to the store, StorePause follows a failed one.
-	StoreTimeout, StorePause time.Duration
+	// StoreTimeout bounds a call to the store, StoreRetryDelay follows a failed one.
+	StoreTimeout, StoreRetryDelay time.Duration
 
 	Mesh            Mesh
 	Leases          *published.Leases
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -68,7 +68,7 @@
 	n.mesh = mesh.New(self, clock, quiet())
 	n.Manager = New(context.Background(), Deps{
 		Self: self, Clock: clock, Log: quiet(), Registry: metrics.NewRegistry(), MaxHold: 10 * time.Second,
-		Store: &changingStore{}, StoreTimeout: time.Second, StorePause: 400 * time.Millisecond,
+		Store: &changingStore{}, StoreTimeout: time.Second, StoreRetryDelay: 400 * time.Millisecond,
 		Mesh: n.mesh, Leases: n.state.leases, LocalState: localState{n}, TargetDirectory: emptyDirectory{}, Orders: plainOrders{},
 		TargetIDHeader: "Target", InstanceIDHeader: "Instance",
 	})
