--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -13,7 +13,7 @@
 	return leasing.New(g.ctx, leasing.Deps{
 		Self: g.self, Clock: g.clock, Log: g.log, Registry: g.registry, MaxHold: g.settings.HoldMost.D(),
 		Store: g.leaseStore(), StoreTimeout: storeTimeout, StoreRetryDelay: storePauseMost,
-		Mesh: g.mesh, Leases: g.state.leases, LocalState: lent, TargetDirectory: lent, Orders: g.adapter,
+		Mesh: g.mesh, Leases: g.state.leases, LocalState: lent, TargetDirectory: lent, OrderCodec: g.adapter,
 		TargetIDHeader: g.headers.TargetID, InstanceIDHeader: g.headers.InstanceID,
 	})
 }
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -155,7 +155,7 @@
 func (l *leader) queryIncarnations(ctx context.Context, owners []lease.Owner) ([]lease.Owner, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.StoreTimeout)
 	defer cancel()
-	list, err := l.Store.ListKind(ctx, l.Orders.TargetKind())
+	list, err := l.Store.ListKind(ctx, l.OrderCodec.TargetKind())
 	if err != nil {
 		return nil, fmt.Errorf("list targets: %w", err)
 	}
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -43,7 +43,7 @@
 	Leases          *published.Leases
 	LocalState      LocalState
 	TargetDirectory TargetDirectory
-	Orders          Orders
+	OrderCodec      Orders
 	// TargetIDHeader names the target that is meant, InstanceIDHeader the one that
 	// answers.
 	TargetIDHeader, InstanceIDHeader string
--- a/internal/gateway/leasing/orders.go
+++ b/internal/gateway/leasing/orders.go
@@ -115,7 +115,7 @@
 var errNoAuthority = errors.New("authority has run out")
 
 func (l *leader) exchange(ctx context.Context, line *orderLine, o lease.Order, conn upstream.Choice, timeout time.Duration) (lease.Result, string, error) {
-	request, err := l.Orders.Order(o)
+	request, err := l.OrderCodec.Order(o)
 	if err != nil {
 		return lease.Unreached, "", err
 	}
@@ -128,7 +128,7 @@
 	case err != nil:
 		return lease.Unanswered, "", err
 	}
-	result, handover, err := l.Orders.OrderResult(answer)
+	result, handover, err := l.OrderCodec.OrderResult(answer)
 	if result == lease.Unanswered && l.replaced(ctx, line, o.Target) {
 		return lease.Misdirected, "", err
 	}
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -69,7 +69,7 @@
 	n.Manager = New(context.Background(), Deps{
 		Self: self, Clock: clock, Log: quiet(), Registry: metrics.NewRegistry(), MaxHold: 10 * time.Second,
 		Store: &changingStore{}, StoreTimeout: time.Second, StoreRetryDelay: 400 * time.Millisecond,
-		Mesh: n.mesh, Leases: n.state.leases, LocalState: localState{n}, TargetDirectory: emptyDirectory{}, Orders: plainOrders{},
+		Mesh: n.mesh, Leases: n.state.leases, LocalState: localState{n}, TargetDirectory: emptyDirectory{}, OrderCodec: plainOrders{},
 		TargetIDHeader: "Target", InstanceIDHeader: "Instance",
 	})
 	n.mesh.Start(n)
