--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -43,7 +43,7 @@
 	Leases          *published.Leases
 	LocalState      LocalState
 	TargetDirectory TargetDirectory
-	OrderCodec      Orders
+	OrderCodec      OrderCodec
 	// TargetIDHeader names the target that is meant, InstanceIDHeader the one that
 	// answers.
 	TargetIDHeader, InstanceIDHeader string
@@ -119,8 +119,8 @@
 	TakeKeyLoad(service string) KeyLoad
 }
 
-// Orders translate orders for the platform's targets.
-type Orders interface {
+// OrderCodec translate orders for the platform's targets.
+type OrderCodec interface {
 	// TargetKind is the kind of the targets' entries.
 	TargetKind() model.Kind
 	// Order renders an order on leases.
