--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -24,8 +24,8 @@
 // StoreUp implements leasing.LocalState.
 func (g granting) StoreUp() bool { return g.gateway.storeUp.Load() }
 
-// Listed implements leasing.LocalState.
-func (g granting) Listed() bool { return g.gateway.listed.Load() }
+// TargetsListed implements leasing.LocalState.
+func (g granting) TargetsListed() bool { return g.gateway.listed.Load() }
 
 // Leaving implements leasing.LocalState.
 func (g granting) Leaving() bool { return g.gateway.leaving.Load() }
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -125,7 +125,7 @@
 // When all processes restart at once, the VM that the record names needs no agreement, and keys
 // would expire while the VMs meet.
 func (c *candidate) resume(ctx context.Context) {
-	for !c.LocalState.Listed() {
+	for !c.LocalState.TargetsListed() {
 		if !pause.For(ctx, leadStep) {
 			return
 		}
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -87,8 +87,8 @@
 type LocalState interface {
 	// StoreUp reports whether the store answered last.
 	StoreUp() bool
-	// Listed reports whether the targets are known.
-	Listed() bool
+	// TargetsListed reports whether the targets are known.
+	TargetsListed() bool
 	// Leaving reports whether the VM's process was asked to end.
 	Leaving() bool
 	// StoreReachable reports whether the store answered last, directly or through
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -97,7 +97,7 @@
 
 func (s localState) StoreUp() bool         { return s.n.storeUp.Load() }
 func (s localState) StoreReachable() bool  { return s.n.storeUp.Load() }
-func (s localState) Listed() bool          { return true }
+func (s localState) TargetsListed() bool   { return true }
 func (s localState) Leaving() bool         { return s.n.leaving.Load() }
 func (s localState) EndsIn() time.Duration { return time.Duration(s.n.endsIn.Load()) }
 func (s localState) Place(string) int      { return s.n.mesh.Size() - 1 }
