--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -30,8 +30,8 @@
 // Leaving implements leasing.LocalState.
 func (g granting) Leaving() bool { return g.gateway.leaving.Load() }
 
-// EndsIn implements leasing.LocalState.
-func (g granting) EndsIn() time.Duration { return g.gateway.endsIn() }
+// TimeUntilExit implements leasing.LocalState.
+func (g granting) TimeUntilExit() time.Duration { return g.gateway.endsIn() }
 
 // StoreReachable implements leasing.LocalState.
 func (g granting) StoreReachable() bool { return g.gateway.storeUp.Load() || g.gateway.storeRelayed() }
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -144,7 +144,7 @@
 func (c *candidate) succession() (rank int, stands bool) {
 	now := c.Clock.Now()
 	leaving := c.LocalState.Leaving()
-	if now-c.startedAt < meetTime || leaving && c.LocalState.EndsIn() < leastTerm {
+	if now-c.startedAt < meetTime || leaving && c.LocalState.TimeUntilExit() < leastTerm {
 		return -1, false
 	}
 	r := c.Leases.Of(c.service)
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -94,8 +94,8 @@
 	// StoreReachable reports whether the store answered last, directly or through
 	// another VM.
 	StoreReachable() bool
-	// EndsIn returns when the VM's process, which was asked to end, ends at the latest.
-	EndsIn() time.Duration
+	// TimeUntilExit returns when the VM's process, which was asked to end, ends at the latest.
+	TimeUntilExit() time.Duration
 	// Place returns the VM's place, from 0, in the succession of a service's grantor. One
 	// that leaves has a place among those that leave.
 	Place(service string) int
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -95,13 +95,13 @@
 // localState is that of a node which comes last in the line for each duty.
 type localState struct{ n *node }
 
-func (s localState) StoreUp() bool         { return s.n.storeUp.Load() }
-func (s localState) StoreReachable() bool  { return s.n.storeUp.Load() }
-func (s localState) TargetsListed() bool   { return true }
-func (s localState) Leaving() bool         { return s.n.leaving.Load() }
-func (s localState) EndsIn() time.Duration { return time.Duration(s.n.endsIn.Load()) }
-func (s localState) Place(string) int      { return s.n.mesh.Size() - 1 }
-func (s localState) Tag() string           { return strconv.FormatUint(s.n.tags.Add(1), 10) }
+func (s localState) StoreUp() bool                { return s.n.storeUp.Load() }
+func (s localState) StoreReachable() bool         { return s.n.storeUp.Load() }
+func (s localState) TargetsListed() bool          { return true }
+func (s localState) Leaving() bool                { return s.n.leaving.Load() }
+func (s localState) TimeUntilExit() time.Duration { return time.Duration(s.n.endsIn.Load()) }
+func (s localState) Place(string) int             { return s.n.mesh.Size() - 1 }
+func (s localState) Tag() string                  { return strconv.FormatUint(s.n.tags.Add(1), 10) }
 
 // emptyDirectory knows no routes and targets.
 type emptyDirectory struct{}
