--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -36,8 +36,8 @@
 // StoreReachable implements leasing.LocalState.
 func (g granting) StoreReachable() bool { return g.gateway.storeUp.Load() || g.gateway.storeRelayed() }
 
-// Place implements leasing.LocalState.
-func (g granting) Place(service string) int { return g.gateway.leasePlace(service) }
+// SuccessionRank implements leasing.LocalState.
+func (g granting) SuccessionRank(service string) int { return g.gateway.leasePlace(service) }
 
 // Tag implements leasing.LocalState.
 func (g granting) Tag() string { return g.gateway.tag() }
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -114,7 +114,7 @@
 	}
 	c.monitorNext = now + monitorEvery
 	holder := ""
-	if r := c.Leases.Of(c.service); r != nil && r.Holder != c.Self.VM && c.LocalState.Place(c.service) < closeSuccessors {
+	if r := c.Leases.Of(c.service); r != nil && r.Holder != c.Self.VM && c.LocalState.SuccessionRank(c.service) < closeSuccessors {
 		holder = r.Holder
 	}
 	c.Mesh.Monitor(c.service, holder)
@@ -158,7 +158,7 @@
 		// lapse.
 		return 0, false
 	}
-	rank = c.LocalState.Place(c.service)
+	rank = c.LocalState.SuccessionRank(c.service)
 	if leaving {
 		rank += min(c.Mesh.Staying(), closeSuccessors)
 	}
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -96,9 +96,9 @@
 	StoreReachable() bool
 	// TimeUntilExit returns when the VM's process, which was asked to end, ends at the latest.
 	TimeUntilExit() time.Duration
-	// Place returns the VM's place, from 0, in the succession of a service's grantor. One
+	// SuccessionRank returns the VM's place, from 0, in the succession of a service's grantor. One
 	// that leaves has a place among those that leave.
-	Place(service string) int
+	SuccessionRank(service string) int
 	// Tag returns a name for a write that no other write has.
 	Tag() string
 }
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -100,7 +100,7 @@
 func (s localState) TargetsListed() bool          { return true }
 func (s localState) Leaving() bool                { return s.n.leaving.Load() }
 func (s localState) TimeUntilExit() time.Duration { return time.Duration(s.n.endsIn.Load()) }
-func (s localState) Place(string) int             { return s.n.mesh.Size() - 1 }
+func (s localState) SuccessionRank(string) int    { return s.n.mesh.Size() - 1 }
 func (s localState) Tag() string                  { return strconv.FormatUint(s.n.tags.Add(1), 10) }
 
 // emptyDirectory knows no routes and targets.
