--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -39,8 +39,8 @@
 // SuccessionRank implements leasing.LocalState.
 func (g granting) SuccessionRank(service string) int { return g.gateway.leasePlace(service) }
 
-// Tag implements leasing.LocalState.
-func (g granting) Tag() string { return g.gateway.tag() }
+// WriteID implements leasing.LocalState.
+func (g granting) WriteID() string { return g.gateway.tag() }
 
 // View implements leasing.TargetDirectory.
 func (g granting) View() *catalog.View { return g.gateway.state.view.Load() }
--- a/internal/gateway/granting_test.go
+++ b/internal/gateway/granting_test.go
@@ -24,7 +24,7 @@
 	require.False(t, deps.LocalState.Leaving())
 	n.leaving.Store(true)
 	require.True(t, deps.LocalState.Leaving())
-	require.NotEqual(t, deps.LocalState.Tag(), deps.LocalState.Tag())
+	require.NotEqual(t, deps.LocalState.WriteID(), deps.LocalState.WriteID())
 
 	require.Zero(t, deps.TargetDirectory.Slots("t"))
 	n.state.list(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -99,8 +99,8 @@
 	// SuccessionRank returns the VM's place, from 0, in the succession of a service's grantor. One
 	// that leaves has a place among those that leave.
 	SuccessionRank(service string) int
-	// Tag returns a name for a write that no other write has.
-	Tag() string
+	// WriteID returns a name for a write that no other write has.
+	WriteID() string
 }
 
 // TargetDirectory is what this VM believes of targets and services.
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -101,7 +101,7 @@
 func (s localState) Leaving() bool                { return s.n.leaving.Load() }
 func (s localState) TimeUntilExit() time.Duration { return time.Duration(s.n.endsIn.Load()) }
 func (s localState) SuccessionRank(string) int    { return s.n.mesh.Size() - 1 }
-func (s localState) Tag() string                  { return strconv.FormatUint(s.n.tags.Add(1), 10) }
+func (s localState) WriteID() string              { return strconv.FormatUint(s.n.tags.Add(1), 10) }
 
 // emptyDirectory knows no routes and targets.
 type emptyDirectory struct{}
--- a/internal/gateway/leasing/record.go
+++ b/internal/gateway/leasing/record.go
@@ -39,6 +39,6 @@
 	if err != nil {
 		return 0, fmt.Errorf("encode record of %s: %w", c.service, err)
 	}
-	o, err := platform.Write(ctx, c.Store, platform.Object{Kind: kindLeases, Name: c.service, Version: version, Writer: c.LocalState.Tag(), Spec: spec})
+	o, err := platform.Write(ctx, c.Store, platform.Object{Kind: kindLeases, Name: c.service, Version: version, Writer: c.LocalState.WriteID(), Spec: spec})
 	return o.Version, err
 }
