--- a/internal/gateway/granting.go
+++ b/internal/gateway/granting.go
@@ -60,8 +60,8 @@
 	return 0
 }
 
-// UsualTime implements leasing.TargetDirectory.
-func (g granting) UsualTime(service string) (time.Duration, bool) {
+// MeanServiceTime implements leasing.TargetDirectory.
+func (g granting) MeanServiceTime(service string) (time.Duration, bool) {
 	g.gateway.state.mu.Lock()
 	defer g.gateway.state.mu.Unlock()
 	if d := g.gateway.state.durations[service]; d != nil && d.Known() {
--- a/internal/gateway/granting_test.go
+++ b/internal/gateway/granting_test.go
@@ -30,12 +30,12 @@
 	n.state.list(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	require.Equal(t, 2, deps.TargetDirectory.Slots("t"))
 	require.NotNil(t, deps.TargetDirectory.View().ByID["t"])
-	_, known := deps.TargetDirectory.UsualTime("s")
+	_, known := deps.TargetDirectory.MeanServiceTime("s")
 	require.False(t, known)
 	for range 100 {
 		n.state.learnLocked("s", "r", 30*time.Millisecond)
 	}
-	usual, known := deps.TargetDirectory.UsualTime("s")
+	usual, known := deps.TargetDirectory.MeanServiceTime("s")
 	require.True(t, known)
 	require.InDelta(t, 30*time.Millisecond, usual, float64(time.Millisecond))
 	require.Equal(t, []uint32{catalog.Hash("t")}, deps.TargetDirectory.TakeKeyLoad("s").Targets)
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -111,8 +111,8 @@
 	ReadTarget(o platform.Object) (catalog.Target, bool)
 	// Slots is how many requests a target runs at a time; 0 if it is not known.
 	Slots(target string) int
-	// UsualTime is what a request to a service takes; false if it was not measured.
-	UsualTime(service string) (time.Duration, bool)
+	// MeanServiceTime is what a request to a service takes; false if it was not measured.
+	MeanServiceTime(service string) (time.Duration, bool)
 	// WarmupCost is how many usual requests one for a cold key is worth.
 	WarmupCost(service string) float64
 	// TakeKeyLoad returns what this VM has seen of a service's keys, and starts anew.
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/play_test.go
@@ -110,10 +110,10 @@
 func (emptyDirectory) ReadTarget(platform.Object) (catalog.Target, bool) {
 	return catalog.Target{}, false
 }
-func (emptyDirectory) Slots(string) int                       { return 0 }
-func (emptyDirectory) UsualTime(string) (time.Duration, bool) { return 0, false }
-func (emptyDirectory) WarmupCost(string) float64              { return 1 }
-func (emptyDirectory) TakeKeyLoad(string) KeyLoad             { return KeyLoad{} }
+func (emptyDirectory) Slots(string) int                             { return 0 }
+func (emptyDirectory) MeanServiceTime(string) (time.Duration, bool) { return 0, false }
+func (emptyDirectory) WarmupCost(string) float64                    { return 1 }
+func (emptyDirectory) TakeKeyLoad(string) KeyLoad                   { return KeyLoad{} }
 
 // plainOrders are orders as JSON.
 type plainOrders struct{}
--- a/internal/gateway/leasing/spread.go
+++ b/internal/gateway/leasing/spread.go
@@ -184,7 +184,7 @@
 // capacityOf returns how many requests a second a target can do.
 func (l *leader) capacityOf(o lease.Owner) float64 {
 	slots, usual := max(l.TargetDirectory.Slots(o.ID), 1), assumedTime
-	if d, known := l.TargetDirectory.UsualTime(l.service); known {
+	if d, known := l.TargetDirectory.MeanServiceTime(l.service); known {
 		usual = d
 	}
 	return float64(slots) / (usual.Seconds() * l.load.slownessOf(catalog.Hash(o.ID)))
