--- a/internal/gateway/leasing/broadcast.go
+++ b/internal/gateway/leasing/broadcast.go
@@ -16,11 +16,11 @@
 const (
 	// pushTimeout bounds an update of another VM's leases.
 	pushTimeout = 300 * time.Millisecond
-	// pushShare is the part of the link that updates in flight may take up within
+	// pushLinkShare is the part of the link that updates in flight may take up within
 	// their timeout: renewals and requests share it.
-	pushShare = 0.5
-	// deltaBytes is the usual size of an update that holds changes only.
-	deltaBytes = 256
+	pushLinkShare = 0.5
+	// typicalDeltaBytes is the usual size of an update that holds changes only.
+	typicalDeltaBytes = 256
 )
 
 // ErrMalformed is the error of leases from another VM that are incomplete or contradict
@@ -51,8 +51,8 @@
 
 // peerProgress is what one VM has confirmed.
 type peerProgress struct {
-	known *lease.Routing
-	busy  bool
+	known    *lease.Routing
+	updating bool
 	// failing reports whether the last update failed.
 	failing bool
 }
@@ -60,7 +60,7 @@
 // newLeaseBroadcaster returns a broadcaster over a link that carries so many bytes a second. The
 // other VMs are assumed to have a version already, unless it is nil.
 func newLeaseBroadcaster(push pushFunc, logger *log.Logger, bytesPerSecond float64, assumed *lease.Routing) *leaseBroadcaster {
-	maxBytes := int64(pushShare * bytesPerSecond * pushTimeout.Seconds())
+	maxBytes := int64(pushLinkShare * bytesPerSecond * pushTimeout.Seconds())
 	return &leaseBroadcaster{
 		push: push, log: logger, inFlight: semaphore.NewWeighted(maxBytes), maxBytes: maxBytes,
 		assumed: assumed, peers: make(map[string]*peerProgress),
@@ -78,27 +78,27 @@
 			p = &peerProgress{known: b.assumed}
 			b.peers[vm] = p
 		}
-		if !p.busy {
-			p.busy = true
-			go b.update(ctx, vm, p)
+		if !p.updating {
+			p.updating = true
+			go b.runUpdates(ctx, vm, p)
 		}
 	}
 }
 
-// update brings one VM to the latest version, or until an update fails. A VM that an update
+// runUpdates brings one VM to the latest version, or until an runUpdates fails. A VM that an runUpdates
 // did not reach learns from the heartbeats that it is behind.
-func (b *leaseBroadcaster) update(ctx context.Context, vm string, p *peerProgress) {
-	for !b.finished(p) {
+func (b *leaseBroadcaster) runUpdates(ctx context.Context, vm string, p *peerProgress) {
+	for !b.finishIfCurrent(p) {
 		size := min(updateSize(b.progress(p)), b.maxBytes)
 		if b.inFlight.Acquire(ctx, size) != nil {
-			b.failed(p, nil)
+			b.endUpdates(p, nil)
 			return
 		}
 		seq, err := b.sendUpdate(ctx, vm, p)
 		b.inFlight.Release(size)
 		if err != nil {
 			b.log.Info().Str("step", "leases").Str("peer", vm).Uint64("seq", seq).Int64("bytes", size).Err(err).Msg("leases not pushed")
-			b.retryLater(ctx, p, err)
+			b.endAfterError(ctx, p, err)
 			return
 		}
 	}
@@ -116,7 +116,7 @@
 		err = ErrMalformed
 	}
 	if err == nil {
-		b.confirmed(p, latest, used)
+		b.recordReply(p, latest, used)
 	}
 	return latest.Seq, err
 }
@@ -126,7 +126,7 @@
 	if known == nil {
 		return int64(latest.WireSize())
 	}
-	return deltaBytes
+	return typicalDeltaBytes
 }
 
 // progress returns what a VM knows and what it is to know.
@@ -136,16 +136,16 @@
 	return p.known, b.latest
 }
 
-// finished reports whether a VM knows the latest version; its updates end then.
-func (b *leaseBroadcaster) finished(p *peerProgress) bool {
+// finishIfCurrent reports whether a VM knows the latest version; its updates end then.
+func (b *leaseBroadcaster) finishIfCurrent(p *peerProgress) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.busy = p.known != b.latest
-	return !p.busy
+	p.updating = p.known != b.latest
+	return !p.updating
 }
 
-// confirmed notes the reply to an update. A VM that could not use it gets a whole one.
-func (b *leaseBroadcaster) confirmed(p *peerProgress, r *lease.Routing, used bool) {
+// recordReply notes the reply to an update. A VM that could not use it gets a whole one.
+func (b *leaseBroadcaster) recordReply(p *peerProgress, r *lease.Routing, used bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.known, p.failing = nil, false
@@ -154,24 +154,24 @@
 	}
 }
 
-// retryLater ends the updates of a VM after an error. A link that is full, and a process that
+// endAfterError ends the updates of a VM after an error. A link that is full, and a process that
 // is gone, get a pause first. After a timeout the VM probably still has the version that the
 // update was built on.
-func (b *leaseBroadcaster) retryLater(ctx context.Context, p *peerProgress, err error) {
+func (b *leaseBroadcaster) endAfterError(ctx context.Context, p *peerProgress, err error) {
 	timedOut := errors.Is(err, context.DeadlineExceeded)
-	known, again := b.failure(p)
+	known, again := b.recordFailure(p)
 	if timedOut || again {
 		pause.For(ctx, pushTimeout)
 	}
 	if !timedOut {
 		known = nil
 	}
-	b.failed(p, known)
+	b.endUpdates(p, known)
 }
 
-// failure notes a failed update and returns what the VM knew, and whether the one before
+// recordFailure notes a failed update and returns what the VM knew, and whether the one before
 // failed as well.
-func (b *leaseBroadcaster) failure(p *peerProgress) (known *lease.Routing, again bool) {
+func (b *leaseBroadcaster) recordFailure(p *peerProgress) (known *lease.Routing, again bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known, again = p.known, p.failing
@@ -179,10 +179,10 @@
 	return known, again
 }
 
-func (b *leaseBroadcaster) failed(p *peerProgress, known *lease.Routing) {
+func (b *leaseBroadcaster) endUpdates(p *peerProgress, known *lease.Routing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	p.known, p.busy = known, false
+	p.known, p.updating = known, false
 }
 
 // pushLeases sends changed leases to a VM.
--- a/internal/gateway/leasing/broadcast_test.go
+++ b/internal/gateway/leasing/broadcast_test.go
@@ -19,18 +19,18 @@
 // testBytesPerSecond is a link that bounds no update of a test.
 const testBytesPerSecond = 100 * mesh.BytesPerMbit
 
-// pushed plays another VM: it takes updates in, each after a delay.
-type pushed struct {
-	state   *state
-	delay   time.Duration
-	lost    int
-	updates []*lease.Update
+// fakePeer plays another VM: it takes updates in, each after a delay.
+type fakePeer struct {
+	state    *state
+	delay    time.Duration
+	failures int
+	updates  []*lease.Update
 }
 
-func (p *pushed) push(ctx context.Context, _ string, u *lease.Update) (bool, error) {
+func (p *fakePeer) push(ctx context.Context, _ string, u *lease.Update) (bool, error) {
 	time.Sleep(p.delay)
-	if p.lost > 0 {
-		p.lost--
+	if p.failures > 0 {
+		p.failures--
 		return false, errors.New("lost")
 	}
 	p.updates = append(p.updates, u)
@@ -47,10 +47,10 @@
 }
 
 // Guards against a queue of updates that fills the grantor's link.
-func TestSlowVMGetsTheLatestVersionOnly(t *testing.T) {
+func TestSlowVMSkipsIntermediateVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0)), delay: 50 * time.Millisecond}
-		l := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, nil)
+		peer := &fakePeer{state: testState(newManualClock(0)), delay: 50 * time.Millisecond}
+		l := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, nil)
 		for seq := range 100 {
 			l.Publish(t.Context(), owners(uint64(seq+1), seq), []string{"vm"})
 			time.Sleep(time.Millisecond)
@@ -66,13 +66,13 @@
 	})
 }
 
-func TestVMThatHasAnotherVersionGetsAll(t *testing.T) {
+func TestVMWithUnexpectedVersionGetsFullUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0))}
-		l := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, nil)
+		peer := &fakePeer{state: testState(newManualClock(0))}
+		l := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, nil)
 		l.Publish(t.Context(), owners(1, 0), []string{"vm"})
 		synctest.Wait()
-		peer.state = testState(newHandClock(0))
+		peer.state = testState(newManualClock(0))
 		l.Publish(t.Context(), owners(2, 1), []string{"vm"})
 		synctest.Wait()
 		require.True(t, peer.state.routingOf("s").SameAs(owners(2, 1)))
@@ -81,13 +81,13 @@
 	})
 }
 
-func TestLostUpdateIsFollowedByAWholeOne(t *testing.T) {
+func TestFailedUpdateIsFollowedByFullUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0))}
-		l := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, nil)
+		peer := &fakePeer{state: testState(newManualClock(0))}
+		l := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, nil)
 		l.Publish(t.Context(), owners(1, 0), []string{"vm"})
 		synctest.Wait()
-		peer.lost = 1
+		peer.failures = 1
 		l.Publish(t.Context(), owners(2, 1), []string{"vm"})
 		synctest.Wait()
 		l.Publish(t.Context(), owners(3, 2), []string{"vm"})
@@ -98,14 +98,14 @@
 }
 
 // Guards against an update and a log line a slice to VMs whose processes are gone.
-func TestVMThatIsGoneGetsFewUpdates(t *testing.T) {
+func TestUnreachableVMGetsFewUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tries := 0
-		gone := func(context.Context, string, *lease.Update) (bool, error) {
+		refuse := func(context.Context, string, *lease.Update) (bool, error) {
 			tries++
 			return false, errors.New("connection refused")
 		}
-		l := newLeaseBroadcaster(gone, quiet(), testBytesPerSecond, nil)
+		l := newLeaseBroadcaster(refuse, discardLogger(), testBytesPerSecond, nil)
 		for seq := range 500 {
 			l.Publish(t.Context(), owners(uint64(seq+1), 0), []string{"vm"})
 			time.Sleep(time.Millisecond)
@@ -116,7 +116,7 @@
 
 // Guards against a version a slice while a successor's owners answer their first grants.
 func TestSuccessionPublishesFewVersions(t *testing.T) {
-	clock := newHandClock(time.Hour)
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	l, _ := leadingNode(t, n)
@@ -125,18 +125,18 @@
 		l.publishChanges(clock.Now())
 		clock.advance(time.Millisecond)
 	}
-	require.LessOrEqual(t, l.seq, uint64(4))
+	require.LessOrEqual(t, l.publishedSeq, uint64(4))
 }
 
 // Guards against a successor that sends all leases to all VMs at once, which fills its link.
-func TestSuccessorSendsOnlyWhatChangedSinceItsPredecessor(t *testing.T) {
+func TestSuccessorSendsDeltaFromPredecessorsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0))}
+		peer := &fakePeer{state: testState(newManualClock(0))}
 		last := owners(7, 0)
 		peer.state.leases.Set(last)
 		first := owners(1, 2)
 		first.Epoch++
-		b := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, last)
+		b := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, last)
 		b.Publish(t.Context(), first, []string{"vm"})
 		synctest.Wait()
 		require.Len(t, peer.updates, 1)
@@ -158,7 +158,7 @@
 }
 
 func (l *slowLink) push(ctx context.Context, vm string, u *lease.Update) (bool, error) {
-	size := deltaBytes
+	size := typicalDeltaBytes
 	if u.Base == 0 {
 		size = u.Routing.WireSize()
 	}
@@ -201,7 +201,7 @@
 		}
 		r.Slices = lease.EvenSlices(570, targets)
 		routing := lease.NewRouting(r, 1, func(int) lease.SliceState { return lease.Served })
-		b := newLeaseBroadcaster(link.push, quiet(), bytesPerSecond, nil)
+		b := newLeaseBroadcaster(link.push, discardLogger(), bytesPerSecond, nil)
 		b.Publish(t.Context(), routing, names)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -13,49 +13,49 @@
 
 // Timeouts and limits of leases.
 const (
-	// renewEvery leaves three more tries within a hold.
-	renewEvery = 600 * time.Millisecond
-	// orderRetry is the pause after a failed order.
-	orderRetry = 100 * time.Millisecond
-	// leadStep is the time between two iterations of a grantor.
-	leadStep = 20 * time.Millisecond
-	// meetTime is how long a VM that starts meets the others before it takes over
+	// renewInterval leaves three more tries within a hold.
+	renewInterval = 600 * time.Millisecond
+	// orderRetryDelay is the pause after a failed order.
+	orderRetryDelay = 100 * time.Millisecond
+	// leaderTick is the time between two iterations of a grantor.
+	leaderTick = 20 * time.Millisecond
+	// discoveryTime is how long a VM that starts meets the others before it takes over
 	// anything: when all start at once, each would succeed the one before.
-	meetTime = 400 * time.Millisecond
-	// candidateStep is the time between two iterations of a VM that is none.
-	candidateStep = 100 * time.Millisecond
-	// rankPause is by how much the next in the succession waits longer than the one before.
-	rankPause = 400 * time.Millisecond
-	// closeSuccessors is how many VMs monitor the grantor closely, the grantor itself
+	discoveryTime = 400 * time.Millisecond
+	// candidateTick is the time between two iterations of a VM that is none.
+	candidateTick = 100 * time.Millisecond
+	// rankDelay is by how much the next in the succession waits longer than the one before.
+	rankDelay = 400 * time.Millisecond
+	// closeMonitors is how many VMs monitor the grantor closely, the grantor itself
 	// counted, which mostly has the first place.
-	closeSuccessors = 4
-	// leastTerm is how long a VM that leaves must still have to succeed a grantor.
-	leastTerm = time.Second
-	// monitorEvery is how often a VM checks whether it is one of them.
-	monitorEvery = time.Second
-	// strandedAfter is how long the grantor must have been without the store, and
+	closeMonitors = 4
+	// minTerm is how long a VM that leaves must still have to succeed a grantor.
+	minTerm = time.Second
+	// monitorCheckInterval is how often a VM checks whether it is one of them.
+	monitorCheckInterval = time.Second
+	// minIsolationTime is how long the grantor must have been without the store, and
 	// this VM with it. After an outage VMs find the store again within
 	// StorePause of each other.
-	strandedAfter = 600 * time.Millisecond
-	// strandedPeriods is for how many periods of heartbeats it must have been so: the
+	minIsolationTime = 600 * time.Millisecond
+	// minIsolationHeartbeats is for how many periods of heartbeats it must have been so: the
 	// grantor's next heartbeat may say that it has found a relay.
-	strandedPeriods = 1
-	// confirmEvery is how often the epoch is confirmed at the store, three times
+	minIsolationHeartbeats = 1
+	// confirmInterval is how often the epoch is confirmed at the store, three times
 	// within the authority.
-	confirmEvery = lease.Authority / 3
-	// relayedConfirmEvery is how often it is confirmed through another VM.
-	relayedConfirmEvery = 500 * time.Millisecond
-	// listSettles is how long the list of targets must have been the same before
+	confirmInterval = lease.Authority / 3
+	// relayedConfirmInterval is how often it is confirmed through another VM.
+	relayedConfirmInterval = 500 * time.Millisecond
+	// targetListSettleTime is how long the list of targets must have been the same before
 	// the keys are dealt for the first time, listMost how long that may take.
-	listSettles = 700 * time.Millisecond
-	listMost    = 3 * time.Second
-	// slicesPerOwner is how many slices each owner gets at first; slicesMost
+	targetListSettleTime = 700 * time.Millisecond
+	maxTargetListWait    = 3 * time.Second
+	// initialSlicesPerOwner is how many slices each owner gets at first; slicesMost
 	// bounds them, since each is renewed by a call of its own.
-	slicesPerOwner = 16
-	slicesMost     = 512
-	// silentOwner is how long an owner may leave its renewals unanswered before
+	initialSlicesPerOwner = 16
+	maxInitialSlices      = 512
+	// ownerSilenceTimeout is how long an owner may leave its renewals unanswered before
 	// its keys are given to others.
-	silentOwner = 1200 * time.Millisecond
+	ownerSilenceTimeout = 1200 * time.Millisecond
 )
 
 // candidate takes part in the succession of one service's grantor, and leads while it is the
@@ -64,42 +64,42 @@
 	*Manager
 	service string
 
-	// orderUntil is until when orders may be sent, on the clock that counts
+	// orderDeadline is until when orders may be sent, on the clock that counts
 	// suspended time; 0 while this VM is not the grantor.
-	orderUntil atomic.Int64
+	orderDeadline atomic.Int64
 
-	// storeProvenSince is since when the store has answered this VM while the grantor, which
+	// storeStableSince is since when the store has answered this VM while the grantor, which
 	// lives, was stranded; 0 while it was not.
-	storeProvenSince time.Duration
-	// monitorNext is when this VM checks again whether it should monitor the grantor.
-	monitorNext time.Duration
-	// strandedSince is since when the grantor does not reach the store.
-	strandedSince time.Duration
+	storeStableSince time.Duration
+	// nextMonitorCheck is when this VM checks again whether it should monitor the grantor.
+	nextMonitorCheck time.Duration
+	// isolatedSince is since when the grantor does not reach the store.
+	isolatedSince time.Duration
 	// listChanged and listSeen date the list of targets for the first dealing.
-	listRevision uint64
-	listChanged  time.Duration
-	listSeen     time.Duration
+	targetsRevision  uint64
+	targetsChangedAt time.Duration
+	targetsSeenAt    time.Duration
 }
 
 // run takes over whenever it is this VM's turn, until the context ends.
 func (c *candidate) run(ctx context.Context) {
 	c.resume(ctx)
-	var due time.Duration
-	for pause.For(ctx, candidateStep) {
+	var takeOverAt time.Duration
+	for pause.For(ctx, candidateTick) {
 		now := c.Clock.Now()
 		c.monitorGrantor(now)
-		rank, stands := c.succession()
-		if stands || rank < 0 {
-			due = 0
+		rank, grantorHealthy := c.succession()
+		if grantorHealthy || rank < 0 {
+			takeOverAt = 0
 			continue
 		}
-		if due == 0 {
-			due = now + time.Duration(rank)*rankPause
+		if takeOverAt == 0 {
+			takeOverAt = now + time.Duration(rank)*rankDelay
 		}
-		if now < due {
+		if now < takeOverAt {
 			continue
 		}
-		due = 0
+		takeOverAt = 0
 		if err := c.takeOver(ctx); err != nil {
 			c.Log.Warn().Str("step", "leases").Str("service", c.service).Int("rank", rank).Err(err).Msg("not taken over")
 		}
@@ -109,12 +109,12 @@
 // monitorGrantor has this VM monitor the grantor closely while it is one of the first
 // successors: in a large fleet a VM counts as lost only after more than a hold.
 func (c *candidate) monitorGrantor(now time.Duration) {
-	if now < c.monitorNext {
+	if now < c.nextMonitorCheck {
 		return
 	}
-	c.monitorNext = now + monitorEvery
+	c.nextMonitorCheck = now + monitorCheckInterval
 	holder := ""
-	if r := c.Leases.Of(c.service); r != nil && r.Holder != c.Self.VM && c.LocalState.SuccessionRank(c.service) < closeSuccessors {
+	if r := c.Leases.Of(c.service); r != nil && r.Holder != c.Self.VM && c.LocalState.SuccessionRank(c.service) < closeMonitors {
 		holder = r.Holder
 	}
 	c.Mesh.Monitor(c.service, holder)
@@ -126,11 +126,11 @@
 // would expire while the VMs meet.
 func (c *candidate) resume(ctx context.Context) {
 	for !c.LocalState.TargetsListed() {
-		if !pause.For(ctx, leadStep) {
+		if !pause.For(ctx, leaderTick) {
 			return
 		}
 	}
-	r, _, err := c.read(ctx)
+	r, _, err := c.readRecord(ctx)
 	if err != nil || r.Holder != c.Self.VM || r.HolderAddr != c.Self.Addr || r.Incarnation == c.Self.Incarnation {
 		return
 	}
@@ -141,15 +141,15 @@
 
 // succession returns this VM's rank among the successors, and whether the present grantor
 // stands.
-func (c *candidate) succession() (rank int, stands bool) {
+func (c *candidate) succession() (rank int, grantorHealthy bool) {
 	now := c.Clock.Now()
 	leaving := c.LocalState.Leaving()
-	if now-c.startedAt < meetTime || leaving && c.LocalState.TimeUntilExit() < leastTerm {
+	if now-c.startedAt < discoveryTime || leaving && c.LocalState.TimeUntilExit() < minTerm {
 		return -1, false
 	}
 	r := c.Leases.Of(c.service)
-	if r != nil && r.Holder != c.Self.VM && c.Mesh.Lives(r.Holder, r.Incarnation) && !c.stranded(r.Holder) {
-		c.storeProvenSince = 0
+	if r != nil && r.Holder != c.Self.VM && c.Mesh.Lives(r.Holder, r.Incarnation) && !c.isolated(r.Holder) {
+		c.storeStableSince = 0
 		return -1, true
 	}
 	if r != nil && r.Holder == c.Self.VM && r.Incarnation == c.Self.Incarnation {
@@ -160,100 +160,100 @@
 	}
 	rank = c.LocalState.SuccessionRank(c.service)
 	if leaving {
-		rank += min(c.Mesh.Staying(), closeSuccessors)
+		rank += min(c.Mesh.Staying(), closeMonitors)
 	}
-	if int64(now) < c.unfitUntil.Load() {
+	if int64(now) < c.demotedUntil.Load() {
 		// All others come first; but where all resigned, one must do it.
 		rank += c.Mesh.Size()
 	}
 	return rank, false
 }
 
-// stranded reports whether the store has turned the grantor away for a while, and
+// isolated reports whether the store has turned the grantor away for a while, and
 // answers this VM.
 // Such a grantor renews what it granted, but cannot move the keys of targets that leave or fail.
-func (c *candidate) stranded(holder string) bool {
+func (c *candidate) isolated(holder string) bool {
 	now := c.Clock.Now()
 	if !c.LocalState.StoreUp() || c.Mesh.ReachesStoreIndirectly(holder) {
-		c.strandedSince = 0
+		c.isolatedSince = 0
 		return false
 	}
-	if c.strandedSince == 0 {
-		c.strandedSince = now
+	if c.isolatedSince == 0 {
+		c.isolatedSince = now
 	}
-	return now-c.strandedSince > c.strandedLeast()
+	return now-c.isolatedSince > c.minIsolation()
 }
 
-// strandedLeast is for how long the grantor must be without the store, and this VM with it,
+// minIsolation is for how long the grantor must be without the store, and this VM with it,
 // until it is succeeded.
-func (c *candidate) strandedLeast() time.Duration {
-	return max(strandedAfter, strandedPeriods*c.Mesh.Period())
+func (c *candidate) minIsolation() time.Duration {
+	return max(minIsolationTime, minIsolationHeartbeats*c.Mesh.Period())
 }
 
-// storeProven reports whether the store has answered this VM's reads of the record for long
+// storeStable reports whether the store has answered this VM's reads of the record for long
 // enough to succeed a grantor that lives. A VM that made no call during an outage takes the
 // store for up all the while; at its end the grantor needs a moment to find the store again.
-func (c *candidate) storeProven(old lease.Record) bool {
+func (c *candidate) storeStable(old lease.Record) bool {
 	if old.Resigned || old.Holder == c.Self.VM || !c.Mesh.Lives(old.Holder, old.Incarnation) {
 		return true
 	}
 	now := c.Clock.Now()
-	if c.storeProvenSince == 0 {
-		c.storeProvenSince = now
+	if c.storeStableSince == 0 {
+		c.storeStableSince = now
 	}
-	return now-c.storeProvenSince > c.strandedLeast()
+	return now-c.storeStableSince > c.minIsolation()
 }
 
 // takeOver makes this VM the grantor and leads until it is succeeded.
 func (c *candidate) takeOver(ctx context.Context) error {
-	old, version, err := c.read(ctx)
-	fresh := errors.Is(err, platform.ErrNotFound)
-	if err != nil && !fresh {
-		c.storeProvenSince = 0
+	old, version, err := c.readRecord(ctx)
+	unclaimed := errors.Is(err, platform.ErrNotFound)
+	if err != nil && !unclaimed {
+		c.storeStableSince = 0
 		return err
 	}
 	next := old
-	if fresh {
-		owners := c.firstOwners()
+	if unclaimed {
+		owners := c.initialOwners()
 		if owners == nil {
 			return nil
 		}
-		next = lease.Record{Service: c.service, Slices: lease.EvenSlices(min(slicesPerOwner*len(owners), slicesMost), owners)}
-	} else if c.stillLed(old) || !c.storeProven(old) {
+		next = lease.Record{Service: c.service, Slices: lease.EvenSlices(min(initialSlicesPerOwner*len(owners), maxInitialSlices), owners)}
+	} else if c.hasLiveGrantor(old) || !c.storeStable(old) {
 		return nil
 	}
-	past := c.past(old, fresh)
+	prior := c.priorGrants(old, unclaimed)
 	next.Epoch, next.Resigned = old.Epoch+1, false
 	next.Holder, next.HolderAddr, next.Incarnation = c.Self.VM, c.Self.Addr, c.Self.Incarnation
 	sent := c.Clock.Now()
-	version, err = c.write(ctx, next, version)
+	version, err = c.writeRecord(ctx, next, version)
 	if err != nil {
 		return err
 	}
 	done := c.Clock.Now()
-	timing := lease.Timing{Hold: min(lease.HoldTime, c.MaxHold), Renew: renewEvery, Retry: orderRetry, Cold: c.coldMove()}
+	timing := lease.Timing{Hold: min(lease.HoldTime, c.MaxHold), Renew: renewInterval, Retry: orderRetryDelay, Cold: c.coldMoveTime()}
 	c.Log.Info().Str("step", "leases").Str("service", c.service).Uint64("epoch", next.Epoch).Str("before", old.Holder).
-		Int("slices", len(next.Slices)).Int("past", int(past)).Msg("grantor of the service")
-	grants := lease.NewGrantor(next, timing, sent, done, past)
-	c.presume(grants, old)
+		Int("slices", len(next.Slices)).Int("past", int(prior)).Msg("grantor of the service")
+	grants := lease.NewGrantor(next, timing, sent, done, prior)
+	c.presumeServed(grants, old)
 	newLeader(c, grants, version).run(ctx)
 	return nil
 }
 
-// presume has the owners that the predecessor granted last count as serving their keys for
+// presumeServed has the owners that the predecessor granted last count as serving their keys for
 // as long as its grants last. They are dated from its last heartbeat.
-func (c *candidate) presume(grants *lease.Grantor, old lease.Record) {
+func (c *candidate) presumeServed(grants *lease.Grantor, old lease.Record) {
 	last := c.Leases.Of(c.service)
 	heard, known := c.Mesh.LastHeard(old.Holder, old.Incarnation)
 	if last == nil || last.Epoch != old.Epoch || !known {
 		return
 	}
-	grants.PresumeServed(last, heard+min(lease.HoldTime, c.MaxHold)-renewEvery)
+	grants.PresumeServed(last, heard+min(lease.HoldTime, c.MaxHold)-renewInterval)
 }
 
-// coldMove is how long keys are slow at an owner that got them without the state of
+// coldMoveTime is how long keys are slow at an owner that got them without the state of
 // the last one.
-func (c *candidate) coldMove() time.Duration {
+func (c *candidate) coldMoveTime() time.Duration {
 	t := c.TargetDirectory.View().Routes
 	if t == nil {
 		return 0
@@ -261,12 +261,12 @@
 	return t.Config().Services[c.service].ColdMove
 }
 
-// past returns what may still be in force of the grantor before. Its process has
+// priorGrants returns what may still be in force of the grantor before. Its process has
 // ended for sure where another one runs at its address: this one, or one that the
 // mesh knows.
-func (c *candidate) past(old lease.Record, fresh bool) lease.PriorGrants {
+func (c *candidate) priorGrants(old lease.Record, unclaimed bool) lease.PriorGrants {
 	switch {
-	case fresh:
+	case unclaimed:
 		return lease.NoPriorGrants
 	case old.Resigned, c.Mesh.Replaced(old.Holder, old.HolderAddr, old.Incarnation):
 		return lease.PriorGrantsEnded
@@ -274,10 +274,10 @@
 	return lease.PriorGrantsUnknown
 }
 
-// stillLed reports whether the record names a grantor that lives, and makes it
+// hasLiveGrantor reports whether the record names a grantor that lives, and makes it
 // known: no heartbeat had named it yet.
-func (c *candidate) stillLed(r lease.Record) bool {
-	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.Lives(r.Holder, r.Incarnation) || c.stranded(r.Holder) {
+func (c *candidate) hasLiveGrantor(r lease.Record) bool {
+	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.Lives(r.Holder, r.Incarnation) || c.isolated(r.Holder) {
 		return false
 	}
 	old := c.Leases.Of(c.service)
--- a/internal/gateway/leasing/candidate_test.go
+++ b/internal/gateway/leasing/candidate_test.go
@@ -15,90 +15,90 @@
 )
 
 // Guards against keys without an owner while the store turns away the grantor alone.
-func TestGrantorThatTheStoreTurnsAwayIsSucceeded(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestGrantorIsolatedFromStoreIsReplaced(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	holder := mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}
 	n.receive(mesh.Heartbeat{From: holder})
 	r := n.state
-	r.own("s", 3, 1, "t", lease.Served)
+	r.setOwner("s", 3, 1, "t", lease.Served)
 	r.leases.Of("s").Holder, r.leases.Of("s").Incarnation = "holder", 5
-	k := &candidate{Manager: n.Manager, service: "s"}
+	c := &candidate{Manager: n.Manager, service: "s"}
 
-	_, stands := k.succession()
-	require.True(t, stands)
+	_, healthy := c.succession()
+	require.True(t, healthy)
 	n.receive(mesh.Heartbeat{From: holder, StoreLost: true})
-	_, stands = k.succession()
-	require.True(t, stands)
+	_, healthy = c.succession()
+	require.True(t, healthy)
 	for range 5 {
-		clock.advance(strandedAfter / 4)
+		clock.advance(minIsolationTime / 4)
 		n.receive(mesh.Heartbeat{From: holder, StoreLost: true})
-		_, stands = k.succession()
+		_, healthy = c.succession()
 	}
-	require.False(t, stands)
+	require.False(t, healthy)
 
 	n.storeUp.Store(false)
-	_, stands = k.succession()
-	require.True(t, stands, "a VM without the store succeeds nobody")
+	_, healthy = c.succession()
+	require.True(t, healthy, "a VM without the store succeeds nobody")
 }
 
 // Guards against the succession of a grantor that has the store through another VM.
-func TestGrantorWithARelayIsNotSucceeded(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestGrantorWithStoreRelayIsNotReplaced(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	holder := mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
-	k := &candidate{Manager: n.Manager, service: "s"}
+	c := &candidate{Manager: n.Manager, service: "s"}
 	for range 20 {
-		clock.advance(strandedAfter / 4)
+		clock.advance(minIsolationTime / 4)
 		n.receive(mesh.Heartbeat{From: holder, StoreLost: true, StoreRelayed: true})
-		_, stands := k.succession()
-		require.True(t, stands)
+		_, healthy := c.succession()
+		require.True(t, healthy)
 	}
 }
 
 // leadingNode returns the node as a grantor, and its store, which holds the record and is away.
-func leadingNode(t *testing.T, n *node) (*leader, *changingStore) {
+func leadingNode(t *testing.T, n *node) (*leader, *fakeStore) {
 	record := lease.Record{Service: "s", Epoch: 4, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	spec, err := json.Marshal(record)
 	require.NoError(t, err)
-	store := &changingStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
+	store := &fakeStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
 	n.Store = store
-	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
+	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewInterval, Retry: orderRetryDelay}
 	now := n.Clock.Now()
 	return newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, now, now, lease.PriorGrantsEnded), 1), store
 }
 
 // Guards against a relay that the others learn of too late.
-func TestGrantorWithoutTheStoreConfirmsItsEpochThroughARelayAtOnce(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestGrantorConfirmsEpochThroughRelay(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	l, store := leadingNode(t, n)
 	store.up.Store(true)
 	n.storeUp.Store(false)
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "relay", Addr: "127.0.0.1:1", Incarnation: 5}})
-	clock.advance(relayedConfirmEvery + time.Millisecond)
+	clock.advance(relayedConfirmInterval + time.Millisecond)
 	l.confirmEpoch(t.Context(), clock.Now())
 	(<-l.events)()
 	require.Equal(t, clock.Now(), l.grants.ConfirmedAt())
 }
 
 // Guards against a takeover at the end of an outage by a VM that made no call meanwhile.
-func TestVMThatHasNotNoticedAnOutageDoesNotSucceedTheGrantorAtItsEnd(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestNoTakeoverRightAfterStoreOutage(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	holder := mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}
 	record := lease.Record{Service: "s", Epoch: 3, Holder: "holder", Incarnation: 5, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	spec, err := json.Marshal(record)
 	require.NoError(t, err)
-	store := &changingStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
+	store := &fakeStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
 	n.Store = store
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
 	c := &candidate{Manager: n.Manager, service: "s"}
 	// A leader ends at once.
@@ -111,74 +111,74 @@
 	}
 	stranded := func(d time.Duration) {
 		for end := clock.Now() + d; clock.Now() < end; {
-			clock.advance(strandedAfter / 4)
+			clock.advance(minIsolationTime / 4)
 			n.receive(mesh.Heartbeat{From: holder, StoreLost: true})
 			_, _ = c.succession()
 		}
 	}
-	stranded(2 * strandedAfter)
-	_, stands := c.succession()
-	require.False(t, stands)
+	stranded(2 * minIsolationTime)
+	_, healthy := c.succession()
+	require.False(t, healthy)
 	require.Error(t, c.takeOver(ended), "the store is away")
 	store.up.Store(true)
 	require.NoError(t, c.takeOver(ended))
 	require.EqualValues(t, 3, epoch(), "the store has just returned")
 
-	stranded(2 * strandedAfter)
+	stranded(2 * minIsolationTime)
 	require.NoError(t, c.takeOver(ended))
 	require.EqualValues(t, 4, epoch(), "the grantor still does not reach it")
 }
 
 // Guards against a VM that counts as the grantor after its process has restarted.
-func TestNewLifeOfTheGrantorDoesNotStand(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestRestartedGrantorProcessIsReplaced(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 6}})
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
-	_, stands := (&candidate{Manager: n.Manager, service: "s"}).succession()
-	require.False(t, stands)
+	_, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
+	require.False(t, healthy)
 }
 
 // Guards against grants that expire while a grantor waits to succeed itself.
-func TestGrantorBeginsAgainAtOnce(t *testing.T) {
-	n := testNode(newHandClock(time.Hour))
+func TestGrantorTakesOverItsOwnEndedEpochAtOnce(t *testing.T) {
+	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
 	for i := range 20 {
 		n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1}})
 	}
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	r := n.state.leases.Of("s")
 	r.Holder, r.Incarnation = "self", n.Self.Incarnation
-	rank, stands := (&candidate{Manager: n.Manager, service: "s"}).succession()
-	require.False(t, stands)
+	rank, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
+	require.False(t, healthy)
 	require.Zero(t, rank)
 }
 
 // Guards against a process that ends because it resigns before it has published leases.
-func TestResignationBeforeAnythingWasPublished(t *testing.T) {
-	n := testNode(newHandClock(time.Hour))
+func TestResignationBeforeFirstPublication(t *testing.T) {
+	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
 	record := lease.Record{Service: "s", Epoch: 4, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
-	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
+	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewInterval, Retry: orderRetryDelay}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, n.Clock.Now(), n.Clock.Now(), lease.PriorGrantsEnded), 1)
-	l.publish(l.vacant())
+	l.publish(l.vacantRouting())
 	require.Empty(t, n.state.routingOf("s").Holder)
-	_, stands := (&candidate{Manager: n.Manager, service: "s"}).succession()
-	require.False(t, stands)
+	_, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
+	require.False(t, healthy)
 }
 
 // Guards against keys without service: the grantor resigned while the store was away.
-func TestGrantorThatLeavesGoesOnWhileNobodyCanTakeOver(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestLeavingGrantorContinuesWhileStoreIsUnavailable(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	l, store := leadingNode(t, n)
 	n.leaving.Store(true)
 	tries := func(count int) {
 		for range count {
-			clock.advance(resignPause)
+			clock.advance(resignRetryInterval)
 			n.receive(mesh.Heartbeat{From: mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 5}})
 			l.step(t.Context())
 			(<-l.events)()
@@ -186,51 +186,51 @@
 	}
 	tries(5)
 	require.False(t, l.resigning)
-	require.NotZero(t, l.orderUntil.Load(), "it may still order")
+	require.NotZero(t, l.orderDeadline.Load(), "it may still order")
 
 	store.up.Store(true)
 	tries(1)
 	require.True(t, l.resigning)
-	require.Zero(t, l.orderUntil.Load(), "the record is written after the last order")
+	require.Zero(t, l.orderDeadline.Load(), "the record is written after the last order")
 	(<-l.events)()
-	require.True(t, l.deposed)
+	require.True(t, l.epochEnded)
 	var record lease.Record
 	require.NoError(t, json.Unmarshal(store.record.Spec, &record))
 	require.True(t, record.Resigned)
 }
 
 // Guards against a grantor that stops although the store has not applied its resignation.
-func TestResignationThatTheStoreRefusesChangesNothing(t *testing.T) {
-	n := testNode(newHandClock(time.Hour))
+func TestRejectedResignationKeepsGrantor(t *testing.T) {
+	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
 	record := lease.Record{Service: "s", Epoch: 4, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, lease.Timing{Hold: lease.HoldTime}, n.Clock.Now(), n.Clock.Now(), lease.PriorGrantsEnded), 1)
 	l.resign(t.Context())
 	(<-l.events)()
-	require.False(t, l.deposed)
+	require.False(t, l.epochEnded)
 	require.False(t, l.resigning)
-	l.resigned(platform.ErrAmbiguous)
-	require.True(t, l.deposed, "it may have been taken: another may lead already")
+	l.handleResignation(platform.ErrAmbiguous)
+	require.True(t, l.epochEnded, "it may have been taken: another may lead already")
 }
 
 // Guards against a successor that must wait for the authority of a grantor that still orders.
-func TestGrantorThatLeavesStandsUntilItResigns(t *testing.T) {
-	n := testNode(newHandClock(time.Hour))
+func TestLeavingGrantorIsNotReplacedBeforeItResigns(t *testing.T) {
+	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	r := n.state.leases.Of("s")
 	r.Holder, r.Incarnation = "holder", 5
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}, Leaving: true})
-	_, stands := (&candidate{Manager: n.Manager, service: "s"}).succession()
-	require.True(t, stands)
+	_, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
+	require.True(t, healthy)
 	r.Holder = ""
-	_, stands = (&candidate{Manager: n.Manager, service: "s"}).succession()
-	require.False(t, stands)
+	_, healthy = (&candidate{Manager: n.Manager, service: "s"}).succession()
+	require.False(t, healthy)
 }
 
 // Guards against keys without a grantor from the stop of all VMs to the first start.
-func TestLeavingGrantorGoesOnWhileAllOthersLeave(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestLeavingGrantorContinuesWhileAllOthersLeave(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	l, store := leadingNode(t, n)
@@ -238,15 +238,15 @@
 	other := mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 5}
 	n.leaving.Store(true)
 	for range 5 {
-		clock.advance(resignPause)
+		clock.advance(resignRetryInterval)
 		n.receive(mesh.Heartbeat{From: other, Leaving: true})
 		l.step(t.Context())
-		require.Zero(t, l.resignNext, "it does not try to")
+		require.Zero(t, l.nextResign, "it does not try to")
 	}
-	require.NotZero(t, l.orderUntil.Load(), "it may still order")
+	require.NotZero(t, l.orderDeadline.Load(), "it may still order")
 
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 6}})
-	clock.advance(resignPause)
+	clock.advance(resignRetryInterval)
 	l.step(t.Context())
 	for !l.resigning {
 		(<-l.events)()
@@ -255,28 +255,28 @@
 }
 
 // Guards against keys without a grantor until the first VM has started again.
-func TestLeavingVMSucceedsTheGrantorWhereAllOthersLeave(t *testing.T) {
-	n := testNode(newHandClock(time.Hour))
+func TestLeavingVMTakesOverWhenAllOthersLeave(t *testing.T) {
+	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 5}, Leaving: true})
 	n.leaving.Store(true)
-	rank, stands := (&candidate{Manager: n.Manager, service: "s"}).succession()
-	require.False(t, stands)
+	rank, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
+	require.False(t, healthy)
 	require.GreaterOrEqual(t, rank, 0)
 }
 
 // Guards against a successor that must wait until its predecessor, which has ended, counts as silent.
-func TestLeavingGrantorResignsBeforeItsProcessEnds(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestLeavingGrantorResignsBeforeExit(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	l, store := leadingNode(t, n)
 	store.up.Store(true)
 	n.leaving.Store(true)
-	n.endsIn.Store(int64(lastResignation))
-	require.False(t, l.replaceable())
-	n.endsIn.Store(int64(lastResignation - time.Millisecond))
+	n.endsIn.Store(int64(finalResignWindow))
+	require.False(t, l.shouldHandOver())
+	n.endsIn.Store(int64(finalResignWindow - time.Millisecond))
 	l.step(t.Context())
 	for !l.resigning {
 		(<-l.events)()
@@ -284,19 +284,19 @@
 }
 
 // Guards against a grantor that is to end before it could grant anything, and one that comes before a VM that stays.
-func TestLeavingVMStandsAfterThoseThatStayWhileItHasTime(t *testing.T) {
-	n := testNode(newHandClock(time.Hour))
+func TestLeavingVMRanksAfterStayingVMs(t *testing.T) {
+	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
-	n.state.own("s", 3, 1, "t", lease.Served)
+	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	c := &candidate{Manager: n.Manager, service: "s"}
 	n.leaving.Store(true)
 	alone, _ := c.succession()
-	for i := range 2 * closeSuccessors {
+	for i := range 2 * closeMonitors {
 		n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1}})
 	}
 	rank, _ := c.succession()
-	require.Equal(t, alone+closeSuccessors+2*closeSuccessors, rank, "its place, which is the last here, after four that stay")
-	n.endsIn.Store(int64(leastTerm - time.Millisecond))
+	require.Equal(t, alone+closeMonitors+2*closeMonitors, rank, "its place, which is the last here, after four that stay")
+	n.endsIn.Store(int64(minTerm - time.Millisecond))
 	rank, _ = c.succession()
 	require.Negative(t, rank)
 }
--- a/internal/gateway/leasing/play_test.go
+++ b/internal/gateway/leasing/helpers_test.go
@@ -21,32 +21,32 @@
 	"hemlockquay/internal/upstream"
 )
 
-// handClock is moved by the test.
-type handClock struct{ now atomic.Int64 }
+// manualClock is moved by the test.
+type manualClock struct{ now atomic.Int64 }
 
-func newHandClock(now time.Duration) *handClock {
-	c := new(handClock)
+func newManualClock(now time.Duration) *manualClock {
+	c := new(manualClock)
 	c.advance(now)
 	return c
 }
 
-func (c *handClock) Now() time.Duration { return time.Duration(c.now.Load()) }
+func (c *manualClock) Now() time.Duration { return time.Duration(c.now.Load()) }
 
-func (c *handClock) advance(d time.Duration) { c.now.Add(int64(d)) }
+func (c *manualClock) advance(d time.Duration) { c.now.Add(int64(d)) }
 
-func quiet() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
+func discardLogger() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
 
 // state is what a VM knows of leases.
 type state struct{ leases *published.Leases }
 
-func testState(clock *handClock) *state {
+func testState(clock *manualClock) *state {
 	return &state{leases: published.New(clock, metrics.NewRegistry(), func() {})}
 }
 
 func (s *state) routingOf(service string) *lease.Routing { return s.leases.Of(service) }
 func (s *state) updateRouting(u *lease.Update) bool      { return s.leases.Update(u) }
 
-func (s *state) own(service string, epoch, seq uint64, owner string, state lease.SliceState) {
+func (s *state) setOwner(service string, epoch, seq uint64, owner string, state lease.SliceState) {
 	r := lease.Record{Service: service, Epoch: epoch, Slices: []lease.Slice{{From: 0, To: 65535, Owner: lease.Owner{ID: owner}}}}
 	s.leases.Set(lease.NewRouting(r, seq, func(int) lease.SliceState { return state }))
 }
@@ -62,20 +62,20 @@
 	tags    atomic.Uint64
 }
 
-func testNode(clock *handClock) *node {
+func testNode(clock *manualClock) *node {
 	n := &node{state: testState(clock)}
 	self := mesh.Member{VM: "self", Addr: "127.0.0.1:1", DataCentre: "a", Incarnation: uint64(time.Now().UnixNano())}
-	n.mesh = mesh.New(self, clock, quiet())
+	n.mesh = mesh.New(self, clock, discardLogger())
 	n.Manager = New(context.Background(), Deps{
-		Self: self, Clock: clock, Log: quiet(), Registry: metrics.NewRegistry(), MaxHold: 10 * time.Second,
-		Store: &changingStore{}, StoreTimeout: time.Second, StoreRetryDelay: 400 * time.Millisecond,
-		Mesh: n.mesh, Leases: n.state.leases, LocalState: localState{n}, TargetDirectory: emptyDirectory{}, OrderCodec: plainOrders{},
+		Self: self, Clock: clock, Log: discardLogger(), Registry: metrics.NewRegistry(), MaxHold: 10 * time.Second,
+		Store: &fakeStore{}, StoreTimeout: time.Second, StoreRetryDelay: 400 * time.Millisecond,
+		Mesh: n.mesh, Leases: n.state.leases, LocalState: localState{n}, TargetDirectory: emptyDirectory{}, OrderCodec: jsonOrderCodec{},
 		TargetIDHeader: "Target", InstanceIDHeader: "Instance",
 	})
 	n.mesh.Start(n)
 	n.storeUp.Store(true)
 	n.endsIn.Store(int64(time.Minute))
-	clock.advance(meetTime)
+	clock.advance(discoveryTime)
 	return n
 }
 
@@ -115,37 +115,37 @@
 func (emptyDirectory) WarmupCost(string) float64                    { return 1 }
 func (emptyDirectory) TakeKeyLoad(string) KeyLoad                   { return KeyLoad{} }
 
-// plainOrders are orders as JSON.
-type plainOrders struct{}
+// jsonOrderCodec are orders as JSON.
+type jsonOrderCodec struct{}
 
-func (plainOrders) TargetKind() model.Kind { return "targets" }
+func (jsonOrderCodec) TargetKind() model.Kind { return "targets" }
 
-func (plainOrders) Order(o lease.Order) (*upstream.Request, error) {
+func (jsonOrderCodec) Order(o lease.Order) (*upstream.Request, error) {
 	body, err := json.Marshal(o)
 	return &upstream.Request{Method: http.MethodPost, URI: "/order", Host: o.Target.Addr, Body: body, Header: http.Header{}}, err
 }
 
-func (plainOrders) OrderResult(a *upstream.Answer) (lease.Result, string, error) {
+func (jsonOrderCodec) OrderResult(a *upstream.Answer) (lease.Result, string, error) {
 	if a.Status == http.StatusOK {
 		return lease.Done, a.Header.Get("Handover"), nil
 	}
 	return lease.Fenced, "", nil
 }
 
-// changingStore is away, or holds one record and takes every write of it.
-type changingStore struct {
+// fakeStore is away, or holds one record and takes every write of it.
+type fakeStore struct {
 	up     atomic.Bool
 	record platform.Object
 }
 
-func (s *changingStore) Get(context.Context, platform.ID) (platform.Object, error) {
+func (s *fakeStore) Get(context.Context, platform.ID) (platform.Object, error) {
 	if !s.up.Load() {
 		return platform.Object{}, platform.ErrUnavailable
 	}
 	return s.record, nil
 }
 
-func (s *changingStore) Put(_ context.Context, o platform.Object) (platform.Object, error) {
+func (s *fakeStore) Put(_ context.Context, o platform.Object) (platform.Object, error) {
 	if !s.up.Load() {
 		return platform.Object{}, platform.ErrUnavailable
 	}
@@ -153,6 +153,6 @@
 	return o, nil
 }
 
-func (s *changingStore) ListKind(context.Context, model.Kind) (platform.Listing, error) {
+func (s *fakeStore) ListKind(context.Context, model.Kind) (platform.Listing, error) {
 	return platform.Listing{}, platform.ErrUnavailable
 }
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -13,9 +13,9 @@
 // confirmEpoch has the store confirm the epoch from time to time. While the store turns this
 // VM away it does so more often, which shows the others that a relay works.
 func (l *leader) confirmEpoch(ctx context.Context, now time.Duration) {
-	every := confirmEvery
+	every := confirmInterval
 	if !l.LocalState.StoreUp() && len(l.Mesh.StoreRelays()) > 0 {
-		every = relayedConfirmEvery
+		every = relayedConfirmInterval
 	}
 	if now-l.grants.ConfirmedAt() > every {
 		l.readEpoch(ctx)
@@ -24,7 +24,7 @@
 
 // readEpoch asks the store whether the epoch stands.
 func (l *leader) readEpoch(ctx context.Context) {
-	if l.reading {
+	if l.readingEpoch {
 		return
 	}
 	l.queryEpoch(ctx, func(err error) {
@@ -37,27 +37,27 @@
 // called there after a failure, before the leader may ask again; then in the leader's own
 // goroutine after an answer. One question is in flight at a time.
 func (l *leader) queryEpoch(ctx context.Context, failed func(err error), then func()) {
-	l.reading = true
+	l.readingEpoch = true
 	go func() {
 		sent := l.Clock.Now()
-		r, _, err := l.read(ctx)
+		r, _, err := l.readRecord(ctx)
 		if err != nil {
 			failed(err)
 		}
 		l.enqueue(ctx, func() {
-			l.reading = false
+			l.readingEpoch = false
 			if err != nil {
 				return
 			}
-			l.recordEpoch(r, sent)
+			l.handleEpoch(r, sent)
 			then()
 		})
 	}()
 }
 
-func (l *leader) recordEpoch(r lease.Record, sent time.Duration) {
+func (l *leader) handleEpoch(r lease.Record, sent time.Duration) {
 	if r.Epoch != l.grants.Record().Epoch || r.Incarnation != l.Self.Incarnation {
-		l.deposed = true
+		l.epochEnded = true
 		return
 	}
 	l.grants.ConfirmEpoch(sent)
@@ -69,34 +69,34 @@
 // succeeded. A connection that was opened before the store was asked breaks with the incarnation
 // that it was opened to.
 func (l *leader) confirmIncarnations(ctx context.Context, now time.Duration) {
-	if l.checking || now < l.checkNext {
+	if l.checkingIncarnations || now < l.nextIncarnationCheck {
 		return
 	}
 	var owners []lease.Owner
 	for _, o := range l.grants.Unconfirmed() {
-		if l.listed(o) {
+		if l.isListed(o) {
 			owners = append(owners, o)
 		}
 	}
 	if len(owners) == 0 {
 		return
 	}
-	l.checking, l.checkNext = true, now+checkPause
-	lines := make([]*orderLine, len(owners))
+	l.checkingIncarnations, l.nextIncarnationCheck = true, now+incarnationCheckInterval
+	senders := make([]*orderSender, len(owners))
 	for i, o := range owners {
-		lines[i] = l.line(ctx, o)
+		senders[i] = l.sender(ctx, o)
 	}
-	go l.checkIncarnations(ctx, owners, lines)
+	go l.checkIncarnations(ctx, owners, senders)
 }
 
-// listed reports whether the target is listed in this life.
-func (l *leader) listed(o lease.Owner) bool {
+// isListed reports whether the target is isListed in this life.
+func (l *leader) isListed(o lease.Owner) bool {
 	t := l.TargetDirectory.View().ByID[o.ID]
 	return t != nil && t.Born == o.Born
 }
 
-func (l *leader) checkIncarnations(ctx context.Context, owners []lease.Owner, lines []*orderLine) {
-	connected := connectAll(ctx, owners, lines)
+func (l *leader) checkIncarnations(ctx context.Context, owners []lease.Owner, senders []*orderSender) {
+	connected := connectAll(ctx, owners, senders)
 	var confirmed []lease.Owner
 	var record lease.Record
 	sent := l.Clock.Now()
@@ -104,19 +104,19 @@
 	if len(connected) > 0 {
 		confirmed, err = l.queryIncarnations(ctx, connected)
 		if err == nil {
-			record, _, err = l.read(ctx)
+			record, _, err = l.readRecord(ctx)
 		}
 	}
 	if err != nil {
 		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("lives of targets not confirmed")
 	}
 	l.enqueue(ctx, func() {
-		l.checking = false
+		l.checkingIncarnations = false
 		if err != nil || len(connected) == 0 {
 			return
 		}
-		l.recordEpoch(record, sent)
-		if l.deposed {
+		l.handleEpoch(record, sent)
+		if l.epochEnded {
 			return
 		}
 		for _, o := range confirmed {
@@ -125,16 +125,16 @@
 	})
 }
 
-func connectAll(ctx context.Context, owners []lease.Owner, lines []*orderLine) []lease.Owner {
+func connectAll(ctx context.Context, owners []lease.Owner, senders []*orderSender) []lease.Owner {
 	ok := make([]bool, len(owners))
 	var wait sync.WaitGroup
 	for i := range owners {
 		wait.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 			defer cancel()
-			lines[i].pool.Drop()
-			for range grantConns {
-				if lines[i].pool.Connect(ctx) != nil {
+			senders[i].pool.Drop()
+			for range grantConnections {
+				if senders[i].pool.Connect(ctx) != nil {
 					return
 				}
 				ok[i] = true
@@ -174,13 +174,13 @@
 	return out, nil
 }
 
-// recordIncarnations notes the ends of lives: targets that are listed with a later start.
-func (l *leader) recordIncarnations() {
+// markEndedIncarnations notes the ends of lives: targets that are listed with a later start.
+func (l *leader) markEndedIncarnations() {
 	for id, t := range l.TargetDirectory.View().ByID {
-		if l.bornKnown[id] == t.Born {
+		if l.latestBorn[id] == t.Born {
 			continue
 		}
-		l.bornKnown[id] = t.Born
+		l.latestBorn[id] = t.Born
 		for _, s := range l.grants.Record().Slices {
 			for _, o := range []lease.Owner{s.Owner, s.Previous} {
 				if o.ID == id && o.Born < t.Born {
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -138,10 +138,10 @@
 
 	// startedAt is when this process began.
 	startedAt time.Duration
-	// leading counts the services whose grantor this VM is.
-	leading atomic.Int32
-	// unfitUntil is until when this VM is no grantor.
-	unfitUntil atomic.Int64
+	// ledServices counts the services whose grantor this VM is.
+	ledServices atomic.Int32
+	// demotedUntil is until when this VM is no grantor.
+	demotedUntil atomic.Int64
 }
 
 // New returns a manager that does nothing yet. The context ends with the process.
@@ -150,12 +150,12 @@
 }
 
 // Leading returns the number of services whose grantor this VM is.
-func (m *Manager) Leading() int { return int(m.leading.Load()) }
+func (m *Manager) Leading() int { return int(m.ledServices.Load()) }
 
 // Run runs a candidate for each keyed service of the configuration until the context ends.
 func (m *Manager) Run(ctx context.Context) {
 	running := make(map[string]context.CancelFunc)
-	for pause.For(ctx, candidateStep) {
+	for pause.For(ctx, candidateTick) {
 		keyed := m.keyedServices()
 		for name := range keyed {
 			if running[name] == nil {
@@ -188,6 +188,6 @@
 // AwaitSuccessors waits until this VM is no grantor any more, or until the process must end.
 // It stays the grantor until another VM can take over, which takes the store.
 func (m *Manager) AwaitSuccessors(ctx context.Context) {
-	for m.leading.Load() > 0 && pause.For(ctx, leadStep) {
+	for m.ledServices.Load() > 0 && pause.For(ctx, leaderTick) {
 	}
 }
--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -23,39 +23,39 @@
 	ownersUneven   moveCause = "owners uneven"
 )
 
-// writePlanned plans who should own what and starts the write of changes.
-func (l *leader) writePlanned(ctx context.Context, now time.Duration) {
-	if l.writing || now < l.planNext || !l.LocalState.StoreReachable() {
+// planAndWrite plans who should own what and starts the write of changes.
+func (l *leader) planAndWrite(ctx context.Context, now time.Duration) {
+	if l.writingRecord || now < l.nextPlan || !l.LocalState.StoreReachable() {
 		return
 	}
-	l.planNext = now + planEvery
-	l.recordIncarnations()
+	l.nextPlan = now + planInterval
+	l.markEndedIncarnations()
 	var changes []lease.Change
 	var cause moveCause
-	if !l.unsettled {
+	if !l.writeAmbiguous {
 		if changes, cause = l.plan(now); len(changes) == 0 {
 			return
 		}
 	}
 	next := l.grants.Plan(changes)
-	l.logPlanned(changes, cause, now)
-	l.writing = true
+	l.logPlannedMoves(changes, cause, now)
+	l.writingRecord = true
 	version := l.version
 	go func() {
 		sent := l.Clock.Now()
-		written, err := l.write(ctx, next, version)
-		l.enqueue(ctx, func() { l.written(next, written, sent, err) })
+		written, err := l.writeRecord(ctx, next, version)
+		l.enqueue(ctx, func() { l.handleWriteResult(next, written, sent, err) })
 	}()
 }
 
-// logPlanned writes a line for each change of an owner that is planned.
-func (l *leader) logPlanned(changes []lease.Change, cause moveCause, now time.Duration) {
-	listed, revision := l.owners(), l.TargetDirectory.View().Targets.Revision
+// logPlannedMoves writes a line for each change of an owner that is planned.
+func (l *leader) logPlannedMoves(changes []lease.Change, cause moveCause, now time.Duration) {
+	listed, revision := l.eligibleOwners(), l.TargetDirectory.View().Targets.Revision
 	for _, c := range changes {
 		s := l.grants.Record().Slices[c.Slice]
 		why := cause
 		if why == "" {
-			why = l.absence(s.Owner, listed)
+			why = l.absenceCause(s.Owner, listed)
 		}
 		l.Log.Info().Str("step", "move").Str("service", l.service).Uint16("from", s.From).Str("owner", s.Owner.ID).
 			Str("to", c.To.ID).Str("cause", string(why)).Dur("silent", l.grants.SilentFor(s.Owner, now)).
@@ -63,10 +63,10 @@
 	}
 }
 
-func (l *leader) written(next lease.Record, version uint64, sent time.Duration, err error) {
-	l.writing = false
+func (l *leader) handleWriteResult(next lease.Record, version uint64, sent time.Duration, err error) {
+	l.writingRecord = false
 	if err == nil {
-		l.version, l.unsettled = version, false
+		l.version, l.writeAmbiguous = version, false
 		l.grants.Commit(next, sent)
 		return
 	}
@@ -74,11 +74,11 @@
 	switch {
 	case errors.Is(err, platform.ErrConflict):
 		// Another's write stands, or a lost one of ours: begin again from it.
-		l.deposed = true
+		l.epochEnded = true
 	case errors.Is(err, platform.ErrAmbiguous):
 		// A grantor that gave up now would find no store to begin again, and all keys would expire.
-		l.unsettled = true
-	case !l.unsettled:
+		l.writeAmbiguous = true
+	case !l.writeAmbiguous:
 		l.grants.Abandon()
 	}
 }
@@ -87,26 +87,26 @@
 // the owners are not live.
 func (l *leader) plan(now time.Duration) ([]lease.Change, moveCause) {
 	record := l.grants.Record()
-	live := l.live(now)
+	live := l.liveOwners(now)
 	if len(live) == 0 {
 		return nil, ""
 	}
-	rehomed := lease.Reassign(record.Slices, live)
-	rehomed = slices.DeleteFunc(rehomed, func(c lease.Change) bool { return !l.grants.Movable(c.Slice) })
-	if len(rehomed) > 0 {
-		return rehomed, ""
+	reassigned := lease.Reassign(record.Slices, live)
+	reassigned = slices.DeleteFunc(reassigned, func(c lease.Change) bool { return !l.grants.Movable(c.Slice) })
+	if len(reassigned) > 0 {
+		return reassigned, ""
 	}
-	if changes := l.spread(live, now); len(changes) > 0 {
+	if changes := l.spreadLoad(live, now); len(changes) > 0 {
 		return changes, ownerLoaded
 	}
-	if l.moving() >= evenMoving || !lease.Unbalanced(record.Slices, live) {
+	if l.countMoving() >= maxMovingToRebalance || !lease.Unbalanced(record.Slices, live) {
 		return nil, ""
 	}
 	return lease.Rebalance(record.Slices, live, l.targetLoad(live, now)), ownersUneven
 }
 
-// absence returns why an owner does not count as live, by the list of those that may own keys.
-func (l *leader) absence(o lease.Owner, listed []lease.Owner) moveCause {
+// absenceCause returns why an owner does not count as live, by the list of those that may own keys.
+func (l *leader) absenceCause(o lease.Owner, listed []lease.Owner) moveCause {
 	switch {
 	case !slices.ContainsFunc(listed, o.SameIncarnation):
 		return ownerNotListed
@@ -116,11 +116,11 @@
 	return ownerSilent
 }
 
-// live returns the owners that answer their orders.
-func (l *leader) live(now time.Duration) []lease.Owner {
+// liveOwners returns the owners that answer their orders.
+func (l *leader) liveOwners(now time.Duration) []lease.Owner {
 	var live []lease.Owner
-	for _, o := range l.owners() {
-		if l.grants.SilentFor(o, now) < silentOwner && !l.grants.HasEnded(o) {
+	for _, o := range l.eligibleOwners() {
+		if l.grants.SilentFor(o, now) < ownerSilenceTimeout && !l.grants.HasEnded(o) {
 			live = append(live, o)
 		}
 	}
@@ -129,7 +129,7 @@
 
 // targetLoad returns the measured load of slices and owners.
 func (l *leader) targetLoad(live []lease.Owner, now time.Duration) lease.TargetLoad {
-	ranges, _, capacity := l.loads(live, now)
+	ranges, _, capacity := l.sliceLoads(live, now)
 	load := make(map[lease.Owner]float64, len(live))
 	for i, v := range keyspread.Loads(ranges, capacity) {
 		load[live[i]] = v
@@ -141,8 +141,8 @@
 	}
 }
 
-// moving counts the slices that are on the move.
-func (l *leader) moving() int {
+// countMoving counts the slices that are on the move.
+func (l *leader) countMoving() int {
 	n := 0
 	for _, s := range l.grants.Record().Slices {
 		if s.Previous.Known() {
@@ -152,9 +152,9 @@
 	return n
 }
 
-// logMoves writes a line for each step of a move of keys: which target may hold them
+// logMoveEvents writes a line for each step of a move of keys: which target may hold them
 // follows from these lines and those of orders that were not done.
-func (l *leader) logMoves(now time.Duration) {
+func (l *leader) logMoveEvents(now time.Duration) {
 	for _, e := range l.grants.TakeEvents() {
 		entry := l.Log.Info().Str("step", "lease").Str("service", l.service).Uint64("epoch", l.grants.Record().Epoch).
 			Uint16("from", e.From).Uint16("to", e.To).Stringer("how", e.Kind).Str("owner", e.Owner.ID).Uint64("fence", e.Fence)
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -11,19 +11,19 @@
 )
 
 // Guards against moves of keys whose cause no log line names.
-func TestPlannedMovesNameTheirCause(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestPlannedMovesHaveACause(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	inService, silent, ended, left, fresh := lease.Owner{ID: "in-service"}, lease.Owner{ID: "silent"}, lease.Owner{ID: "ended"}, lease.Owner{ID: "left"}, lease.Owner{ID: "fresh"}
-	directory := listedTargets{}
+	directory := fixedDirectory{}
 	for _, o := range []lease.Owner{inService, silent, ended, fresh} {
 		directory.list = append(directory.list, catalog.Target{ID: o.ID, Service: "s", Slots: 1})
 	}
 	n.TargetDirectory = directory
 	owners := []lease.Owner{inService, silent, ended, left}
 	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(16, owners)}
-	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
+	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewInterval, Retry: orderRetryDelay}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	for _, o := range owners {
 		l.grants.MarkConfirmed(o)
@@ -39,9 +39,9 @@
 	}
 	answer(lease.Owner{})
 	l.grants.MarkEnded(ended)
-	clock.advance(renewEvery)
+	clock.advance(renewInterval)
 	answer(silent)
-	clock.advance(silentOwner)
+	clock.advance(ownerSilenceTimeout)
 
 	changes, cause := l.plan(clock.Now())
 	require.Empty(t, cause, "each of its owners has its own")
@@ -49,7 +49,7 @@
 	seen := make(map[moveCause]bool)
 	for _, c := range changes {
 		owner := l.grants.Record().Slices[c.Slice].Owner
-		require.Equal(t, want[owner], l.absence(owner, l.owners()), owner.ID)
+		require.Equal(t, want[owner], l.absenceCause(owner, l.eligibleOwners()), owner.ID)
 		require.NotEmpty(t, want[owner], "%s is in service", owner.ID)
 		seen[want[owner]] = true
 	}
--- a/internal/gateway/leasing/owners.go
+++ b/internal/gateway/leasing/owners.go
@@ -2,30 +2,30 @@
 
 import "hemlockquay/internal/lease"
 
-// firstOwners returns the targets among which the keys are dealt for the first
+// initialOwners returns the targets among which the keys are dealt for the first
 // time, or nil while more may still come.
-func (c *candidate) firstOwners() []lease.Owner {
+func (c *candidate) initialOwners() []lease.Owner {
 	view := c.TargetDirectory.View()
 	now := c.Clock.Now()
 	list := view.ByService[c.service]
 	if len(list) == 0 {
-		c.listSeen = 0
+		c.targetsSeenAt = 0
 		return nil
 	}
-	if c.listSeen == 0 {
-		c.listSeen = now
+	if c.targetsSeenAt == 0 {
+		c.targetsSeenAt = now
 	}
-	if view.Targets.Revision != c.listRevision {
-		c.listRevision, c.listChanged = view.Targets.Revision, now
+	if view.Targets.Revision != c.targetsRevision {
+		c.targetsRevision, c.targetsChangedAt = view.Targets.Revision, now
 	}
-	if now-c.listChanged < listSettles && now-c.listSeen < listMost {
+	if now-c.targetsChangedAt < targetListSettleTime && now-c.targetsSeenAt < maxTargetListWait {
 		return nil
 	}
-	return c.owners()
+	return c.eligibleOwners()
 }
 
-// owners returns the targets that may own keys.
-func (c *candidate) owners() []lease.Owner {
+// eligibleOwners returns the targets that may own keys.
+func (c *candidate) eligibleOwners() []lease.Owner {
 	list := c.TargetDirectory.View().ByService[c.service]
 	out := make([]lease.Owner, len(list))
 	for i, t := range list {
--- a/internal/gateway/leasing/record.go
+++ b/internal/gateway/leasing/record.go
@@ -13,12 +13,12 @@
 // kindLeases is the kind of the services' lease records.
 const kindLeases model.Kind = "hq-leases"
 
-func (c *candidate) id() platform.ID { return platform.ID{Kind: kindLeases, Name: c.service} }
+func (c *candidate) recordID() platform.ID { return platform.ID{Kind: kindLeases, Name: c.service} }
 
-func (c *candidate) read(ctx context.Context) (lease.Record, uint64, error) {
+func (c *candidate) readRecord(ctx context.Context) (lease.Record, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.StoreTimeout)
 	defer cancel()
-	o, err := c.Store.Get(ctx, c.id())
+	o, err := c.Store.Get(ctx, c.recordID())
 	if err != nil {
 		return lease.Record{}, 0, err
 	}
@@ -32,7 +32,7 @@
 	return r, o.Version, nil
 }
 
-func (c *candidate) write(ctx context.Context, r lease.Record, version uint64) (uint64, error) {
+func (c *candidate) writeRecord(ctx context.Context, r lease.Record, version uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.StoreTimeout)
 	defer cancel()
 	spec, err := json.Marshal(r)
--- a/internal/gateway/leasing/spread.go
+++ b/internal/gateway/leasing/spread.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// queryLoadEvery is how often the grantor queries the VMs for the load of keys.
-	queryLoadEvery = 250 * time.Millisecond
-	// spreadEvery is the least time between two checks of the load: rates fade
+	// loadQueryInterval is how often the grantor queries the VMs for the load of keys.
+	loadQueryInterval = 250 * time.Millisecond
+	// spreadInterval is the least time between two checks of the load: rates fade
 	// over about a second, and a move takes a few hundred milliseconds.
-	spreadEvery = 300 * time.Millisecond
-	// slicesDivided bounds the slices of a service, with those that were divided.
-	slicesDivided = 1024
-	// assumedTime is the service time before any was measured.
-	assumedTime = 100 * time.Millisecond
+	spreadInterval = 300 * time.Millisecond
+	// maxSlices bounds the slices of a service, with those that were divided.
+	maxSlices = 1024
+	// defaultServiceTime is the service time before any was measured.
+	defaultServiceTime = 100 * time.Millisecond
 )
 
 // loadView is the grantor's view of the load of keys and the speed of targets.
 type loadView struct {
-	rates  *keyspread.Rates
-	asked  time.Duration
-	spread time.Duration
-	// limitNext is when the limits are decided again, limits holds those of slices that have
+	rates      *keyspread.Rates
+	lastQuery  time.Duration
+	lastSpread time.Duration
+	// nextLimit is when the limits are decided again, limits holds those of slices that have
 	// one, by their first keys.
-	limitNext time.Duration
+	nextLimit time.Duration
 	limits    map[uint16]lease.Limit
 	// slowness is the last report of each VM on each target, by the hash of its
 	// id.
@@ -40,7 +40,7 @@
 	return &loadView{rates: keyspread.NewRates(), slowness: make(map[string]map[uint32]float64)}
 }
 
-func (v *loadView) take(vm string, in KeyLoad) {
+func (v *loadView) add(vm string, in KeyLoad) {
 	for i, key := range in.Keys {
 		v.rates.Add(key, int(in.Requests[i]))
 	}
@@ -51,8 +51,8 @@
 	v.slowness[vm] = slow
 }
 
-// slownessOf returns the mean of what all VMs report of a target.
-func (v *loadView) slownessOf(target uint32) float64 {
+// meanSlowness returns the mean of what all VMs report of a target.
+func (v *loadView) meanSlowness(target uint32) float64 {
 	sum, n := 0.0, 0
 	for _, m := range v.slowness {
 		if s, ok := m[target]; ok {
@@ -68,12 +68,12 @@
 
 // queryLoad collects the load of keys from all VMs.
 func (l *leader) queryLoad(ctx context.Context, now time.Duration) {
-	if now-l.load.asked < queryLoadEvery {
+	if now-l.load.lastQuery < loadQueryInterval {
 		return
 	}
-	l.load.asked = now
+	l.load.lastQuery = now
 	l.load.rates.Advance(now)
-	l.load.take(l.Self.VM, l.TargetDirectory.TakeKeyLoad(l.service))
+	l.load.add(l.Self.VM, l.TargetDirectory.TakeKeyLoad(l.service))
 	for _, vm := range l.Mesh.Others() {
 		go func() {
 			var in KeyLoad
@@ -81,25 +81,25 @@
 				l.Log.Debug().Str("step", "load").Str("peer", vm).Err(err).Msg("load of keys not known")
 				return
 			}
-			l.enqueue(ctx, func() { l.load.take(vm, in) })
+			l.enqueue(ctx, func() { l.load.add(vm, in) })
 		}()
 	}
 }
 
-// spread divides and moves slices that are too hot for their owners.
-func (l *leader) spread(live []lease.Owner, now time.Duration) []lease.Change {
-	if now-l.load.spread < spreadEvery {
+// spreadLoad divides and moves slices that are too hot for their owners.
+func (l *leader) spreadLoad(live []lease.Owner, now time.Duration) []lease.Change {
+	if now-l.load.lastSpread < spreadInterval {
 		return nil
 	}
-	l.load.spread = now
-	ranges, sums, capacity := l.loads(live, now)
+	l.load.lastSpread = now
+	ranges, sums, capacity := l.sliceLoads(live, now)
 	d := keyspread.Decide(ranges, capacity)
 	moved := make([]lease.Change, 0, len(d.Moves))
 	for _, m := range d.Moves {
 		moved = append(moved, lease.Change{Slice: m.Range, To: live[m.To]})
 	}
-	if len(ranges)+len(d.Divide) <= slicesDivided && l.divide(d.Divide, sums) {
-		l.load.spread = 0
+	if len(ranges)+len(d.Divide) <= maxSlices && l.splitSlices(d.Divide, sums) {
+		l.load.lastSpread = 0
 		return nil
 	}
 	for _, c := range moved {
@@ -110,15 +110,15 @@
 	return moved
 }
 
-// limit decides which part of the requests for each slice the VMs let through. Counts of an
+// updateLimits decides which part of the requests for each slice the VMs let through. Counts of an
 // owner's requests are older the more VMs there are: by these alone, all VMs together send the
 // owner of a hot key many times what it can do, and it leaves its renewals unanswered.
-func (l *leader) limit(now time.Duration) {
-	if now < l.load.limitNext {
+func (l *leader) updateLimits(now time.Duration) {
+	if now < l.load.nextLimit {
 		return
 	}
-	l.load.limitNext = now + spreadEvery
-	ranges, _, capacity := l.loads(l.live(now), now)
+	l.load.nextLimit = now + spreadInterval
+	ranges, _, capacity := l.sliceLoads(l.liveOwners(now), now)
 	limits := make(map[uint16]lease.Limit)
 	for i, part := range keyspread.Admitted(ranges, capacity) {
 		from := l.grants.Record().Slices[i].From
@@ -135,9 +135,9 @@
 	l.load.limits = limits
 }
 
-// divide cuts these slices in two and reports whether it cut any.
+// splitSlices cuts these slices in two and reports whether it cut any.
 // A slice with a renewal in flight cannot be divided; it must not hold up the moves of others.
-func (l *leader) divide(which []int, sums []keyspread.Sum) bool {
+func (l *leader) splitSlices(which []int, sums []keyspread.Sum) bool {
 	divided := false
 	// The last one first, so that the places of the others stay.
 	for _, i := range slices.Backward(slices.Sorted(slices.Values(which))) {
@@ -148,8 +148,8 @@
 	return divided
 }
 
-// loads returns the load of all slices and the capacity of the owners.
-func (l *leader) loads(live []lease.Owner, now time.Duration) ([]keyspread.Range, []keyspread.Sum, []float64) {
+// sliceLoads returns the load of all slices and the capacity of the owners.
+func (l *leader) sliceLoads(live []lease.Owner, now time.Duration) ([]keyspread.Range, []keyspread.Sum, []float64) {
 	record := l.grants.Record()
 	index := make(map[lease.Owner]int, len(live))
 	capacity := make([]float64, len(live))
@@ -183,9 +183,9 @@
 
 // capacityOf returns how many requests a second a target can do.
 func (l *leader) capacityOf(o lease.Owner) float64 {
-	slots, usual := max(l.TargetDirectory.Slots(o.ID), 1), assumedTime
+	slots, usual := max(l.TargetDirectory.Slots(o.ID), 1), defaultServiceTime
 	if d, known := l.TargetDirectory.MeanServiceTime(l.service); known {
 		usual = d
 	}
-	return float64(slots) / (usual.Seconds() * l.load.slownessOf(catalog.Hash(o.ID)))
+	return float64(slots) / (usual.Seconds() * l.load.meanSlowness(catalog.Hash(o.ID)))
 }
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -11,13 +11,13 @@
 )
 
 // Guards against moves that wait for a slice which cannot be divided now.
-func TestSliceThatCannotBeDividedNowHoldsNoMoveBack(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestUnsplittableSliceDoesNotBlockMoves(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	slow, hot, idle := lease.Owner{ID: "slow"}, lease.Owner{ID: "hot"}, lease.Owner{ID: "idle"}
 	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(6, []lease.Owner{slow, hot, idle})}
-	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
+	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewInterval, Retry: orderRetryDelay}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	live := []lease.Owner{slow, hot, idle}
 	for _, o := range live {
@@ -33,7 +33,7 @@
 		}
 	}
 	end(slow, hot, idle)
-	clock.advance(renewEvery)
+	clock.advance(renewInterval)
 	end(hot, idle)
 	l.load.rates.Advance(clock.Now())
 	for _, s := range l.grants.Record().Slices {
@@ -48,7 +48,7 @@
 	clock.advance(time.Second)
 	l.load.rates.Advance(clock.Now())
 	slices := len(l.grants.Record().Slices)
-	moves := l.spread(live, clock.Now())
+	moves := l.spreadLoad(live, clock.Now())
 	require.Len(t, l.grants.Record().Slices, slices, "its renewal is on its way")
 	require.NotEmpty(t, moves)
 	for _, c := range moves {
@@ -56,43 +56,43 @@
 	}
 }
 
-// listedTargets is a directory of the targets of one service.
-type listedTargets struct {
+// fixedDirectory is a directory of the targets of one service.
+type fixedDirectory struct {
 	emptyDirectory
 	list []catalog.Target
 }
 
-func (d listedTargets) View() *catalog.View {
+func (d fixedDirectory) View() *catalog.View {
 	return catalog.NewView(nil, catalog.Targets{Revision: 1, List: d.list})
 }
 
 // Guards against a fleet that overruns the owner of a hot key by counts that are seconds old.
-func TestGrantorLimitsWhatVMsSendForAHotKey(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestGrantorLimitsRequestsForHotKey(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	owners := []lease.Owner{{ID: "a", Addr: "127.0.0.1:1"}, {ID: "b", Addr: "127.0.0.1:1"}}
-	directory := listedTargets{}
+	directory := fixedDirectory{}
 	for _, o := range owners {
 		directory.list = append(directory.list, catalog.Target{ID: o.ID, Addr: o.Addr, Service: "s", Slots: 1})
 	}
 	n.TargetDirectory = directory
 	record := lease.Record{Service: "s", Epoch: 1, Slices: lease.EvenSlices(4, owners)}
-	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
+	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewInterval, Retry: orderRetryDelay}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	const hot, usual = 5, 60000
-	play := func(rate int) *lease.Routing {
+	limitsAtRate := func(rate int) *lease.Routing {
 		for range 20 {
-			clock.advance(spreadEvery)
+			clock.advance(spreadInterval)
 			l.load.rates.Advance(clock.Now())
-			l.load.rates.Add(hot, rate*int(spreadEvery)/int(time.Second))
+			l.load.rates.Add(hot, rate*int(spreadInterval)/int(time.Second))
 			l.load.rates.Add(usual, 1)
 		}
-		l.limit(clock.Now())
-		return l.routing(1, clock.Now())
+		l.updateLimits(clock.Now())
+		return l.currentRouting(1, clock.Now())
 	}
-	limited := play(200)
+	limited := limitsAtRate(200)
 	require.InDelta(t, 0.1, limited.LimitOf(hot).Fraction(), 0.04, "twice of ten a second")
 	require.Equal(t, lease.Unlimited, limited.LimitOf(usual))
-	require.Equal(t, lease.Unlimited, play(10).LimitOf(hot), "the key is no longer hot")
+	require.Equal(t, lease.Unlimited, limitsAtRate(10).LimitOf(hot), "the key is no longer hot")
 }
--- a/internal/gateway/leasing/heldorders_test.go
+++ b/internal/gateway/leasing/timedoutgrants_test.go
@@ -14,10 +14,10 @@
 	"hemlockquay/internal/upstream"
 )
 
-// keyHolder is a target of a service with one slice that takes orders as plainOrders
+// fakeTarget is a target of a service with one slice that takes orders as plainOrders
 // write them. Its clock is the test's.
-type keyHolder struct {
-	clock *handClock
+type fakeTarget struct {
+	clock *manualClock
 
 	mu    sync.Mutex
 	fence uint64
@@ -25,7 +25,7 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (h *keyHolder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *fakeTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var o lease.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -44,7 +44,7 @@
 	h.fence, h.until = o.Fence, h.clock.Now()+o.Hold
 }
 
-func (h *keyHolder) holds() bool {
+func (h *fakeTarget) holds() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.clock.Now() < h.until
@@ -59,42 +59,42 @@
 // sending what was written to a closed connection. Evidence: the fences that came late were
 // exactly those of orders logged as unanswered as the cut began; nothing was sent after; where
 // the connections are reset instead, the same days are whole.
-func TestGrantsThatWereGivenUpDoNotArriveAfterACut(t *testing.T) {
-	clock := newHandClock(time.Hour)
+func TestTimedOutGrantsDoNotArriveAfterPartition(t *testing.T) {
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
-	old, next := &keyHolder{clock: clock}, &keyHolder{clock: clock}
+	old, next := &fakeTarget{clock: clock}, &fakeTarget{clock: clock}
 	oldLink, nextLink := linktest.Serve(t, old), linktest.Serve(t, next)
 	oldOwner, nextOwner := lease.Owner{ID: "old", Addr: oldLink.Addr()}, lease.Owner{ID: "next", Addr: nextLink.Addr()}
 	record := lease.Record{Service: "s", Epoch: 1, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.EvenSlices(1, []lease.Owner{oldOwner})}
-	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewEvery, Retry: orderRetry}
+	timing := lease.Timing{Hold: lease.HoldTime, Renew: renewInterval, Retry: orderRetryDelay}
 	l := newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, clock.Now(), clock.Now(), lease.NoPriorGrants), 1)
 	for _, o := range []lease.Owner{oldOwner, nextOwner} {
-		require.NoError(t, l.line(t.Context(), o).pool.Connect(t.Context()))
+		require.NoError(t, l.sender(t.Context(), o).pool.Connect(t.Context()))
 		l.grants.MarkConfirmed(o)
 	}
-	// play sends what is due, one order after the other, and handles its end.
-	play := func() {
+	// sendDueOrders sends what is due, one order after the other, and handles its end.
+	sendDueOrders := func() {
 		for _, o := range l.grants.DueOrders(clock.Now()) {
-			line := l.line(t.Context(), o.Target)
+			sender := l.sender(t.Context(), o.Target)
 			if o.Kind == lease.Release {
-				l.release(t.Context(), line, o)
+				l.release(t.Context(), sender, o)
 			} else {
-				l.order(t.Context(), line, o, upstream.KeptConn, grantTimeout)
+				l.sendOrder(t.Context(), sender, o, upstream.KeptConn, grantTimeout)
 			}
 			(<-l.events)()
 		}
 	}
-	play()
+	sendDueOrders()
 	require.True(t, old.holds())
 
 	oldLink.Cut()
-	clock.advance(renewEvery)
-	play()
+	clock.advance(renewInterval)
+	sendDueOrders()
 	l.grants.Commit(l.grants.Plan([]lease.Change{{Slice: 0, To: nextOwner}}), clock.Now())
-	for cut := clock.Now(); !next.holds(); clock.advance(orderRetry) {
+	for cut := clock.Now(); !next.holds(); clock.advance(orderRetryDelay) {
 		require.Less(t, clock.Now(), cut+2*lease.HoldTime, "the keys have no owner")
-		play()
+		sendDueOrders()
 	}
 	require.False(t, old.holds())
 
