--- a/internal/gateway/leasing/broadcast.go
+++ b/internal/gateway/leasing/broadcast.go
@@ -14,26 +14,25 @@
 )
 
 const (
-	// pushTimeout bounds an update of another VM's leases.
+	// pushTimeout limits an update of another VM's leases.
 	pushTimeout = 300 * time.Millisecond
-	// pushLinkShare is the part of the link that updates in flight may take up within
-	// their timeout: renewals and requests share it.
+	// pushLinkShare is the share of the link's capacity within pushTimeout that the updates in flight
+	// may use. Renewals and requests use the same link.
 	pushLinkShare = 0.5
-	// typicalDeltaBytes is the usual size of an update that holds changes only.
+	// typicalDeltaBytes is the usual size of an update that holds only changes.
 	typicalDeltaBytes = 256
 )
 
-// ErrMalformed is the error of leases from another VM that are incomplete or contradict
-// themselves.
-var ErrMalformed = errors.New("lists do not fit together")
+// ErrMalformed is returned for leases from another VM that are incomplete or inconsistent.
+var ErrMalformed = errors.New("malformed leases: the lists are incomplete or inconsistent")
 
-// pushFunc sends an update to a VM and reports whether it could use it.
+// pushFunc sends an update to a VM and reports whether the VM could apply it.
 type pushFunc func(ctx context.Context, vm string, u *lease.Update) (used bool, err error)
 
-// leaseBroadcaster replicates a service's leases from the grantor to the other VMs. Each VM
-// has one update in flight at most, from the version that it last confirmed to the latest:
-// a slow link gets fewer updates, not a queue of them. The bytes of all updates in flight
-// are bounded by what the grantor's link carries within their timeout.
+// leaseBroadcaster replicates a service's leases from the grantor to the other VMs. Each VM has at most
+// one update in flight, from the version that it last confirmed to the latest one, so a slow link
+// carries fewer updates instead of a queue of them. The total size of the updates in flight is limited
+// by what the grantor's link carries within their timeout.
 type leaseBroadcaster struct {
 	push     pushFunc
 	log      *log.Logger
@@ -43,22 +42,24 @@
 
 	mu     sync.Mutex
 	latest *lease.Routing
-	// assumed is what a VM is taken to know until an update shows otherwise: the
-	// predecessor's last version; nil for nothing.
+	// assumed is the version that a VM is assumed to have until an update shows otherwise: the last
+	// one of the predecessor, or nil for none.
 	assumed *lease.Routing
 	peers   map[string]*peerProgress
 }
 
-// peerProgress is what one VM has confirmed.
+// peerProgress is the state of the updates to one VM.
 type peerProgress struct {
-	known    *lease.Routing
+	// known is the version that the VM has, or nil if it needs a full update.
+	known *lease.Routing
+	// updating reports whether a goroutine sends updates to the VM.
 	updating bool
 	// failing reports whether the last update failed.
 	failing bool
 }
 
-// newLeaseBroadcaster returns a broadcaster over a link that carries so many bytes a second. The
-// other VMs are assumed to have a version already, unless it is nil.
+// newLeaseBroadcaster returns a broadcaster for a link of the given capacity. The other VMs are taken
+// to have the version assumed, unless it is nil.
 func newLeaseBroadcaster(push pushFunc, logger *log.Logger, bytesPerSecond float64, assumed *lease.Routing) *leaseBroadcaster {
 	maxBytes := int64(pushLinkShare * bytesPerSecond * pushTimeout.Seconds())
 	return &leaseBroadcaster{
@@ -67,7 +68,7 @@
 	}
 }
 
-// Publish brings the VMs to this version.
+// Publish updates the VMs to a new version.
 func (b *leaseBroadcaster) Publish(ctx context.Context, r *lease.Routing, vms []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,8 +86,8 @@
 	}
 }
 
-// runUpdates brings one VM to the latest version, or until an runUpdates fails. A VM that an runUpdates
-// did not reach learns from the heartbeats that it is behind.
+// runUpdates sends updates to one VM until it has the latest version or an update fails. A VM that an
+// update did not reach learns from the heartbeats that it is behind.
 func (b *leaseBroadcaster) runUpdates(ctx context.Context, vm string, p *peerProgress) {
 	for !b.finishIfCurrent(p) {
 		size := min(updateSize(b.progress(p)), b.maxBytes)
@@ -104,8 +105,8 @@
 	}
 }
 
-// sendUpdate sends the changes from what the VM knows to the latest version, which may be
-// another one than before the update waited for its turn.
+// sendUpdate sends the changes from the VM's version to the latest one, which may be newer than when
+// the update began to wait for the link.
 func (b *leaseBroadcaster) sendUpdate(ctx context.Context, vm string, p *peerProgress) (seq uint64, err error) {
 	known, latest := b.progress(p)
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
@@ -121,7 +122,7 @@
 	return latest.Seq, err
 }
 
-// updateSize estimates the bytes of an update.
+// updateSize estimates the size of an update in bytes.
 func updateSize(known, latest *lease.Routing) int64 {
 	if known == nil {
 		return int64(latest.WireSize())
@@ -129,14 +130,14 @@
 	return typicalDeltaBytes
 }
 
-// progress returns what a VM knows and what it is to know.
+// progress returns the version that a VM has and the latest one.
 func (b *leaseBroadcaster) progress(p *peerProgress) (known, latest *lease.Routing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return p.known, b.latest
 }
 
-// finishIfCurrent reports whether a VM knows the latest version; its updates end then.
+// finishIfCurrent reports whether a VM has the latest version. If so, its updates end.
 func (b *leaseBroadcaster) finishIfCurrent(p *peerProgress) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,7 +145,7 @@
 	return !p.updating
 }
 
-// recordReply notes the reply to an update. A VM that could not use it gets a whole one.
+// recordReply records the reply to an update. A VM that could not apply it gets a full one next.
 func (b *leaseBroadcaster) recordReply(p *peerProgress, r *lease.Routing, used bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,9 +155,9 @@
 	}
 }
 
-// endAfterError ends the updates of a VM after an error. A link that is full, and a process that
-// is gone, get a pause first. After a timeout the VM probably still has the version that the
-// update was built on.
+// endAfterError ends the updates to a VM after an error. It delays the end after a timeout, when the
+// link may be full, and after a second error in a row, when the process may be gone. After a timeout
+// the VM probably still has the version that the update was based on.
 func (b *leaseBroadcaster) endAfterError(ctx context.Context, p *peerProgress, err error) {
 	timedOut := errors.Is(err, context.DeadlineExceeded)
 	known, again := b.recordFailure(p)
@@ -169,8 +170,8 @@
 	b.endUpdates(p, known)
 }
 
-// recordFailure notes a failed update and returns what the VM knew, and whether the one before
-// failed as well.
+// recordFailure records a failed update. It returns the version that the VM had and whether the update
+// before failed as well.
 func (b *leaseBroadcaster) recordFailure(p *peerProgress) (known *lease.Routing, again bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,13 +180,14 @@
 	return known, again
 }
 
+// endUpdates ends the updates to a VM, which is taken to have the version known.
 func (b *leaseBroadcaster) endUpdates(p *peerProgress, known *lease.Routing) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p.known, p.updating = known, false
 }
 
-// pushLeases sends changed leases to a VM.
+// pushLeases sends an update of leases to a VM.
 func (m *Manager) pushLeases(ctx context.Context, vm string, u *lease.Update) (bool, error) {
 	var used bool
 	err := m.Mesh.Call(ctx, vm, "View.Push", u, &used)
--- a/internal/gateway/leasing/broadcast_test.go
+++ b/internal/gateway/leasing/broadcast_test.go
@@ -16,10 +16,10 @@
 	"hemlockquay/internal/pause"
 )
 
-// testBytesPerSecond is a link that bounds no update of a test.
+// testBytesPerSecond is the capacity of a link that is fast enough for every update of the tests.
 const testBytesPerSecond = 100 * mesh.BytesPerMbit
 
-// fakePeer plays another VM: it takes updates in, each after a delay.
+// fakePeer is another VM. It applies each update after a delay, or fails the first ones.
 type fakePeer struct {
 	state    *state
 	delay    time.Duration
@@ -31,13 +31,13 @@
 	time.Sleep(p.delay)
 	if p.failures > 0 {
 		p.failures--
-		return false, errors.New("lost")
+		return false, errors.New("update lost")
 	}
 	p.updates = append(p.updates, u)
 	return p.state.updateRouting(u), ctx.Err()
 }
 
-// owners returns a routing in which the first slices of a hundred have moved.
+// owners returns a routing of a hundred slices in which the first ones have moved.
 func owners(seq uint64, moved int) *lease.Routing {
 	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.EvenSlices(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
 	for i := range moved {
@@ -46,7 +46,7 @@
 	return lease.NewRouting(r, seq, func(int) lease.SliceState { return lease.Served })
 }
 
-// Guards against a queue of updates that fills the grantor's link.
+// Guards against a queue of updates to a slow VM, which would fill the grantor's link.
 func TestSlowVMSkipsIntermediateVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := &fakePeer{state: testState(newManualClock(0)), delay: 50 * time.Millisecond}
@@ -57,12 +57,12 @@
 		}
 		time.Sleep(time.Second)
 		require.True(t, peer.state.routingOf("s").SameAs(owners(100, 99)))
-		require.LessOrEqual(t, len(peer.updates), 4, "one on its way at a time")
+		require.LessOrEqual(t, len(peer.updates), 4, "more than one update was in flight")
 		slices := 0
 		for _, u := range peer.updates[1:] {
 			slices += len(u.Routing.From)
 		}
-		require.LessOrEqual(t, slices, 100, "each changed slice once")
+		require.LessOrEqual(t, slices, 100, "a changed slice was sent more than once")
 	})
 }
 
@@ -97,7 +97,7 @@
 	})
 }
 
-// Guards against an update and a log line a slice to VMs whose processes are gone.
+// Guards against an update and a log line per changed slice to a VM whose process is gone.
 func TestUnreachableVMGetsFewUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tries := 0
@@ -114,7 +114,7 @@
 	})
 }
 
-// Guards against a version a slice while a successor's owners answer their first grants.
+// Guards against one version per slice while the owners answer a successor's first grants.
 func TestSuccessionPublishesFewVersions(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -128,7 +128,7 @@
 	require.LessOrEqual(t, l.publishedSeq, uint64(4))
 }
 
-// Guards against a successor that sends all leases to all VMs at once, which fills its link.
+// Guards against a successor that sends full updates to all VMs at once, which would fill its link.
 func TestSuccessorSendsDeltaFromPredecessorsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := &fakePeer{state: testState(newManualClock(0))}
@@ -146,8 +146,8 @@
 	})
 }
 
-// slowLink plays a link that carries updates to many VMs, and those VMs. An update takes its
-// time on the link after those before it.
+// slowLink is a link that carries the updates to many VMs, and those VMs. Updates are sent over the
+// link one after the other.
 type slowLink struct {
 	bytesPerSecond float64
 
@@ -174,7 +174,7 @@
 	return true, nil
 }
 
-// enqueue returns when the link has carried so many bytes more.
+// enqueue returns when the link will have carried so many more bytes.
 func (l *slowLink) enqueue(size int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,7 +185,7 @@
 	return l.freeAt
 }
 
-// Guards against a grantor that times out on its own updates.
+// Guards against a grantor whose own updates time out because together they exceed its link.
 func TestUpdatesInFlightAreBoundedByTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bytesPerSecond, vms = 10 * mesh.BytesPerMbit, 200
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -11,71 +11,73 @@
 	"hemlockquay/internal/platform"
 )
 
-// Timeouts and limits of leases.
+// Timings and limits of leases.
 const (
-	// renewInterval leaves three more tries within a hold.
+	// renewInterval allows three more attempts within a hold.
 	renewInterval = 600 * time.Millisecond
-	// orderRetryDelay is the pause after a failed order.
+	// orderRetryDelay is the delay after a failed order.
 	orderRetryDelay = 100 * time.Millisecond
-	// leaderTick is the time between two iterations of a grantor.
+	// leaderTick is the interval between two steps of a leader.
 	leaderTick = 20 * time.Millisecond
-	// discoveryTime is how long a VM that starts meets the others before it takes over
-	// anything: when all start at once, each would succeed the one before.
+	// discoveryTime is how long a VM that starts discovers the others before it takes over anything.
+	// Otherwise, when all VMs start at once, each would succeed the one before.
 	discoveryTime = 400 * time.Millisecond
-	// candidateTick is the time between two iterations of a VM that is none.
+	// candidateTick is the interval between two iterations of a candidate.
 	candidateTick = 100 * time.Millisecond
-	// rankDelay is by how much the next in the succession waits longer than the one before.
+	// rankDelay is how much longer each VM in the order of succession waits than the one before it.
 	rankDelay = 400 * time.Millisecond
-	// closeMonitors is how many VMs monitor the grantor closely, the grantor itself
-	// counted, which mostly has the first place.
+	// closeMonitors is the number of VMs that monitor the grantor closely. It includes the grantor
+	// itself, which usually has the first rank.
 	closeMonitors = 4
-	// minTerm is how long a VM that leaves must still have to succeed a grantor.
+	// minTerm is the time that a leaving VM must still have to succeed a grantor.
 	minTerm = time.Second
-	// monitorCheckInterval is how often a VM checks whether it is one of them.
+	// monitorCheckInterval is how often a VM checks whether it is to monitor the grantor closely.
 	monitorCheckInterval = time.Second
-	// minIsolationTime is how long the grantor must have been without the store, and
-	// this VM with it. After an outage VMs find the store again within
-	// StorePause of each other.
+	// minIsolationTime is how long the grantor must have been without the store, while this VM reaches
+	// it, to be succeeded. After an outage the VMs reach the store again within StoreRetryDelay of each
+	// other.
 	minIsolationTime = 600 * time.Millisecond
-	// minIsolationHeartbeats is for how many periods of heartbeats it must have been so: the
+	// minIsolationHeartbeats is the number of heartbeat periods for which the same must hold: the
 	// grantor's next heartbeat may say that it has found a relay.
 	minIsolationHeartbeats = 1
-	// confirmInterval is how often the epoch is confirmed at the store, three times
-	// within the authority.
+	// confirmInterval is how often the epoch is confirmed at the store: three times within the
+	// authority.
 	confirmInterval = lease.Authority / 3
-	// relayedConfirmInterval is how often it is confirmed through another VM.
+	// relayedConfirmInterval is how often the epoch is confirmed through another VM.
 	relayedConfirmInterval = 500 * time.Millisecond
-	// targetListSettleTime is how long the list of targets must have been the same before
-	// the keys are dealt for the first time, listMost how long that may take.
+	// targetListSettleTime is how long the list of targets must stay unchanged before the keys are
+	// assigned for the first time. maxTargetListWait limits the wait for that.
 	targetListSettleTime = 700 * time.Millisecond
 	maxTargetListWait    = 3 * time.Second
-	// initialSlicesPerOwner is how many slices each owner gets at first; slicesMost
-	// bounds them, since each is renewed by a call of its own.
+	// initialSlicesPerOwner is the number of slices that each owner gets at first. maxInitialSlices
+	// limits their total, since each slice is renewed by a call of its own.
 	initialSlicesPerOwner = 16
 	maxInitialSlices      = 512
-	// ownerSilenceTimeout is how long an owner may leave its renewals unanswered before
-	// its keys are given to others.
+	// ownerSilenceTimeout is how long an owner may leave its renewals unanswered before its keys are
+	// given to others.
 	ownerSilenceTimeout = 1200 * time.Millisecond
 )
 
-// candidate takes part in the succession of one service's grantor, and leads while it is the
-// grantor.
+// candidate takes part in the succession of one service's grantor. It runs a leader while this VM is
+// the grantor.
 type candidate struct {
 	*Manager
 	service string
 
-	// orderDeadline is until when orders may be sent, on the clock that counts
-	// suspended time; 0 while this VM is not the grantor.
+	// orderDeadline is until when orders may be sent, on the clock that counts suspended time. It is
+	// 0 while this VM is not the grantor.
 	orderDeadline atomic.Int64
 
-	// storeStableSince is since when the store has answered this VM while the grantor, which
-	// lives, was stranded; 0 while it was not.
+	// storeStableSince is since when the store has answered this VM's reads of the record while the
+	// grantor was alive but isolated from the store. It is 0 if there is no such time.
 	storeStableSince time.Duration
-	// nextMonitorCheck is when this VM checks again whether it should monitor the grantor.
+	// nextMonitorCheck is when this VM checks again whether it is to monitor the grantor closely.
 	nextMonitorCheck time.Duration
-	// isolatedSince is since when the grantor does not reach the store.
+	// isolatedSince is since when the grantor has been isolated from the store, or 0.
 	isolatedSince time.Duration
-	// listChanged and listSeen date the list of targets for the first dealing.
+	// targetsRevision is the last revision of the list of targets, targetsChangedAt the time at which
+	// it was first seen, and targetsSeenAt the time since which the list has not been empty. They
+	// delay the initial assignment.
 	targetsRevision  uint64
 	targetsChangedAt time.Duration
 	targetsSeenAt    time.Duration
@@ -106,8 +108,8 @@
 	}
 }
 
-// monitorGrantor has this VM monitor the grantor closely while it is one of the first
-// successors: in a large fleet a VM counts as lost only after more than a hold.
+// monitorGrantor makes this VM monitor the grantor closely while it is one of the first successors.
+// Without close monitoring, a VM in a large fleet counts as lost only after more than a hold.
 func (c *candidate) monitorGrantor(now time.Duration) {
 	if now < c.nextMonitorCheck {
 		return
@@ -120,10 +122,9 @@
 	c.Mesh.Monitor(c.service, holder)
 }
 
-// resume takes over at once where this VM was the grantor before its process
-// ended.
-// When all processes restart at once, the VM that the record names needs no agreement, and keys
-// would expire while the VMs meet.
+// resume takes over at once if this VM was the grantor before its process restarted. When all
+// processes restart at once, the VM that the record names needs no agreement, and keys would expire
+// while the VMs discover each other.
 func (c *candidate) resume(ctx context.Context) {
 	for !c.LocalState.TargetsListed() {
 		if !pause.For(ctx, leaderTick) {
@@ -135,12 +136,12 @@
 		return
 	}
 	if err := c.takeOver(ctx); err != nil {
-		c.Log.Warn().Str("step", "leases").Str("service", c.service).Err(err).Msg("not resumed")
+		c.Log.Warn().Str("step", "leases").Str("service", c.service).Err(err).Msg("not resumed as the grantor after a restart")
 	}
 }
 
-// succession returns this VM's rank among the successors, and whether the present grantor
-// stands.
+// succession returns this VM's rank among the successors and whether the current grantor is healthy.
+// The rank is negative if this VM must not take over.
 func (c *candidate) succession() (rank int, grantorHealthy bool) {
 	now := c.Clock.Now()
 	leaving := c.LocalState.Leaving()
@@ -153,9 +154,8 @@
 		return -1, true
 	}
 	if r != nil && r.Holder == c.Self.VM && r.Incarnation == c.Self.Incarnation {
-		// Our own epoch ended on a conflict of its record. The others still see a
-		// grantor that lives; waiting for a place in the line would let the keys
-		// lapse.
+		// The epoch of this VM ended because another write of its record conflicted. The other VMs still
+		// see a live grantor, and keys would expire while this VM waited for its turn.
 		return 0, false
 	}
 	rank = c.LocalState.SuccessionRank(c.service)
@@ -163,15 +163,15 @@
 		rank += min(c.Mesh.Staying(), closeMonitors)
 	}
 	if int64(now) < c.demotedUntil.Load() {
-		// All others come first; but where all resigned, one must do it.
+		// All others come first. If all have resigned, one of them must still take over.
 		rank += c.Mesh.Size()
 	}
 	return rank, false
 }
 
-// isolated reports whether the store has turned the grantor away for a while, and
-// answers this VM.
-// Such a grantor renews what it granted, but cannot move the keys of targets that leave or fail.
+// isolated reports whether the grantor has been without the store for a while although the store
+// answers this VM. Such a grantor renews its grants, but cannot move the keys of targets that leave
+// or fail.
 func (c *candidate) isolated(holder string) bool {
 	now := c.Clock.Now()
 	if !c.LocalState.StoreUp() || c.Mesh.ReachesStoreIndirectly(holder) {
@@ -184,15 +184,15 @@
 	return now-c.isolatedSince > c.minIsolation()
 }
 
-// minIsolation is for how long the grantor must be without the store, and this VM with it,
-// until it is succeeded.
+// minIsolation is how long the grantor must be without the store, while this VM reaches it, to be
+// succeeded.
 func (c *candidate) minIsolation() time.Duration {
 	return max(minIsolationTime, minIsolationHeartbeats*c.Mesh.Period())
 }
 
-// storeStable reports whether the store has answered this VM's reads of the record for long
-// enough to succeed a grantor that lives. A VM that made no call during an outage takes the
-// store for up all the while; at its end the grantor needs a moment to find the store again.
+// storeStable reports whether the store has answered this VM's reads of the record for long enough to
+// succeed a live grantor. A VM that made no call during an outage considers the store up throughout;
+// when the outage ends, the grantor needs a moment to reach the store again.
 func (c *candidate) storeStable(old lease.Record) bool {
 	if old.Resigned || old.Holder == c.Self.VM || !c.Mesh.Lives(old.Holder, old.Incarnation) {
 		return true
@@ -204,7 +204,9 @@
 	return now-c.storeStableSince > c.minIsolation()
 }
 
-// takeOver makes this VM the grantor and leads until it is succeeded.
+// takeOver makes this VM the grantor and runs its leader until it is succeeded. It does nothing while
+// the initial owners are not known, the record names a healthy grantor, or the store has not been
+// stable for long enough.
 func (c *candidate) takeOver(ctx context.Context) error {
 	old, version, err := c.readRecord(ctx)
 	unclaimed := errors.Is(err, platform.ErrNotFound)
@@ -240,8 +242,8 @@
 	return nil
 }
 
-// presumeServed has the owners that the predecessor granted last count as serving their keys for
-// as long as its grants last. They are dated from its last heartbeat.
+// presumeServed treats the owners that the predecessor granted last as serving their keys until its
+// grants expire. The grants are dated by the predecessor's last heartbeat.
 func (c *candidate) presumeServed(grants *lease.Grantor, old lease.Record) {
 	last := c.Leases.Of(c.service)
 	heard, known := c.Mesh.LastHeard(old.Holder, old.Incarnation)
@@ -251,8 +253,8 @@
 	grants.PresumeServed(last, heard+min(lease.HoldTime, c.MaxHold)-renewInterval)
 }
 
-// coldMoveTime is how long keys are slow at an owner that got them without the state of
-// the last one.
+// coldMoveTime is how long requests for keys are slow at an owner that got the keys without the state
+// of the previous owner.
 func (c *candidate) coldMoveTime() time.Duration {
 	t := c.TargetDirectory.View().Routes
 	if t == nil {
@@ -261,9 +263,8 @@
 	return t.Config().Services[c.service].ColdMove
 }
 
-// priorGrants returns what may still be in force of the grantor before. Its process has
-// ended for sure where another one runs at its address: this one, or one that the
-// mesh knows.
+// priorGrants returns which grants of the previous grantor may still be valid. Its process has
+// certainly ended if another one runs at its address: this one, or one that the mesh knows.
 func (c *candidate) priorGrants(old lease.Record, unclaimed bool) lease.PriorGrants {
 	switch {
 	case unclaimed:
@@ -274,15 +275,15 @@
 	return lease.PriorGrantsUnknown
 }
 
-// hasLiveGrantor reports whether the record names a grantor that lives, and makes it
-// known: no heartbeat had named it yet.
+// hasLiveGrantor reports whether the record names a live grantor that is not isolated. If so, it
+// publishes the record on this VM, since no heartbeat has named the grantor yet.
 func (c *candidate) hasLiveGrantor(r lease.Record) bool {
 	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.Lives(r.Holder, r.Incarnation) || c.isolated(r.Holder) {
 		return false
 	}
 	old := c.Leases.Of(c.service)
 	if old != nil && old.Epoch == r.Epoch && old.Holder == "" {
-		// It said that it resigned, and could not write it.
+		// The grantor announced its resignation but could not write it.
 		return false
 	}
 	if old == nil || r.Epoch > old.Epoch {
--- a/internal/gateway/leasing/candidate_test.go
+++ b/internal/gateway/leasing/candidate_test.go
@@ -14,7 +14,7 @@
 	"hemlockquay/internal/platform"
 )
 
-// Guards against keys without an owner while the store turns away the grantor alone.
+// Guards against keys without an owner while the store rejects only the grantor's calls.
 func TestGrantorIsolatedFromStoreIsReplaced(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -40,10 +40,10 @@
 
 	n.storeUp.Store(false)
 	_, healthy = c.succession()
-	require.True(t, healthy, "a VM without the store succeeds nobody")
+	require.True(t, healthy, "a VM without the store must not take over")
 }
 
-// Guards against the succession of a grantor that has the store through another VM.
+// Guards against replacing a grantor that reaches the store through another VM.
 func TestGrantorWithStoreRelayIsNotReplaced(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -60,7 +60,7 @@
 	}
 }
 
-// leadingNode returns the node as a grantor, and its store, which holds the record and is away.
+// leadingNode returns the node as a grantor, and its store, which holds the record but is down.
 func leadingNode(t *testing.T, n *node) (*leader, *fakeStore) {
 	record := lease.Record{Service: "s", Epoch: 4, Holder: "self", Incarnation: n.Self.Incarnation, Slices: lease.EvenSlices(2, []lease.Owner{{ID: "t"}})}
 	spec, err := json.Marshal(record)
@@ -72,7 +72,8 @@
 	return newLeader(&candidate{Manager: n.Manager, service: "s"}, lease.NewGrantor(record, timing, now, now, lease.PriorGrantsEnded), 1), store
 }
 
-// Guards against a relay that the others learn of too late.
+// Guards against other VMs learning too late that a relay works: the grantor must confirm its epoch
+// through the relay at the shorter interval.
 func TestGrantorConfirmsEpochThroughRelay(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -87,7 +88,8 @@
 	require.Equal(t, clock.Now(), l.grants.ConfirmedAt())
 }
 
-// Guards against a takeover at the end of an outage by a VM that made no call meanwhile.
+// Guards against a takeover at the end of an outage by a VM that made no call during it and still
+// considers the store up.
 func TestNoTakeoverRightAfterStoreOutage(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -101,7 +103,7 @@
 	n.state.setOwner("s", 3, 1, "t", lease.Served)
 	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
 	c := &candidate{Manager: n.Manager, service: "s"}
-	// A leader ends at once.
+	// With an ended context, a leader returns at once.
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	epoch := func() uint64 {
@@ -119,17 +121,17 @@
 	stranded(2 * minIsolationTime)
 	_, healthy := c.succession()
 	require.False(t, healthy)
-	require.Error(t, c.takeOver(ended), "the store is away")
+	require.Error(t, c.takeOver(ended), "the store is down")
 	store.up.Store(true)
 	require.NoError(t, c.takeOver(ended))
-	require.EqualValues(t, 3, epoch(), "the store has just returned")
+	require.EqualValues(t, 3, epoch(), "took over right after the store came back")
 
 	stranded(2 * minIsolationTime)
 	require.NoError(t, c.takeOver(ended))
-	require.EqualValues(t, 4, epoch(), "the grantor still does not reach it")
+	require.EqualValues(t, 4, epoch(), "did not take over although the grantor stays isolated from the store")
 }
 
-// Guards against a VM that counts as the grantor after its process has restarted.
+// Guards against a VM that counts as the grantor although its process has restarted.
 func TestRestartedGrantorProcessIsReplaced(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -141,7 +143,8 @@
 	require.False(t, healthy)
 }
 
-// Guards against grants that expire while a grantor waits to succeed itself.
+// Guards against grants that expire while a grantor whose epoch ended waits for its turn to succeed
+// itself.
 func TestGrantorTakesOverItsOwnEndedEpochAtOnce(t *testing.T) {
 	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
@@ -156,7 +159,7 @@
 	require.Zero(t, rank)
 }
 
-// Guards against a process that ends because it resigns before it has published leases.
+// Guards against a crash of a grantor that resigns before it has published any leases.
 func TestResignationBeforeFirstPublication(t *testing.T) {
 	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
@@ -169,7 +172,8 @@
 	require.False(t, healthy)
 }
 
-// Guards against keys without service: the grantor resigned while the store was away.
+// Guards against keys without a grantor: a leaving grantor resigned while the store was down, so no VM
+// could take over.
 func TestLeavingGrantorContinuesWhileStoreIsUnavailable(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -186,12 +190,12 @@
 	}
 	tries(5)
 	require.False(t, l.resigning)
-	require.NotZero(t, l.orderDeadline.Load(), "it may still order")
+	require.NotZero(t, l.orderDeadline.Load(), "it must still be able to send orders")
 
 	store.up.Store(true)
 	tries(1)
 	require.True(t, l.resigning)
-	require.Zero(t, l.orderDeadline.Load(), "the record is written after the last order")
+	require.Zero(t, l.orderDeadline.Load(), "orders may be sent after the resignation is written")
 	(<-l.events)()
 	require.True(t, l.epochEnded)
 	var record lease.Record
@@ -210,10 +214,11 @@
 	require.False(t, l.epochEnded)
 	require.False(t, l.resigning)
 	l.handleResignation(platform.ErrAmbiguous)
-	require.True(t, l.epochEnded, "it may have been taken: another may lead already")
+	require.True(t, l.epochEnded, "the store may have applied the write, so another VM may lead already")
 }
 
-// Guards against a successor that must wait for the authority of a grantor that still orders.
+// Guards against a takeover from a leaving grantor that still sends orders: the successor would have to
+// wait until its authority expires.
 func TestLeavingGrantorIsNotReplacedBeforeItResigns(t *testing.T) {
 	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
@@ -228,7 +233,7 @@
 	require.False(t, healthy)
 }
 
-// Guards against keys without a grantor from the stop of all VMs to the first start.
+// Guards against keys without a grantor from the stop of all VMs until the first one has restarted.
 func TestLeavingGrantorContinuesWhileAllOthersLeave(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -241,9 +246,9 @@
 		clock.advance(resignRetryInterval)
 		n.receive(mesh.Heartbeat{From: other, Leaving: true})
 		l.step(t.Context())
-		require.Zero(t, l.nextResign, "it does not try to")
+		require.Zero(t, l.nextResign, "tried to resign although all other VMs are leaving")
 	}
-	require.NotZero(t, l.orderDeadline.Load(), "it may still order")
+	require.NotZero(t, l.orderDeadline.Load(), "it must still be able to send orders")
 
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "other", Addr: "127.0.0.1:1", Incarnation: 6}})
 	clock.advance(resignRetryInterval)
@@ -251,10 +256,10 @@
 	for !l.resigning {
 		(<-l.events)()
 	}
-	require.True(t, l.resigning, "one that has started again takes over")
+	require.True(t, l.resigning, "did not resign although a restarted VM can take over")
 }
 
-// Guards against keys without a grantor until the first VM has started again.
+// Guards against keys without a grantor until the first VM has restarted, when all VMs are leaving.
 func TestLeavingVMTakesOverWhenAllOthersLeave(t *testing.T) {
 	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
@@ -266,7 +271,8 @@
 	require.GreaterOrEqual(t, rank, 0)
 }
 
-// Guards against a successor that must wait until its predecessor, which has ended, counts as silent.
+// Guards against a successor that must wait until its predecessor, whose process has exited, counts as
+// lost.
 func TestLeavingGrantorResignsBeforeExit(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -283,7 +289,8 @@
 	}
 }
 
-// Guards against a grantor that is to end before it could grant anything, and one that comes before a VM that stays.
+// Guards against a leaving VM that takes over before a VM that stays, or when it has no time left to
+// grant anything.
 func TestLeavingVMRanksAfterStayingVMs(t *testing.T) {
 	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
@@ -295,7 +302,7 @@
 		n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1}})
 	}
 	rank, _ := c.succession()
-	require.Equal(t, alone+closeMonitors+2*closeMonitors, rank, "its place, which is the last here, after four that stay")
+	require.Equal(t, alone+closeMonitors+2*closeMonitors, rank, "its rank, which is the last here, after the closeMonitors VMs that stay")
 	n.endsIn.Store(int64(minTerm - time.Millisecond))
 	rank, _ = c.succession()
 	require.Negative(t, rank)
--- a/internal/gateway/leasing/helpers_test.go
+++ b/internal/gateway/leasing/helpers_test.go
@@ -21,7 +21,7 @@
 	"hemlockquay/internal/upstream"
 )
 
-// manualClock is moved by the test.
+// manualClock is a clock that the test advances.
 type manualClock struct{ now atomic.Int64 }
 
 func newManualClock(now time.Duration) *manualClock {
@@ -36,7 +36,7 @@
 
 func discardLogger() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
 
-// state is what a VM knows of leases.
+// state is the leases that a VM knows.
 type state struct{ leases *published.Leases }
 
 func testState(clock *manualClock) *state {
@@ -51,7 +51,7 @@
 	s.leases.Set(lease.NewRouting(r, seq, func(int) lease.SliceState { return state }))
 }
 
-// node plays the VM of a grantor, without goroutines, targets or a store that answers.
+// node is the VM of a grantor without goroutines or targets. Its store is down at first.
 type node struct {
 	*Manager
 	mesh    *mesh.Mesh
@@ -92,7 +92,7 @@
 // OnHeartbeat implements mesh.Local.
 func (*node) OnHeartbeat(mesh.Heartbeat) {}
 
-// localState is that of a node which comes last in the line for each duty.
+// localState is the state of a node that ranks last in every succession.
 type localState struct{ n *node }
 
 func (s localState) StoreUp() bool                { return s.n.storeUp.Load() }
@@ -103,7 +103,7 @@
 func (s localState) SuccessionRank(string) int    { return s.n.mesh.Size() - 1 }
 func (s localState) WriteID() string              { return strconv.FormatUint(s.n.tags.Add(1), 10) }
 
-// emptyDirectory knows no routes and targets.
+// emptyDirectory is a directory without routes and targets.
 type emptyDirectory struct{}
 
 func (emptyDirectory) View() *catalog.View { return catalog.NewView(nil, catalog.Targets{}) }
@@ -115,7 +115,7 @@
 func (emptyDirectory) WarmupCost(string) float64                    { return 1 }
 func (emptyDirectory) TakeKeyLoad(string) KeyLoad                   { return KeyLoad{} }
 
-// jsonOrderCodec are orders as JSON.
+// jsonOrderCodec encodes orders as JSON.
 type jsonOrderCodec struct{}
 
 func (jsonOrderCodec) TargetKind() model.Kind { return "targets" }
@@ -132,7 +132,7 @@
 	return lease.Fenced, "", nil
 }
 
-// fakeStore is away, or holds one record and takes every write of it.
+// fakeStore holds one record and accepts every write of it, or is down.
 type fakeStore struct {
 	up     atomic.Bool
 	record platform.Object
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -10,8 +10,8 @@
 	"hemlockquay/internal/pause"
 )
 
-// confirmEpoch has the store confirm the epoch from time to time. While the store turns this
-// VM away it does so more often, which shows the others that a relay works.
+// confirmEpoch has the store confirm the epoch at intervals. While the store does not answer this VM
+// but a relay exists, it does so more often, which shows the other VMs that the relay works.
 func (l *leader) confirmEpoch(ctx context.Context, now time.Duration) {
 	every := confirmInterval
 	if !l.LocalState.StoreUp() && len(l.Mesh.StoreRelays()) > 0 {
@@ -22,7 +22,7 @@
 	}
 }
 
-// readEpoch asks the store whether the epoch stands.
+// readEpoch asks the store whether the epoch is still valid.
 func (l *leader) readEpoch(ctx context.Context) {
 	if l.readingEpoch {
 		return
@@ -33,9 +33,9 @@
 	}, func() {})
 }
 
-// queryEpoch reads the record beside the leader's goroutine and notes its epoch. failed is
-// called there after a failure, before the leader may ask again; then in the leader's own
-// goroutine after an answer. One question is in flight at a time.
+// queryEpoch reads the record in a goroutine and handles its epoch. After an error, failed is called
+// in that goroutine, before the leader may query again. After an answer, then is called in the
+// leader's goroutine. One query is in flight at a time.
 func (l *leader) queryEpoch(ctx context.Context, failed func(err error), then func()) {
 	l.readingEpoch = true
 	go func() {
@@ -55,6 +55,8 @@
 	}()
 }
 
+// handleEpoch handles a record that was read: it either confirms this grantor's epoch or shows that
+// the epoch has ended.
 func (l *leader) handleEpoch(r lease.Record, sent time.Duration) {
 	if r.Epoch != l.grants.Record().Epoch || r.Incarnation != l.Self.Incarnation {
 		l.epochEnded = true
@@ -63,11 +65,12 @@
 	l.grants.ConfirmEpoch(sent)
 }
 
-// confirmIncarnations opens connections to owners to which an order broke and then asks
-// the store whether they are in the same life and the epoch stands.
-// A restarted target has forgotten its fences and would take a grant of a grantor that was
-// succeeded. A connection that was opened before the store was asked breaks with the incarnation
-// that it was opened to.
+// confirmIncarnations opens connections to owners to which an order could not be delivered. It then
+// asks the store whether they are still the same incarnations and the epoch is still valid.
+//
+// A restarted target has lost its fences and would accept a grant from a superseded grantor. A
+// connection that was opened before the store was asked breaks with the incarnation that it was
+// opened to.
 func (l *leader) confirmIncarnations(ctx context.Context, now time.Duration) {
 	if l.checkingIncarnations || now < l.nextIncarnationCheck {
 		return
@@ -89,7 +92,7 @@
 	go l.checkIncarnations(ctx, owners, senders)
 }
 
-// isListed reports whether the target is isListed in this life.
+// isListed reports whether this incarnation of a target is listed.
 func (l *leader) isListed(o lease.Owner) bool {
 	t := l.TargetDirectory.View().ByID[o.ID]
 	return t != nil && t.Born == o.Born
@@ -108,7 +111,7 @@
 		}
 	}
 	if err != nil {
-		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("lives of targets not confirmed")
+		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("incarnations of targets not confirmed")
 	}
 	l.enqueue(ctx, func() {
 		l.checkingIncarnations = false
@@ -125,6 +128,7 @@
 	})
 }
 
+// connectAll opens the connections for grants to the owners and returns the owners that were reached.
 func connectAll(ctx context.Context, owners []lease.Owner, senders []*orderSender) []lease.Owner {
 	ok := make([]bool, len(owners))
 	var wait sync.WaitGroup
@@ -151,7 +155,7 @@
 	return out
 }
 
-// queryIncarnations returns those owners that the store lists in the same life.
+// queryIncarnations returns the owners that the store lists as the same incarnation.
 func (l *leader) queryIncarnations(ctx context.Context, owners []lease.Owner) ([]lease.Owner, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.StoreTimeout)
 	defer cancel()
@@ -174,7 +178,7 @@
 	return out, nil
 }
 
-// markEndedIncarnations notes the ends of lives: targets that are listed with a later start.
+// markEndedIncarnations marks the incarnations as ended whose targets are listed with a later start.
 func (l *leader) markEndedIncarnations() {
 	for id, t := range l.TargetDirectory.View().ByID {
 		if l.latestBorn[id] == t.Born {
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -11,57 +11,56 @@
 )
 
 const (
-	// grantTimeout bounds a grant: targets answer it at once.
+	// grantTimeout limits a grant, which targets answer at once.
 	grantTimeout = 300 * time.Millisecond
-	// releaseTimeout bounds a release, which is answered when the work on the
-	// keys has ended.
+	// releaseTimeout limits a release, which is answered when the requests for the keys have ended.
 	releaseTimeout = 4 * time.Second
-	// maxConcurrentReleases bounds the connections to a target for releases.
+	// maxConcurrentReleases limits the connections to a target for releases.
 	maxConcurrentReleases = 6
-	// incarnationCheckInterval is the least time between two checks of lives, each of which
-	// costs calls to the store.
+	// incarnationCheckInterval is the minimum time between two checks of incarnations, each of which
+	// calls the store.
 	incarnationCheckInterval = 250 * time.Millisecond
-	// maxMovingToRebalance is from how many slices on the move no more are moved only to
+	// maxMovingToRebalance is the number of moving slices from which no more slices are moved only to
 	// even out their number.
 	maxMovingToRebalance = 16
-	// resignRetryInterval is the time between two tries to resign while the store does not
-	// answer.
+	// resignRetryInterval is the time between two attempts to resign while the store does not answer.
 	resignRetryInterval = 200 * time.Millisecond
-	// finalResignWindow is how long before its process ends a grantor resigns that no VM
-	// succeeds: a few calls to the store.
+	// finalResignWindow is how long before its process exits a grantor resigns although no VM stays to
+	// succeed it. It allows for a few calls to the store.
 	finalResignWindow = 2 * resignRetryInterval
-	// planInterval is the least time between two plans of who should own what.
+	// planInterval is the minimum time between two plans of the owners.
 	planInterval = 100 * time.Millisecond
-	// publishInterval is the least time between two published versions.
+	// publishInterval is the minimum time between two published versions.
 	publishInterval = leaderTick
-	// minOwnerSilence is for how long an owner has left orders unanswered when it counts
-	// as silent: two orders in a row ran into their timeouts.
-	// Targets that leave half of their orders unanswered must not make the grantors resign in turn.
+	// minOwnerSilence is how long an owner has left orders unanswered when it counts as silent: two
+	// orders in a row have timed out. Targets that leave half of their orders unanswered must not make
+	// one grantor after the other resign.
 	minOwnerSilence = 2 * grantTimeout
-	// demotionTime is how long a VM that resigned is the last in the succession.
+	// demotionTime is how long a VM that resigned ranks last in the succession.
 	demotionTime = 8 * time.Second
-	// eventQueueSize bounds the ends of orders and calls that wait for the leader.
+	// eventQueueSize limits the results of orders and store calls that wait for the leader.
 	eventQueueSize = 1024
 )
 
-// leader is the grantor of one service at work. Its goroutine owns the state of
-// the grants; orders and calls to the store run beside it and report by events.
+// leader acts as the grantor of one service. Its goroutine owns the state of the grants. Orders and
+// calls to the store run in other goroutines and report their results as events.
 type leader struct {
 	*candidate
 	grants       *lease.Grantor
 	version      uint64
 	publishedSeq uint64
-	// published is the last version that was published.
+	// published is the version that was published last.
 	published   *lease.Routing
 	broadcaster *leaseBroadcaster
 
-	events        chan func()
+	events chan func()
+	// epochEnded reports whether this grantor resigned or lost its epoch.
 	epochEnded    bool
 	writingRecord bool
-	// writeAmbiguous reports whether the answer to the last write was lost.
+	// writeAmbiguous reports whether the answer to the last write was lost, so that the store may or may
+	// not have applied it.
 	writeAmbiguous bool
-	// resigning reports whether the resignation is being written; no orders are sent
-	// any more.
+	// resigning reports whether the resignation is being written. No orders are sent then.
 	resigning            bool
 	nextResign           time.Duration
 	readingEpoch         bool
@@ -74,7 +73,8 @@
 	senders          map[lease.Owner]*orderSender
 	load             *loadView
 	lagMeter         *fitness.Meter
-	latestBorn       map[string]int64
+	// latestBorn is the start of each target's latest incarnation, by target id.
+	latestBorn map[string]int64
 }
 
 func newLeader(c *candidate, g *lease.Grantor, version uint64) *leader {
@@ -88,7 +88,7 @@
 	return l
 }
 
-// run leads until another grantor took over or the context ends.
+// run leads until the epoch has ended or the context ends.
 func (l *leader) run(ctx context.Context) {
 	l.ledServices.Add(1)
 	defer l.ledServices.Add(-1)
@@ -122,7 +122,7 @@
 	}
 }
 
-// enqueue hands an event to the leader's goroutine.
+// enqueue passes an event to the leader's goroutine.
 func (l *leader) enqueue(ctx context.Context, event func()) {
 	select {
 	case l.events <- event:
@@ -156,13 +156,14 @@
 	l.publishChanges(now)
 }
 
-// shouldHandOver reports whether this VM leaves, and another one should be the grantor: one that
-// stays, or any while this VM's process is about to end.
+// shouldHandOver reports whether this VM is leaving and another one should be the grantor: one that
+// stays, or any other once this VM's process is about to exit.
 func (l *leader) shouldHandOver() bool {
 	return l.LocalState.Leaving() && (l.Mesh.Staying() > 0 || l.LocalState.TimeUntilExit() < finalResignWindow)
 }
 
-// mostOwnersSilent reports whether most owners leave orders unanswered.
+// mostOwnersSilent reports whether so many owners leave orders unanswered that the fault is probably
+// this VM's.
 func (l *leader) mostOwnersSilent(now time.Duration) bool {
 	if now < l.nextSilenceCheck {
 		return false
@@ -181,16 +182,16 @@
 	return fitness.Strayed(silent, len(owners))
 }
 
-// tryResign resigns if the store answers. Without it nobody could take over, and all keys would
+// tryResign resigns if the store answers. Without the store no VM could take over, and all keys would
 // expire within a hold.
 func (l *leader) tryResign(ctx context.Context, now time.Duration) {
 	if l.resigning || l.writingRecord || l.readingEpoch || now < l.nextResign {
-		// A write in flight comes first.
+		// A write or read in flight ends first.
 		return
 	}
 	l.nextResign = now + resignRetryInterval
 	l.queryEpoch(ctx, func(err error) {
-		l.Log.Info().Str("step", "leases").Str("service", l.service).Err(err).Msg("not resigned, nobody could take over")
+		l.Log.Info().Str("step", "leases").Str("service", l.service).Err(err).Msg("not resigned: the store did not answer, so no VM could take over")
 	}, func() {
 		if !l.epochEnded && !l.writingRecord {
 			l.resign(ctx)
@@ -198,8 +199,8 @@
 	})
 }
 
-// resign ends the orders of a grantor that leaves or is too slow, then marks
-// the record, so that its successor need not wait for its authority to end.
+// resign stops the orders of a grantor that is leaving, too slow or cut off from the owners. It then
+// marks the record as resigned, so that the successor need not wait until the authority expires.
 func (l *leader) resign(ctx context.Context) {
 	l.orderDeadline.Store(0)
 	l.resigning = true
@@ -215,8 +216,8 @@
 	}()
 }
 
-// handleResignation handles the end of the write. One that the store surely did not apply, and
-// never will, changes nothing: the grantor goes on.
+// handleResignation handles the result of writing the resignation. If the store certainly has not
+// applied the write and never will, the grantor continues.
 func (l *leader) handleResignation(err error) {
 	if errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrAmbiguous) {
 		l.resigning = false
@@ -226,7 +227,7 @@
 	l.publish(l.vacantRouting())
 }
 
-// vacantRouting returns leases without a grantor: another VM takes over at once.
+// vacantRouting returns the leases without a grantor, upon which another VM takes over at once.
 func (l *leader) vacantRouting() *lease.Routing {
 	now := l.Clock.Now()
 	l.publishedSeq++
@@ -241,8 +242,8 @@
 	return r != nil && r.Epoch > l.grants.Record().Epoch
 }
 
-// publishChanges publishes the leases when they have changed. A succession changes hundreds of
-// slices one after another.
+// publishChanges publishes the leases if they have changed, at most once per publishInterval: a
+// succession changes hundreds of slices one after another.
 func (l *leader) publishChanges(now time.Duration) {
 	if now < l.nextPublish {
 		return
@@ -256,7 +257,7 @@
 	l.publish(routing)
 }
 
-// currentRouting returns the leases as they are now.
+// currentRouting returns the current leases as the version seq.
 func (l *leader) currentRouting(seq uint64, now time.Duration) *lease.Routing {
 	record := l.grants.Record()
 	r := lease.NewRouting(record, seq, func(i int) lease.SliceState { return l.grants.State(i, now) })
@@ -264,7 +265,7 @@
 	return r
 }
 
-// publish puts leases in force here and replicates them to the other VMs.
+// publish applies leases on this VM and replicates them to the other VMs.
 func (l *leader) publish(routing *lease.Routing) {
 	l.published = routing
 	l.Leases.Set(routing)
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -1,10 +1,10 @@
-// Package leasing does the work of granting keys for the VM that it runs on: it is the
-// grantor of some keyed services and ready to become that of the others.
+// Package leasing manages the leases of keyed services on its VM: the VM is the grantor of some
+// services and a candidate to succeed the grantors of the others.
 //
-// It starts goroutines, sends orders to targets, writes the records of leases to the store
-// and notifies the other VMs. What it decides stands where none of that is done: in
-// internal/lease, the state machine of the grants, and in internal/decide. Nothing on the
-// path of a request is here; that path reads what internal/gateway/published holds.
+// The package runs goroutines, sends orders to targets, writes lease records to the store and
+// notifies the other VMs. The decisions are made by packages that do none of this: internal/lease,
+// the state machine of the grants, and internal/decide. The request path does not call this
+// package; it reads the leases from internal/gateway/published.
 package leasing
 
 import (
@@ -26,17 +26,17 @@
 	"hemlockquay/internal/upstream"
 )
 
-// Deps are what the grantor needs of its VM.
+// Deps are the dependencies of a Manager.
 type Deps struct {
 	Self     mesh.Member
 	Clock    boottime.Clock
 	Log      *log.Logger
 	Registry metrics.Registry
-	// MaxHold bounds the hold of a lease, as targets take it.
+	// MaxHold limits the hold of a lease to what targets accept.
 	MaxHold time.Duration
 
 	Store Store
-	// StoreTimeout bounds a call to the store, StoreRetryDelay follows a failed one.
+	// StoreTimeout limits a call to the store. StoreRetryDelay is the delay after a failed call.
 	StoreTimeout, StoreRetryDelay time.Duration
 
 	Mesh            Mesh
@@ -44,107 +44,110 @@
 	LocalState      LocalState
 	TargetDirectory TargetDirectory
 	OrderCodec      OrderCodec
-	// TargetIDHeader names the target that is meant, InstanceIDHeader the one that
+	// TargetIDHeader names the target that a request is meant for, InstanceIDHeader the one that
 	// answers.
 	TargetIDHeader, InstanceIDHeader string
 }
 
-// Store is the part of the platform's store that the grantor uses.
+// Store is the part of the platform's store that a Manager uses.
 type Store interface {
 	platform.ReadWriter
 	ListKind(ctx context.Context, kind model.Kind) (platform.Listing, error)
 }
 
-// Mesh is the part of the mesh of VMs that the grantor uses.
+// Mesh is the part of the mesh of VMs that a Manager uses.
 type Mesh interface {
-	// Lives reports whether a VM lives in this incarnation.
+	// Lives reports whether the given incarnation of a VM is alive.
 	Lives(vm string, incarnation uint64) bool
-	// LastHeard returns when a VM was last heard of in this incarnation; false if it is not
-	// known.
+	// LastHeard returns when the given incarnation of a VM was last heard from. known is false if
+	// that is not known.
 	LastHeard(vm string, incarnation uint64) (at time.Duration, known bool)
-	// ReachesStoreIndirectly reports whether the store answers a VM, directly or through
-	// another VM.
+	// ReachesStoreIndirectly reports whether a VM reaches the store, directly or through another
+	// VM.
 	ReachesStoreIndirectly(vm string) bool
 	// StoreRelays returns the VMs through which the store can be called.
 	StoreRelays() []mesh.Member
-	// Monitor has this VM monitor the one that has a duty closely; an empty name ends it.
+	// Monitor makes this VM closely monitor the VM that has a duty. An empty name ends the
+	// monitoring.
 	Monitor(duty, vm string)
-	// Period is the time between two heartbeats of a pair of VMs.
+	// Period is the interval between two heartbeats of a pair of VMs.
 	Period() time.Duration
-	// Replaced reports whether the process of a VM has ended for sure.
+	// Replaced reports whether the process of a VM has certainly ended.
 	Replaced(vm, addr string, incarnation uint64) bool
-	// Size is how many VMs live, with this one.
+	// Size is the number of live VMs, including this one.
 	Size() int
-	// Staying is how many other VMs live and were not asked to end.
+	// Staying is the number of other live VMs that were not asked to end.
 	Staying() int
-	// Others returns the other VMs that live.
+	// Others returns the other live VMs.
 	Others() []string
-	// Call calls another VM.
+	// Call calls a method of another VM.
 	Call(ctx context.Context, vm, method string, args, reply any) error
 }
 
-// LocalState is how this VM stands.
+// LocalState is the state of this VM.
 type LocalState interface {
-	// StoreUp reports whether the store answered last.
+	// StoreUp reports whether the last direct call to the store was answered.
 	StoreUp() bool
-	// TargetsListed reports whether the targets are known.
+	// TargetsListed reports whether the list of targets is known.
 	TargetsListed() bool
-	// Leaving reports whether the VM's process was asked to end.
+	// Leaving reports whether this VM's process was asked to end.
 	Leaving() bool
-	// StoreReachable reports whether the store answered last, directly or through
-	// another VM.
+	// StoreReachable reports whether the store can be reached, directly or through another VM.
 	StoreReachable() bool
-	// TimeUntilExit returns when the VM's process, which was asked to end, ends at the latest.
+	// TimeUntilExit returns the longest time until this VM's process, which was asked to end,
+	// exits.
 	TimeUntilExit() time.Duration
-	// SuccessionRank returns the VM's place, from 0, in the succession of a service's grantor. One
-	// that leaves has a place among those that leave.
+	// SuccessionRank returns this VM's rank, from 0, in the order of succession of a service's
+	// grantor. A leaving VM is ranked among the leaving VMs.
 	SuccessionRank(service string) int
-	// WriteID returns a name for a write that no other write has.
+	// WriteID returns an identifier that no other write has.
 	WriteID() string
 }
 
-// TargetDirectory is what this VM believes of targets and services.
+// TargetDirectory is what this VM knows about targets and services.
 type TargetDirectory interface {
 	// View returns the routes and targets.
 	View() *catalog.View
-	// ReadTarget reads a target's entry; false if it names no target to use.
+	// ReadTarget parses a target's entry. It returns false if the entry names no usable target.
 	ReadTarget(o platform.Object) (catalog.Target, bool)
-	// Slots is how many requests a target runs at a time; 0 if it is not known.
+	// Slots is the number of requests that a target runs at a time, or 0 if it is not known.
 	Slots(target string) int
-	// MeanServiceTime is what a request to a service takes; false if it was not measured.
+	// MeanServiceTime is the mean duration of a request to a service. It returns false if none was
+	// measured.
 	MeanServiceTime(service string) (time.Duration, bool)
-	// WarmupCost is how many usual requests one for a cold key is worth.
+	// WarmupCost is the number of usual requests that cost as much as one for a cold key.
 	WarmupCost(service string) float64
-	// TakeKeyLoad returns what this VM has seen of a service's keys, and starts anew.
+	// TakeKeyLoad returns the load of a service's keys that this VM has counted since the last
+	// call.
 	TakeKeyLoad(service string) KeyLoad
 }
 
-// OrderCodec translate orders for the platform's targets.
+// OrderCodec encodes orders for the platform's targets and decodes their answers.
 type OrderCodec interface {
 	// TargetKind is the kind of the targets' entries.
 	TargetKind() model.Kind
-	// Order renders an order on leases.
+	// Order encodes an order.
 	Order(o lease.Order) (*upstream.Request, error)
-	// OrderResult reads the answer to an order.
+	// OrderResult decodes the answer to an order.
 	OrderResult(a *upstream.Answer) (result lease.Result, handover string, err error)
 }
 
-// Manager manages the leases of all keyed services for this VM: as their grantor, or as a
-// candidate to succeed it.
+// Manager manages the leases of all keyed services on this VM, as their grantor or as a candidate to
+// succeed it.
 type Manager struct {
 	Deps
-	// ctx ends with the process: updates to other VMs outlast their grantor.
+	// ctx ends with the process: updates to other VMs may outlast the leader that sent them.
 	ctx context.Context
 
-	// startedAt is when this process began.
+	// startedAt is when this process started.
 	startedAt time.Duration
-	// ledServices counts the services whose grantor this VM is.
+	// ledServices is the number of services whose grantor this VM is.
 	ledServices atomic.Int32
-	// demotedUntil is until when this VM is no grantor.
+	// demotedUntil is until when this VM ranks last in the succession, because it has resigned.
 	demotedUntil atomic.Int64
 }
 
-// New returns a manager that does nothing yet. The context ends with the process.
+// New returns a Manager that is not running yet. The context ends with the process.
 func New(ctx context.Context, d Deps) *Manager {
 	return &Manager{Deps: d, ctx: ctx, startedAt: d.Clock.Now()}
 }
@@ -185,8 +188,8 @@
 	return out
 }
 
-// AwaitSuccessors waits until this VM is no grantor any more, or until the process must end.
-// It stays the grantor until another VM can take over, which takes the store.
+// AwaitSuccessors waits until this VM is no longer a grantor, or until the context ends because the
+// process must exit. A grantor resigns only once another VM can take over, which requires the store.
 func (m *Manager) AwaitSuccessors(ctx context.Context) {
 	for m.ledServices.Load() > 0 && pause.For(ctx, leaderTick) {
 	}
--- a/internal/gateway/leasing/moves.go
+++ b/internal/gateway/leasing/moves.go
@@ -11,10 +11,10 @@
 	"hemlockquay/internal/platform"
 )
 
-// moveCause is why keys get another owner, for the log.
+// moveCause is the reason for which keys move to another owner, as it is logged.
 type moveCause string
 
-// The causes of moves. The first three are those for which an owner does not count as live.
+// The causes of moves. In the first three cases the owner does not count as live.
 const (
 	ownerNotListed moveCause = "owner not listed"
 	ownerEnded     moveCause = "owner ended"
@@ -23,7 +23,7 @@
 	ownersUneven   moveCause = "owners uneven"
 )
 
-// planAndWrite plans who should own what and starts the write of changes.
+// planAndWrite plans changes of owners and starts to write them to the store.
 func (l *leader) planAndWrite(ctx context.Context, now time.Duration) {
 	if l.writingRecord || now < l.nextPlan || !l.LocalState.StoreReachable() {
 		return
@@ -48,7 +48,7 @@
 	}()
 }
 
-// logPlannedMoves writes a line for each change of an owner that is planned.
+// logPlannedMoves logs each planned change of an owner.
 func (l *leader) logPlannedMoves(changes []lease.Change, cause moveCause, now time.Duration) {
 	listed, revision := l.eligibleOwners(), l.TargetDirectory.View().Targets.Revision
 	for _, c := range changes {
@@ -73,18 +73,20 @@
 	l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("record not written")
 	switch {
 	case errors.Is(err, platform.ErrConflict):
-		// Another's write stands, or a lost one of ours: begin again from it.
+		// Another VM wrote the record, or an earlier write of this VM was applied although its answer was
+		// lost. Start again from the stored record.
 		l.epochEnded = true
 	case errors.Is(err, platform.ErrAmbiguous):
-		// A grantor that gave up now would find no store to begin again, and all keys would expire.
+		// A grantor that gave up now could not start again while the store is down, and all keys would
+		// expire.
 		l.writeAmbiguous = true
 	case !l.writeAmbiguous:
 		l.grants.Abandon()
 	}
 }
 
-// plan returns the changes of owners that are wanted now and their cause, which is empty where
-// the owners are not live.
+// plan returns the changes of owners to make now and their cause. The cause is empty if the owners are
+// not live, as each change then has its own.
 func (l *leader) plan(now time.Duration) ([]lease.Change, moveCause) {
 	record := l.grants.Record()
 	live := l.liveOwners(now)
@@ -105,7 +107,7 @@
 	return lease.Rebalance(record.Slices, live, l.targetLoad(live, now)), ownersUneven
 }
 
-// absenceCause returns why an owner does not count as live, by the list of those that may own keys.
+// absenceCause returns why an owner does not count as live. listed are the owners that may own keys.
 func (l *leader) absenceCause(o lease.Owner, listed []lease.Owner) moveCause {
 	switch {
 	case !slices.ContainsFunc(listed, o.SameIncarnation):
@@ -116,7 +118,7 @@
 	return ownerSilent
 }
 
-// liveOwners returns the owners that answer their orders.
+// liveOwners returns the eligible owners that answer their orders and have not ended.
 func (l *leader) liveOwners(now time.Duration) []lease.Owner {
 	var live []lease.Owner
 	for _, o := range l.eligibleOwners() {
@@ -141,7 +143,7 @@
 	}
 }
 
-// countMoving counts the slices that are on the move.
+// countMoving returns the number of slices that are moving.
 func (l *leader) countMoving() int {
 	n := 0
 	for _, s := range l.grants.Record().Slices {
@@ -152,8 +154,8 @@
 	return n
 }
 
-// logMoveEvents writes a line for each step of a move of keys: which target may hold them
-// follows from these lines and those of orders that were not done.
+// logMoveEvents logs each step of a move of keys. These lines, with those of orders that were not
+// done, tell which target may hold the keys.
 func (l *leader) logMoveEvents(now time.Duration) {
 	for _, e := range l.grants.TakeEvents() {
 		entry := l.Log.Info().Str("step", "lease").Str("service", l.service).Uint64("epoch", l.grants.Record().Epoch).
--- a/internal/gateway/leasing/moves_test.go
+++ b/internal/gateway/leasing/moves_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/lease"
 )
 
-// Guards against moves of keys whose cause no log line names.
+// Guards against moves of keys without a cause in the log.
 func TestPlannedMovesHaveACause(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -44,7 +44,7 @@
 	clock.advance(ownerSilenceTimeout)
 
 	changes, cause := l.plan(clock.Now())
-	require.Empty(t, cause, "each of its owners has its own")
+	require.Empty(t, cause, "each change must have a cause of its own")
 	want := map[lease.Owner]moveCause{silent: ownerSilent, ended: ownerEnded, left: ownerNotListed}
 	seen := make(map[moveCause]bool)
 	for _, c := range changes {
--- a/internal/gateway/leasing/orders.go
+++ b/internal/gateway/leasing/orders.go
@@ -13,27 +13,27 @@
 	"hemlockquay/internal/upstream"
 )
 
-// grantConnections is how many connections to a target carry its grants. Where a target
-// leaves an order unanswered, its connection is lost; as many as may fail before the
-// target is taken for gone.
+// grantConnections is the number of connections to a target that carry its grants. An order that a
+// target leaves unanswered costs its connection, so this many orders may fail before the target counts
+// as gone.
 const grantConnections = 4
 
-// orderSender sends the orders to one life of a target. Grants go over connections that
-// were opened before the life was confirmed: what reaches the other end of such a
-// connection reaches that life, whatever became of the other connections.
+// orderSender sends the orders to one incarnation of a target. Grants go over connections that were
+// opened before the incarnation was confirmed: what arrives over such a connection arrives at that
+// incarnation, whatever became of the other connections.
 type orderSender struct {
 	pool     *upstream.Pool
 	grants   chan queuedGrant
 	releases chan struct{}
 }
 
-// queuedGrant is a grant that waits for its turn since a moment.
+// queuedGrant is a grant that has been in the queue since queuedAt.
 type queuedGrant struct {
 	lease.Order
 	queuedAt time.Duration
 }
 
-// send hands an order to its target's line.
+// send passes an order to the sender of its target.
 func (l *leader) send(ctx context.Context, o lease.Order) {
 	sender := l.sender(ctx, o.Target)
 	if o.Kind == lease.Release {
@@ -47,6 +47,7 @@
 	}
 }
 
+// sender returns the sender for an owner and starts it if there is none.
 func (l *leader) sender(ctx context.Context, o lease.Owner) *orderSender {
 	sender := l.senders[o]
 	if sender == nil {
@@ -67,7 +68,7 @@
 	return sender
 }
 
-// sendGrants sends grants to one target, one after the other.
+// sendGrants sends queued grants to one target, one after the other.
 func (l *leader) sendGrants(ctx context.Context, sender *orderSender) {
 	for {
 		select {
@@ -92,9 +93,10 @@
 	l.sendOrder(ctx, sender, o, upstream.NewConn, releaseTimeout)
 }
 
-// sendOrder sends one sendOrder, reports its end to the leader and returns it.
-// This VM may be suspended between the decision and the send, and be succeeded meanwhile: the
-// authority is read again right before the bytes leave, on a clock that counts suspended time.
+// sendOrder sends one order, reports its result to the leader and returns it.
+//
+// This VM may be suspended between the decision and the send, and be succeeded meanwhile. The deadline
+// of its authority is therefore checked right before the send, on a clock that counts suspended time.
 func (l *leader) sendOrder(ctx context.Context, sender *orderSender, o lease.Order, conn upstream.Choice, timeout time.Duration) lease.Result {
 	sent := l.Clock.Now()
 	result, handover, err := lease.Unreached, "", errAuthorityExpired
@@ -112,7 +114,7 @@
 	return result
 }
 
-var errAuthorityExpired = errors.New("authority has run out")
+var errAuthorityExpired = errors.New("the authority to send orders has expired")
 
 func (l *leader) exchange(ctx context.Context, sender *orderSender, o lease.Order, conn upstream.Choice, timeout time.Duration) (lease.Result, string, error) {
 	request, err := l.OrderCodec.Order(o)
@@ -135,10 +137,12 @@
 	return result, handover, err
 }
 
-// addressReassigned asks the process at a target's address for its id, and reports whether
-// it is another target's.
-// The address of a target that is gone may pass to one of a service without keys, which answers an
-// order with an error. Without the check, the keys would wait until the last grant has expired.
+// addressReassigned asks the process at an owner's address for its id and reports whether it is
+// another target.
+//
+// The address of a target that is gone may be reassigned to a target of a service without keys, which
+// answers an order with an error. Without this check, the keys would be unavailable until the last
+// grant has expired.
 func (l *leader) addressReassigned(ctx context.Context, sender *orderSender, o lease.Owner) bool {
 	table := l.TargetDirectory.View().Routes
 	if table == nil {
@@ -153,7 +157,7 @@
 		return false
 	}
 	id := answer.Header.Get(l.InstanceIDHeader)
-	l.Log.Warn().Str("step", "order").Str("target", o.ID).Str("addr", o.Addr).Str("answers", id).Msg("who answers at the address of an owner")
+	l.Log.Warn().Str("step", "order").Str("target", o.ID).Str("addr", o.Addr).Str("answers", id).Msg("asked the process at the address of an owner for its id")
 	return id != "" && id != o.ID
 }
 
--- a/internal/gateway/leasing/owners.go
+++ b/internal/gateway/leasing/owners.go
@@ -2,8 +2,8 @@
 
 import "hemlockquay/internal/lease"
 
-// initialOwners returns the targets among which the keys are dealt for the first
-// time, or nil while more may still come.
+// initialOwners returns the targets to which the keys are assigned for the first time, or nil while
+// more targets may still be listed.
 func (c *candidate) initialOwners() []lease.Owner {
 	view := c.TargetDirectory.View()
 	now := c.Clock.Now()
--- a/internal/gateway/leasing/record.go
+++ b/internal/gateway/leasing/record.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/platform"
 )
 
-// kindLeases is the kind of the services' lease records.
+// kindLeases is the kind of the lease records in the store.
 const kindLeases model.Kind = "hq-leases"
 
 func (c *candidate) recordID() platform.ID { return platform.ID{Kind: kindLeases, Name: c.service} }
@@ -24,7 +24,7 @@
 	}
 	var r lease.Record
 	if err := json.Unmarshal(o.Spec, &r); err != nil {
-		return lease.Record{}, 0, fmt.Errorf("read record of %s: %w", c.service, err)
+		return lease.Record{}, 0, fmt.Errorf("decode lease record of %s: %w", c.service, err)
 	}
 	if err := r.Check(); err != nil {
 		return lease.Record{}, 0, err
@@ -37,7 +37,7 @@
 	defer cancel()
 	spec, err := json.Marshal(r)
 	if err != nil {
-		return 0, fmt.Errorf("encode record of %s: %w", c.service, err)
+		return 0, fmt.Errorf("encode lease record of %s: %w", c.service, err)
 	}
 	o, err := platform.Write(ctx, c.Store, platform.Object{Kind: kindLeases, Name: c.service, Version: version, Writer: c.LocalState.WriteID(), Spec: spec})
 	return o.Version, err
--- a/internal/gateway/leasing/spread.go
+++ b/internal/gateway/leasing/spread.go
@@ -13,26 +13,25 @@
 const (
 	// loadQueryInterval is how often the grantor queries the VMs for the load of keys.
 	loadQueryInterval = 250 * time.Millisecond
-	// spreadInterval is the least time between two checks of the load: rates fade
-	// over about a second, and a move takes a few hundred milliseconds.
+	// spreadInterval is the minimum time between two checks of the load: rates decay over about a
+	// second, and a move takes a few hundred milliseconds.
 	spreadInterval = 300 * time.Millisecond
-	// maxSlices bounds the slices of a service, with those that were divided.
+	// maxSlices limits the slices of a service, including those that result from splits.
 	maxSlices = 1024
 	// defaultServiceTime is the service time before any was measured.
 	defaultServiceTime = 100 * time.Millisecond
 )
 
-// loadView is the grantor's view of the load of keys and the speed of targets.
+// loadView is what the grantor knows of the load of keys and the speed of targets.
 type loadView struct {
 	rates      *keyspread.Rates
 	lastQuery  time.Duration
 	lastSpread time.Duration
-	// nextLimit is when the limits are decided again, limits holds those of slices that have
-	// one, by their first keys.
+	// nextLimit is when the limits are decided again. limits holds the limits of the slices that
+	// have one, by the first key of the slice.
 	nextLimit time.Duration
 	limits    map[uint16]lease.Limit
-	// slowness is the last report of each VM on each target, by the hash of its
-	// id.
+	// slowness is the last report of each VM on each target, by the hash of the target's id.
 	slowness map[string]map[uint32]float64
 }
 
@@ -40,6 +39,7 @@
 	return &loadView{rates: keyspread.NewRates(), slowness: make(map[string]map[uint32]float64)}
 }
 
+// add adds the load that a VM has counted and replaces its report on the targets.
 func (v *loadView) add(vm string, in KeyLoad) {
 	for i, key := range in.Keys {
 		v.rates.Add(key, int(in.Requests[i]))
@@ -51,7 +51,7 @@
 	v.slowness[vm] = slow
 }
 
-// meanSlowness returns the mean of what all VMs report of a target.
+// meanSlowness returns the mean of what all VMs report of a target, or 1 without a report.
 func (v *loadView) meanSlowness(target uint32) float64 {
 	sum, n := 0.0, 0
 	for _, m := range v.slowness {
@@ -78,7 +78,7 @@
 		go func() {
 			var in KeyLoad
 			if err := l.Mesh.Call(ctx, vm, "View.KeyLoad", &l.service, &in); err != nil {
-				l.Log.Debug().Str("step", "load").Str("peer", vm).Err(err).Msg("load of keys not known")
+				l.Log.Debug().Str("step", "load").Str("peer", vm).Err(err).Msg("load of keys not received")
 				return
 			}
 			l.enqueue(ctx, func() { l.load.add(vm, in) })
@@ -86,7 +86,8 @@
 	}
 }
 
-// spreadLoad divides and moves slices that are too hot for their owners.
+// spreadLoad splits slices that are too hot for their owners, or returns their moves to other owners.
+// If it splits any slice, it decides again in the next step.
 func (l *leader) spreadLoad(live []lease.Owner, now time.Duration) []lease.Change {
 	if now-l.load.lastSpread < spreadInterval {
 		return nil
@@ -110,9 +111,10 @@
 	return moved
 }
 
-// updateLimits decides which part of the requests for each slice the VMs let through. Counts of an
-// owner's requests are older the more VMs there are: by these alone, all VMs together send the
-// owner of a hot key many times what it can do, and it leaves its renewals unanswered.
+// updateLimits decides which fraction of the requests for each slice the VMs admit. The more VMs there
+// are, the older are their counts of an owner's requests. With these counts alone, the VMs together
+// would send the owner of a hot key many times what it can handle, and it would leave its renewals
+// unanswered.
 func (l *leader) updateLimits(now time.Duration) {
 	if now < l.load.nextLimit {
 		return
@@ -135,17 +137,17 @@
 	l.load.limits = limits
 }
 
-// splitSlices cuts these slices in two and reports whether it cut any.
-// A slice with a renewal in flight cannot be divided; it must not hold up the moves of others.
+// splitSlices splits these slices in two and reports whether it split any. A slice with a renewal in
+// flight cannot be split; it must not delay the moves of others.
 func (l *leader) splitSlices(which []int, sums []keyspread.Sum) bool {
-	divided := false
-	// The last one first, so that the places of the others stay.
+	split := false
+	// Split the last one first, so that the indexes of the others stay valid.
 	for _, i := range slices.Backward(slices.Sorted(slices.Values(which))) {
 		if l.grants.SplitSlice(i, sums[i].Half) {
-			divided = true
+			split = true
 		}
 	}
-	return divided
+	return split
 }
 
 // sliceLoads returns the load of all slices and the capacity of the owners.
@@ -181,11 +183,11 @@
 	return ranges, sums, capacity
 }
 
-// capacityOf returns how many requests a second a target can do.
+// capacityOf returns how many requests a second a target can handle.
 func (l *leader) capacityOf(o lease.Owner) float64 {
-	slots, usual := max(l.TargetDirectory.Slots(o.ID), 1), defaultServiceTime
+	slots, serviceTime := max(l.TargetDirectory.Slots(o.ID), 1), defaultServiceTime
 	if d, known := l.TargetDirectory.MeanServiceTime(l.service); known {
-		usual = d
+		serviceTime = d
 	}
-	return float64(slots) / (usual.Seconds() * l.load.meanSlowness(catalog.Hash(o.ID)))
+	return float64(slots) / (serviceTime.Seconds() * l.load.meanSlowness(catalog.Hash(o.ID)))
 }
--- a/internal/gateway/leasing/spread_test.go
+++ b/internal/gateway/leasing/spread_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/lease"
 )
 
-// Guards against moves that wait for a slice which cannot be divided now.
+// Guards against moves that wait for a slice which cannot be split while its renewal is in flight.
 func TestUnsplittableSliceDoesNotBlockMoves(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -49,7 +49,7 @@
 	l.load.rates.Advance(clock.Now())
 	slices := len(l.grants.Record().Slices)
 	moves := l.spreadLoad(live, clock.Now())
-	require.Len(t, l.grants.Record().Slices, slices, "its renewal is on its way")
+	require.Len(t, l.grants.Record().Slices, slices, "a slice was split while its renewal was in flight")
 	require.NotEmpty(t, moves)
 	for _, c := range moves {
 		require.True(t, l.grants.Record().Slices[c.Slice].Owner.SameIncarnation(hot))
@@ -66,7 +66,8 @@
 	return catalog.NewView(nil, catalog.Targets{Revision: 1, List: d.list})
 }
 
-// Guards against a fleet that overruns the owner of a hot key by counts that are seconds old.
+// Guards against a fleet that overloads the owner of a hot key because the VMs' counts of its requests
+// are seconds old.
 func TestGrantorLimitsRequestsForHotKey(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -92,7 +93,7 @@
 		return l.currentRouting(1, clock.Now())
 	}
 	limited := limitsAtRate(200)
-	require.InDelta(t, 0.1, limited.LimitOf(hot).Fraction(), 0.04, "twice of ten a second")
+	require.InDelta(t, 0.1, limited.LimitOf(hot).Fraction(), 0.04, "twice what the owner can handle, which is ten requests a second")
 	require.Equal(t, lease.Unlimited, limited.LimitOf(usual))
 	require.Equal(t, lease.Unlimited, limitsAtRate(10).LimitOf(hot), "the key is no longer hot")
 }
--- a/internal/gateway/leasing/timedoutgrants_test.go
+++ b/internal/gateway/leasing/timedoutgrants_test.go
@@ -14,8 +14,8 @@
 	"hemlockquay/internal/upstream"
 )
 
-// fakeTarget is a target of a service with one slice that takes orders as plainOrders
-// write them. Its clock is the test's.
+// fakeTarget is a target of a service with one slice. It handles orders in the encoding of
+// jsonOrderCodec, by the clock of the test.
 type fakeTarget struct {
 	clock *manualClock
 
@@ -50,15 +50,12 @@
 	return h.clock.Now() < h.until
 }
 
-// Status checks went to a target that another had followed as the owner of their keys: two
-// targets held them. An owner was cut off from all VMs for six seconds; its renewals had no
-// answer, its hold ran out, its keys were granted to others. When it was reached again, it
-// took renewals that the grantor had given up six seconds before.
-//
-// Cause: the hold was counted from the close of the connection, and the system goes on
-// sending what was written to a closed connection. Evidence: the fences that came late were
-// exactly those of orders logged as unanswered as the cut began; nothing was sent after; where
-// the connections are reset instead, the same days are whole.
+// Guards against two targets that hold the same keys after a network partition. An owner was cut off
+// from all VMs for six seconds, its renewals timed out, and its keys were granted to another target.
+// When the partition healed, the owner received the old renewals: the system keeps sending what was
+// written to a connection after the connection is closed, while the grantor counted the hold from the
+// close. The late fences were exactly those of orders logged as unanswered when the partition began.
+// With connections that are reset instead, no keys had two owners.
 func TestTimedOutGrantsDoNotArriveAfterPartition(t *testing.T) {
 	clock := newManualClock(time.Hour)
 	n := testNode(clock)
@@ -73,7 +70,7 @@
 		require.NoError(t, l.sender(t.Context(), o).pool.Connect(t.Context()))
 		l.grants.MarkConfirmed(o)
 	}
-	// sendDueOrders sends what is due, one order after the other, and handles its end.
+	// sendDueOrders sends the due orders one after the other and handles their results.
 	sendDueOrders := func() {
 		for _, o := range l.grants.DueOrders(clock.Now()) {
 			sender := l.sender(t.Context(), o.Target)
