--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -208,7 +208,7 @@
 // can do the requests that were refused in the time of one only over several.
 func (g *Gateway) retryAfterLimit(c *call) time.Duration {
 	part := 1.0
-	if r := g.state.leases.Of(c.service); r != nil {
+	if r := g.state.leases.Get(c.service); r != nil {
 		part = r.LimitOf(c.key).Fraction()
 	}
 	return min(time.Duration(float64(g.retryAfter(c))/part), mostRetry)
--- a/internal/gateway/expiry.go
+++ b/internal/gateway/expiry.go
@@ -33,7 +33,7 @@
 	if !g.state.misdirectedLately(service, now) {
 		return ""
 	}
-	r := g.state.leases.Of(service)
+	r := g.state.leases.Get(service)
 	if r == nil || g.mesh.Lives(r.Holder, r.Incarnation) {
 		return ""
 	}
--- a/internal/gateway/expiry_test.go
+++ b/internal/gateway/expiry_test.go
@@ -41,7 +41,7 @@
 	g := testGateway(clock)
 	defer g.mesh.Close()
 	g.state.own("s", 1, 1, "t", lease.Served)
-	r := g.state.leases.Of("s")
+	r := g.state.leases.Get("s")
 	r.Holder, r.Incarnation = "holder", 5
 	clock.advance(lease.HoldTime + time.Millisecond)
 	require.Empty(t, g.expired("s", clock.Now()), "no target has refused a key")
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -59,7 +59,7 @@
 	return platform.Changes{}, platform.ErrUnavailable
 }
 
-func (s *routingState) routingOf(service string) *lease.Routing { return s.leases.Of(service) }
+func (s *routingState) routingOf(service string) *lease.Routing { return s.leases.Get(service) }
 func (s *routingState) updateRouting(u *lease.Update) bool      { return s.leases.Update(u) }
 
 // testGateway is a gateway without goroutines, listeners or a store that answers.
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -116,7 +116,7 @@
 	}
 	c.nextMonitorCheck = now + monitorCheckInterval
 	holder := ""
-	if r := c.Leases.Of(c.service); r != nil && r.Holder != c.Self.VM && c.LocalState.SuccessionRank(c.service) < closeMonitors {
+	if r := c.Leases.Get(c.service); r != nil && r.Holder != c.Self.VM && c.LocalState.SuccessionRank(c.service) < closeMonitors {
 		holder = r.Holder
 	}
 	c.Mesh.Monitor(c.service, holder)
@@ -148,7 +148,7 @@
 	if now-c.startedAt < discoveryTime || leaving && c.LocalState.TimeUntilExit() < minTerm {
 		return -1, false
 	}
-	r := c.Leases.Of(c.service)
+	r := c.Leases.Get(c.service)
 	if r != nil && r.Holder != c.Self.VM && c.Mesh.Lives(r.Holder, r.Incarnation) && !c.isolated(r.Holder) {
 		c.storeStableSince = 0
 		return -1, true
@@ -245,7 +245,7 @@
 // presumeServed treats the owners that the predecessor granted last as serving their keys until its
 // grants expire. The grants are dated by the predecessor's last heartbeat.
 func (c *candidate) presumeServed(grants *lease.Grantor, old lease.Record) {
-	last := c.Leases.Of(c.service)
+	last := c.Leases.Get(c.service)
 	heard, known := c.Mesh.LastHeard(old.Holder, old.Incarnation)
 	if last == nil || last.Epoch != old.Epoch || !known {
 		return
@@ -281,7 +281,7 @@
 	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.Lives(r.Holder, r.Incarnation) || c.isolated(r.Holder) {
 		return false
 	}
-	old := c.Leases.Of(c.service)
+	old := c.Leases.Get(c.service)
 	if old != nil && old.Epoch == r.Epoch && old.Holder == "" {
 		// The grantor announced its resignation but could not write it.
 		return false
--- a/internal/gateway/leasing/candidate_test.go
+++ b/internal/gateway/leasing/candidate_test.go
@@ -23,7 +23,7 @@
 	n.receive(mesh.Heartbeat{From: holder})
 	r := n.state
 	r.setOwner("s", 3, 1, "t", lease.Served)
-	r.leases.Of("s").Holder, r.leases.Of("s").Incarnation = "holder", 5
+	r.leases.Get("s").Holder, r.leases.Get("s").Incarnation = "holder", 5
 	c := &candidate{Manager: n.Manager, service: "s"}
 
 	_, healthy := c.succession()
@@ -50,7 +50,7 @@
 	defer n.mesh.Close()
 	holder := mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}
 	n.state.setOwner("s", 3, 1, "t", lease.Served)
-	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
+	n.state.leases.Get("s").Holder, n.state.leases.Get("s").Incarnation = "holder", 5
 	c := &candidate{Manager: n.Manager, service: "s"}
 	for range 20 {
 		clock.advance(minIsolationTime / 4)
@@ -101,7 +101,7 @@
 	store := &fakeStore{record: platform.Object{Kind: kindLeases, Name: "s", Version: 1, Spec: spec}}
 	n.Store = store
 	n.state.setOwner("s", 3, 1, "t", lease.Served)
-	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
+	n.state.leases.Get("s").Holder, n.state.leases.Get("s").Incarnation = "holder", 5
 	c := &candidate{Manager: n.Manager, service: "s"}
 	// With an ended context, a leader returns at once.
 	ended, cancel := context.WithCancel(t.Context())
@@ -138,7 +138,7 @@
 	defer n.mesh.Close()
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 6}})
 	n.state.setOwner("s", 3, 1, "t", lease.Served)
-	n.state.leases.Of("s").Holder, n.state.leases.Of("s").Incarnation = "holder", 5
+	n.state.leases.Get("s").Holder, n.state.leases.Get("s").Incarnation = "holder", 5
 	_, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
 	require.False(t, healthy)
 }
@@ -152,7 +152,7 @@
 		n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1}})
 	}
 	n.state.setOwner("s", 3, 1, "t", lease.Served)
-	r := n.state.leases.Of("s")
+	r := n.state.leases.Get("s")
 	r.Holder, r.Incarnation = "self", n.Self.Incarnation
 	rank, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
 	require.False(t, healthy)
@@ -223,7 +223,7 @@
 	n := testNode(newManualClock(time.Hour))
 	defer n.mesh.Close()
 	n.state.setOwner("s", 3, 1, "t", lease.Served)
-	r := n.state.leases.Of("s")
+	r := n.state.leases.Get("s")
 	r.Holder, r.Incarnation = "holder", 5
 	n.receive(mesh.Heartbeat{From: mesh.Member{VM: "holder", Addr: "127.0.0.1:1", Incarnation: 5}, Leaving: true})
 	_, healthy := (&candidate{Manager: n.Manager, service: "s"}).succession()
--- a/internal/gateway/leasing/helpers_test.go
+++ b/internal/gateway/leasing/helpers_test.go
@@ -43,7 +43,7 @@
 	return &state{leases: published.New(clock, metrics.NewRegistry(), func() {})}
 }
 
-func (s *state) routingOf(service string) *lease.Routing { return s.leases.Of(service) }
+func (s *state) routingOf(service string) *lease.Routing { return s.leases.Get(service) }
 func (s *state) updateRouting(u *lease.Update) bool      { return s.leases.Update(u) }
 
 func (s *state) setOwner(service string, epoch, seq uint64, owner string, state lease.SliceState) {
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -80,7 +80,7 @@
 func newLeader(c *candidate, g *lease.Grantor, version uint64) *leader {
 	l := &leader{
 		candidate: c, grants: g, version: version, events: make(chan func(), eventQueueSize),
-		broadcaster: newLeaseBroadcaster(c.pushLeases, c.Log, c.Self.LinkBytesPerSecond(), c.Leases.Of(c.service)),
+		broadcaster: newLeaseBroadcaster(c.pushLeases, c.Log, c.Self.LinkBytesPerSecond(), c.Leases.Get(c.service)),
 		senders:     make(map[lease.Owner]*orderSender), latestBorn: make(map[string]int64), load: newLoadView(),
 		lagMeter: fitness.NewMeter(leaderTick),
 	}
@@ -238,7 +238,7 @@
 
 // superseded reports whether a later epoch is known.
 func (l *leader) superseded() bool {
-	r := l.Leases.Of(l.service)
+	r := l.Leases.Get(l.service)
 	return r != nil && r.Epoch > l.grants.Record().Epoch
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -63,7 +63,7 @@
 
 // behind reports whether leases known here have been behind for a while.
 func (g *Gateway) behind(mark mesh.LeaseMark) bool {
-	r := g.state.leases.Of(mark.Service)
+	r := g.state.leases.Get(mark.Service)
 	if r == nil || mark.Epoch > r.Epoch {
 		return true
 	}
@@ -107,7 +107,7 @@
 
 // Routing returns the leases of a service.
 func (v View) Routing(service *string, out *lease.Routing) error {
-	r := v.gateway.state.leases.Of(*service)
+	r := v.gateway.state.leases.Get(*service)
 	if r == nil {
 		return errUnknown
 	}
--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -67,7 +67,7 @@
 // Update applies changes of a service's routing; false if they build on another
 // version.
 func (l *Leases) Update(u *lease.Update) bool {
-	old := l.Of(u.Routing.Service)
+	old := l.Get(u.Routing.Service)
 	if old != nil && !u.Routing.After(old.Epoch, old.Seq) {
 		return true
 	}
@@ -99,8 +99,8 @@
 	at         time.Duration
 }
 
-// Of returns what is known of a service's leases, or nil.
-func (l *Leases) Of(service string) *lease.Routing {
+// Get returns what is known of a service's leases, or nil.
+func (l *Leases) Get(service string) *lease.Routing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.routing[service]
--- a/internal/gateway/repeating.go
+++ b/internal/gateway/repeating.go
@@ -57,7 +57,7 @@
 	if c.failed != causeMisdirected {
 		return c.failed
 	}
-	if r := g.state.leases.Of(c.service); r != nil && r.After(c.misdirected.Epoch, c.misdirected.Seq) {
+	if r := g.state.leases.Get(c.service); r != nil && r.After(c.misdirected.Epoch, c.misdirected.Seq) {
 		return causeMoved
 	}
 	return causeMisdirected
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -84,7 +84,7 @@
 	}
 	if c.keyed {
 		e = e.Uint16("key", c.key)
-		if r := g.state.leases.Of(c.service); r != nil {
+		if r := g.state.leases.Get(c.service); r != nil {
 			e = e.Uint64("epoch", r.Epoch).Uint64("seq", r.Seq)
 		}
 	}
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -82,7 +82,7 @@
 func (s *routingState) chooseOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseMark, left time.Duration) (*attempt, refusal, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.leases.Of(service)
+	r := s.leases.Get(service)
 	if r == nil {
 		return nil, refusedMoving, "no leases known"
 	}
