--- a/internal/gateway/expiry.go
+++ b/internal/gateway/expiry.go
@@ -37,7 +37,7 @@
 	if r == nil || g.mesh.Lives(r.Holder, r.Incarnation) {
 		return ""
 	}
-	renewed := g.state.leases.RoutedAt(service)
+	renewed := g.state.leases.ChangedAt(service)
 	if heard, known := g.mesh.LastHeard(r.Holder, r.Incarnation); known {
 		renewed = max(renewed, heard)
 	}
--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -60,7 +60,7 @@
 // gauge shows how long ago a service's leases last changed, milliseconds.
 func (l *Leases) gauge(service string) {
 	l.registry.GetOrRegister("leases."+service+".age", metrics.NewFunctionalGauge(func() int64 {
-		return (l.clock.Now() - l.RoutedAt(service)).Milliseconds()
+		return (l.clock.Now() - l.ChangedAt(service)).Milliseconds()
 	}))
 }
 
@@ -117,8 +117,8 @@
 	return out
 }
 
-// RoutedAt returns when what is known of a service's leases last changed, on the clock.
-func (l *Leases) RoutedAt(service string) time.Duration {
+// ChangedAt returns when what is known of a service's leases last changed, on the clock.
+func (l *Leases) ChangedAt(service string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.routedAt[service]
