--- a/internal/gateway/leasing/helpers_test.go
+++ b/internal/gateway/leasing/helpers_test.go
@@ -86,7 +86,7 @@
 
 // Heartbeat implements mesh.Local.
 func (n *node) Heartbeat() mesh.Heartbeat {
-	return mesh.Heartbeat{From: n.Self, Leaving: n.leaving.Load(), StoreLost: !n.storeUp.Load(), Leases: n.state.leases.Marks()}
+	return mesh.Heartbeat{From: n.Self, Leaving: n.leaving.Load(), StoreLost: !n.storeUp.Load(), Leases: n.state.leases.Versions()}
 }
 
 // OnHeartbeat implements mesh.Local.
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -27,7 +27,7 @@
 		From: g.self, Leaving: g.leaving.Load(),
 		StoreLost: !g.storeUp.Load(), StoreRelayed: g.storeRelayed(), ConfigVersion: v.ConfigVersion(),
 		TargetsRevision: v.Targets.Revision, Targets: uint16(len(v.Targets.List)),
-		Leases: g.state.leases.Marks(), Loads: g.state.loads(), Crashes: g.state.crashList(),
+		Leases: g.state.leases.Versions(), Loads: g.state.loads(), Crashes: g.state.crashList(),
 	}
 }
 
--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -135,8 +135,8 @@
 	return out
 }
 
-// Marks returns the versions of all leases.
-func (l *Leases) Marks() []mesh.LeaseMark {
+// Versions returns the versions of all leases.
+func (l *Leases) Versions() []mesh.LeaseMark {
 	var out []mesh.LeaseMark
 	for _, r := range l.All() {
 		out = append(out, mesh.LeaseMark{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq})
