--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -18,47 +18,47 @@
 type Leases struct {
 	clock    boottime.Clock
 	registry metrics.Registry
-	// changed is called after a change, without a lock of this package.
-	changed func()
+	// onChange is called after a change, without a lock of this package.
+	onChange func()
 
 	mu      sync.Mutex
 	routing map[string]*lease.Routing
-	// routedAt is when the routing of a service last changed.
-	routedAt map[string]time.Duration
+	// changedAt is when the routing of a service last changed.
+	changedAt map[string]time.Duration
 	// stale holds the versions of routing that were found behind.
-	stale map[string]staleSince
+	stale map[string]staleVersion
 }
 
 // New returns leases of which nothing is known. changed is called after each change.
-func New(clock boottime.Clock, registry metrics.Registry, changed func()) *Leases {
+func New(clock boottime.Clock, registry metrics.Registry, onChange func()) *Leases {
 	return &Leases{
-		clock: clock, registry: registry, changed: changed,
-		routing: make(map[string]*lease.Routing), routedAt: make(map[string]time.Duration), stale: make(map[string]staleSince),
+		clock: clock, registry: registry, onChange: onChange,
+		routing: make(map[string]*lease.Routing), changedAt: make(map[string]time.Duration), stale: make(map[string]staleVersion),
 	}
 }
 
 // Set applies a newer routing of a service's keys.
 func (l *Leases) Set(r *lease.Routing) {
-	if l.set(r) {
-		l.changed()
+	if l.replace(r) {
+		l.onChange()
 	}
 }
 
-func (l *Leases) set(r *lease.Routing) bool {
+func (l *Leases) replace(r *lease.Routing) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old := l.routing[r.Service]; old != nil && !r.After(old.Epoch, old.Seq) {
 		return false
 	}
 	if l.routing[r.Service] == nil {
-		l.gauge(r.Service)
+		l.registerAgeGauge(r.Service)
 	}
-	l.routing[r.Service], l.routedAt[r.Service] = r, l.clock.Now()
+	l.routing[r.Service], l.changedAt[r.Service] = r, l.clock.Now()
 	return true
 }
 
-// gauge shows how long ago a service's leases last changed, milliseconds.
-func (l *Leases) gauge(service string) {
+// registerAgeGauge shows how long ago a service's leases last changed, milliseconds.
+func (l *Leases) registerAgeGauge(service string) {
 	l.registry.GetOrRegister("leases."+service+".age", metrics.NewFunctionalGauge(func() int64 {
 		return (l.clock.Now() - l.ChangedAt(service)).Milliseconds()
 	}))
@@ -85,18 +85,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	since, ok := l.stale[have.Service]
-	if !ok || since.epoch != have.Epoch || since.seq != have.Seq {
-		since = staleSince{epoch: have.Epoch, seq: have.Seq, at: now}
-		l.stale[have.Service] = since
+	stale, ok := l.stale[have.Service]
+	if !ok || stale.epoch != have.Epoch || stale.seq != have.Seq {
+		stale = staleVersion{epoch: have.Epoch, seq: have.Seq, since: now}
+		l.stale[have.Service] = stale
 	}
-	return now - since.at
+	return now - stale.since
 }
 
-// staleSince is the version that this VM had when it first heard of a later one.
-type staleSince struct {
+// staleVersion is the version that this VM had when it first heard of a later one.
+type staleVersion struct {
 	epoch, seq uint64
-	at         time.Duration
+	since      time.Duration
 }
 
 // Get returns what is known of a service's leases, or nil.
@@ -121,7 +121,7 @@
 func (l *Leases) ChangedAt(service string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.routedAt[service]
+	return l.changedAt[service]
 }
 
 // Grantors returns the VMs that are grantors of a service.
