--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -1,6 +1,6 @@
-// Package published holds the leases of keyed services as their grantors have published
-// them: of each service the latest version that this VM knows. It starts no goroutine and
-// uses neither network nor store.
+// Package published holds the leases of keyed services as published by their grantors: for each
+// service, the latest version that this VM has received. It starts no goroutines and uses neither
+// the network nor the store.
 package published
 
 import (
@@ -14,22 +14,22 @@
 	"hemlockquay/internal/mesh"
 )
 
-// Leases are the leases of all keyed services. They are safe for concurrent use.
+// Leases holds the leases of all keyed services. It is safe for concurrent use.
 type Leases struct {
 	clock    boottime.Clock
 	registry metrics.Registry
-	// onChange is called after a change, without a lock of this package.
+	// onChange is called after each change, without holding mu.
 	onChange func()
 
 	mu      sync.Mutex
 	routing map[string]*lease.Routing
-	// changedAt is when the routing of a service last changed.
+	// changedAt is when the routing of each service last changed.
 	changedAt map[string]time.Duration
-	// stale holds the versions of routing that were found behind.
+	// stale is, by service, the version that was last found to be behind another VM's.
 	stale map[string]staleVersion
 }
 
-// New returns leases of which nothing is known. changed is called after each change.
+// New returns a Leases without any leases. onChange is called after each change.
 func New(clock boottime.Clock, registry metrics.Registry, onChange func()) *Leases {
 	return &Leases{
 		clock: clock, registry: registry, onChange: onChange,
@@ -37,13 +37,14 @@
 	}
 }
 
-// Set applies a newer routing of a service's keys.
+// Set replaces the routing of a service by r if r is newer.
 func (l *Leases) Set(r *lease.Routing) {
 	if l.replace(r) {
 		l.onChange()
 	}
 }
 
+// replace does the work of Set and reports whether r was newer.
 func (l *Leases) replace(r *lease.Routing) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,15 +58,16 @@
 	return true
 }
 
-// registerAgeGauge shows how long ago a service's leases last changed, milliseconds.
+// registerAgeGauge registers a gauge of the time since a service's leases last changed, in
+// milliseconds.
 func (l *Leases) registerAgeGauge(service string) {
 	l.registry.GetOrRegister("leases."+service+".age", metrics.NewFunctionalGauge(func() int64 {
 		return (l.clock.Now() - l.ChangedAt(service)).Milliseconds()
 	}))
 }
 
-// Update applies changes of a service's routing; false if they build on another
-// version.
+// Update applies changes to a service's routing. It returns false if they are based on another
+// version than the one held, or if the result is not valid.
 func (l *Leases) Update(u *lease.Update) bool {
 	old := l.Get(u.Routing.Service)
 	if old != nil && !u.Routing.After(old.Epoch, old.Seq) {
@@ -79,8 +81,8 @@
 	return true
 }
 
-// StaleFor returns for how long this VM has known that another version is later than
-// the one it has.
+// StaleFor returns for how long this VM has known that there is a later version than have. The
+// first call for a version returns 0.
 func (l *Leases) StaleFor(have *lease.Routing) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,13 +95,13 @@
 	return now - stale.since
 }
 
-// staleVersion is the version that this VM had when it first heard of a later one.
+// staleVersion is the version that this VM had when it first learned of a later one.
 type staleVersion struct {
 	epoch, seq uint64
 	since      time.Duration
 }
 
-// Get returns what is known of a service's leases, or nil.
+// Get returns the leases of a service, or nil if none are known.
 func (l *Leases) Get(service string) *lease.Routing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,14 +119,14 @@
 	return out
 }
 
-// ChangedAt returns when what is known of a service's leases last changed, on the clock.
+// ChangedAt returns when the leases of a service last changed, as a reading of the clock.
 func (l *Leases) ChangedAt(service string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changedAt[service]
 }
 
-// Grantors returns the VMs that are grantors of a service.
+// Grantors returns the VMs that are the grantor of at least one service.
 func (l *Leases) Grantors() map[string]bool {
 	out := make(map[string]bool)
 	for _, r := range l.All() {
