--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -210,7 +210,7 @@
 // service times for what arrives during one.
 func (g *Gateway) hotKeyRetryAfter(c *call) time.Duration {
 	fraction := 1.0
-	if r := g.state.leases.Of(c.service); r != nil {
+	if r := g.state.leases.Get(c.service); r != nil {
 		fraction = r.LimitOf(c.key).Fraction()
 	}
 	return min(time.Duration(float64(g.retryAfter(c))/fraction), maxRetryAfter)
--- a/internal/gateway/fake_test.go
+++ b/internal/gateway/fake_test.go
@@ -59,7 +59,7 @@
 	return platform.Changes{}, platform.ErrUnavailable
 }
 
-func (s *routingState) routingOf(service string) *lease.Routing { return s.leases.Of(service) }
+func (s *routingState) routingOf(service string) *lease.Routing { return s.leases.Get(service) }
 func (s *routingState) updateRouting(u *lease.Update) bool      { return s.leases.Update(u) }
 
 // newTestGateway returns a gateway without goroutines and listeners, whose store never responds.
--- a/internal/gateway/leaseexpiry.go
+++ b/internal/gateway/leaseexpiry.go
@@ -36,11 +36,11 @@
 	if !g.state.recentlyMisdirected(service, now) {
 		return ""
 	}
-	r := g.state.leases.Of(service)
+	r := g.state.leases.Get(service)
 	if r == nil || g.mesh.Lives(r.Holder, r.Incarnation) {
 		return ""
 	}
-	renewedAt := g.state.leases.RoutedAt(service)
+	renewedAt := g.state.leases.ChangedAt(service)
 	if heardAt, known := g.mesh.LastHeard(r.Holder, r.Incarnation); known {
 		renewedAt = max(renewedAt, heardAt)
 	}
--- a/internal/gateway/leaseexpiry_test.go
+++ b/internal/gateway/leaseexpiry_test.go
@@ -42,7 +42,7 @@
 	g := newTestGateway(clock)
 	defer g.mesh.Close()
 	g.state.setOwner("s", 1, 1, "t", lease.Served)
-	r := g.state.leases.Of("s")
+	r := g.state.leases.Get("s")
 	r.Holder, r.Incarnation = "holder", 5
 	clock.advance(lease.HoldTime + time.Millisecond)
 	require.Empty(t, g.leasesExpired("s", clock.Now()), "no target has refused a key")
--- a/internal/gateway/leasing/broadcast_test.go
+++ b/internal/gateway/leasing/broadcast_test.go
@@ -16,28 +16,28 @@
 	"hemlockquay/internal/pause"
 )
 
-// testBytesPerSecond is a link that bounds no update of a test.
+// testBytesPerSecond is the capacity of a link that is fast enough for every update of the tests.
 const testBytesPerSecond = 100 * mesh.BytesPerMbit
 
-// pushed plays another VM: it takes updates in, each after a delay.
-type pushed struct {
-	state   *state
-	delay   time.Duration
-	lost    int
-	updates []*lease.Update
+// fakePeer is another VM. It applies each update after a delay, or fails the first ones.
+type fakePeer struct {
+	state    *state
+	delay    time.Duration
+	failures int
+	updates  []*lease.Update
 }
 
-func (p *pushed) push(ctx context.Context, _ string, u *lease.Update) (bool, error) {
+func (p *fakePeer) push(ctx context.Context, _ string, u *lease.Update) (bool, error) {
 	time.Sleep(p.delay)
-	if p.lost > 0 {
-		p.lost--
-		return false, errors.New("lost")
+	if p.failures > 0 {
+		p.failures--
+		return false, errors.New("update lost")
 	}
 	p.updates = append(p.updates, u)
 	return p.state.updateRouting(u), ctx.Err()
 }
 
-// owners returns a routing in which the first slices of a hundred have moved.
+// owners returns a routing of a hundred slices in which the first ones have moved.
 func owners(seq uint64, moved int) *lease.Routing {
 	r := lease.Record{Service: "s", Epoch: 3, Slices: lease.EvenSlices(100, []lease.Owner{{ID: "a"}, {ID: "b"}})}
 	for i := range moved {
@@ -46,33 +46,33 @@
 	return lease.NewRouting(r, seq, func(int) lease.SliceState { return lease.Served })
 }
 
-// Guards against a queue of updates that fills the grantor's link.
-func TestSlowVMGetsTheLatestVersionOnly(t *testing.T) {
+// Guards against a queue of updates to a slow VM, which would fill the grantor's link.
+func TestSlowVMSkipsIntermediateVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0)), delay: 50 * time.Millisecond}
-		l := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, nil)
+		peer := &fakePeer{state: testState(newManualClock(0)), delay: 50 * time.Millisecond}
+		l := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, nil)
 		for seq := range 100 {
 			l.Publish(t.Context(), owners(uint64(seq+1), seq), []string{"vm"})
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(time.Second)
 		require.True(t, peer.state.routingOf("s").SameAs(owners(100, 99)))
-		require.LessOrEqual(t, len(peer.updates), 4, "one on its way at a time")
+		require.LessOrEqual(t, len(peer.updates), 4, "more than one update was in flight")
 		slices := 0
 		for _, u := range peer.updates[1:] {
 			slices += len(u.Routing.From)
 		}
-		require.LessOrEqual(t, slices, 100, "each changed slice once")
+		require.LessOrEqual(t, slices, 100, "a changed slice was sent more than once")
 	})
 }
 
-func TestVMThatHasAnotherVersionGetsAll(t *testing.T) {
+func TestVMWithUnexpectedVersionGetsFullUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0))}
-		l := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, nil)
+		peer := &fakePeer{state: testState(newManualClock(0))}
+		l := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, nil)
 		l.Publish(t.Context(), owners(1, 0), []string{"vm"})
 		synctest.Wait()
-		peer.state = testState(newHandClock(0))
+		peer.state = testState(newManualClock(0))
 		l.Publish(t.Context(), owners(2, 1), []string{"vm"})
 		synctest.Wait()
 		require.True(t, peer.state.routingOf("s").SameAs(owners(2, 1)))
@@ -81,13 +81,13 @@
 	})
 }
 
-func TestLostUpdateIsFollowedByAWholeOne(t *testing.T) {
+func TestFailedUpdateIsFollowedByFullUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0))}
-		l := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, nil)
+		peer := &fakePeer{state: testState(newManualClock(0))}
+		l := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, nil)
 		l.Publish(t.Context(), owners(1, 0), []string{"vm"})
 		synctest.Wait()
-		peer.lost = 1
+		peer.failures = 1
 		l.Publish(t.Context(), owners(2, 1), []string{"vm"})
 		synctest.Wait()
 		l.Publish(t.Context(), owners(3, 2), []string{"vm"})
@@ -97,15 +97,15 @@
 	})
 }
 
-// Guards against an update and a log line a slice to VMs whose processes are gone.
-func TestVMThatIsGoneGetsFewUpdates(t *testing.T) {
+// Guards against an update and a log line per changed slice to a VM whose process is gone.
+func TestUnreachableVMGetsFewUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tries := 0
-		gone := func(context.Context, string, *lease.Update) (bool, error) {
+		refuse := func(context.Context, string, *lease.Update) (bool, error) {
 			tries++
 			return false, errors.New("connection refused")
 		}
-		l := newLeaseBroadcaster(gone, quiet(), testBytesPerSecond, nil)
+		l := newLeaseBroadcaster(refuse, discardLogger(), testBytesPerSecond, nil)
 		for seq := range 500 {
 			l.Publish(t.Context(), owners(uint64(seq+1), 0), []string{"vm"})
 			time.Sleep(time.Millisecond)
@@ -114,9 +114,9 @@
 	})
 }
 
-// Guards against a version a slice while a successor's owners answer their first grants.
+// Guards against one version per slice while the owners answer a successor's first grants.
 func TestSuccessionPublishesFewVersions(t *testing.T) {
-	clock := newHandClock(time.Hour)
+	clock := newManualClock(time.Hour)
 	n := testNode(clock)
 	defer n.mesh.Close()
 	l, _ := leadingNode(t, n)
@@ -125,18 +125,18 @@
 		l.publishChanges(clock.Now())
 		clock.advance(time.Millisecond)
 	}
-	require.LessOrEqual(t, l.seq, uint64(4))
+	require.LessOrEqual(t, l.publishedSeq, uint64(4))
 }
 
-// Guards against a successor that sends all leases to all VMs at once, which fills its link.
-func TestSuccessorSendsOnlyWhatChangedSinceItsPredecessor(t *testing.T) {
+// Guards against a successor that sends full updates to all VMs at once, which would fill its link.
+func TestSuccessorSendsDeltaFromPredecessorsVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peer := &pushed{state: testState(newHandClock(0))}
+		peer := &fakePeer{state: testState(newManualClock(0))}
 		last := owners(7, 0)
 		peer.state.leases.Set(last)
 		first := owners(1, 2)
 		first.Epoch++
-		b := newLeaseBroadcaster(peer.push, quiet(), testBytesPerSecond, last)
+		b := newLeaseBroadcaster(peer.push, discardLogger(), testBytesPerSecond, last)
 		b.Publish(t.Context(), first, []string{"vm"})
 		synctest.Wait()
 		require.Len(t, peer.updates, 1)
@@ -146,8 +146,8 @@
 	})
 }
 
-// slowLink plays a link that carries updates to many VMs, and those VMs. An update takes its
-// time on the link after those before it.
+// slowLink is a link that carries the updates to many VMs, and those VMs. Updates are sent over the
+// link one after the other.
 type slowLink struct {
 	bytesPerSecond float64
 
@@ -158,7 +158,7 @@
 }
 
 func (l *slowLink) push(ctx context.Context, vm string, u *lease.Update) (bool, error) {
-	size := deltaBytes
+	size := typicalDeltaBytes
 	if u.Base == 0 {
 		size = u.Routing.WireSize()
 	}
@@ -174,7 +174,7 @@
 	return true, nil
 }
 
-// enqueue returns when the link has carried so many bytes more.
+// enqueue returns when the link will have carried so many more bytes.
 func (l *slowLink) enqueue(size int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -185,7 +185,7 @@
 	return l.freeAt
 }
 
-// Guards against a grantor that times out on its own updates.
+// Guards against a grantor whose own updates time out because together they exceed its link.
 func TestUpdatesInFlightAreBoundedByTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bytesPerSecond, vms = 10 * mesh.BytesPerMbit, 200
@@ -201,7 +201,7 @@
 		}
 		r.Slices = lease.EvenSlices(570, targets)
 		routing := lease.NewRouting(r, 1, func(int) lease.SliceState { return lease.Served })
-		b := newLeaseBroadcaster(link.push, quiet(), bytesPerSecond, nil)
+		b := newLeaseBroadcaster(link.push, discardLogger(), bytesPerSecond, nil)
 		b.Publish(t.Context(), routing, names)
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -10,93 +10,96 @@
 	"hemlockquay/internal/pause"
 )
 
-// confirmEpoch has the store confirm the epoch from time to time. While the store turns this
-// VM away it does so more often, which shows the others that a relay works.
+// confirmEpoch has the store confirm the epoch at intervals. While the store does not answer this VM
+// but a relay exists, it does so more often, which shows the other VMs that the relay works.
 func (l *leader) confirmEpoch(ctx context.Context, now time.Duration) {
-	every := confirmEvery
+	every := confirmInterval
 	if !l.LocalState.StoreUp() && len(l.Mesh.StoreRelays()) > 0 {
-		every = relayedConfirmEvery
+		every = relayedConfirmInterval
 	}
 	if now-l.grants.ConfirmedAt() > every {
 		l.readEpoch(ctx)
 	}
 }
 
-// readEpoch asks the store whether the epoch stands.
+// readEpoch asks the store whether the epoch is still valid.
 func (l *leader) readEpoch(ctx context.Context) {
-	if l.reading {
+	if l.readingEpoch {
 		return
 	}
 	l.queryEpoch(ctx, func(err error) {
 		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("epoch not confirmed")
-		pause.For(ctx, l.StorePause)
+		pause.For(ctx, l.StoreRetryDelay)
 	}, func() {})
 }
 
-// queryEpoch reads the record beside the leader's goroutine and notes its epoch. failed is
-// called there after a failure, before the leader may ask again; then in the leader's own
-// goroutine after an answer. One question is in flight at a time.
+// queryEpoch reads the record in a goroutine and handles its epoch. After an error, failed is called
+// in that goroutine, before the leader may query again. After an answer, then is called in the
+// leader's goroutine. One query is in flight at a time.
 func (l *leader) queryEpoch(ctx context.Context, failed func(err error), then func()) {
-	l.reading = true
+	l.readingEpoch = true
 	go func() {
 		sent := l.Clock.Now()
-		r, _, err := l.read(ctx)
+		r, _, err := l.readRecord(ctx)
 		if err != nil {
 			failed(err)
 		}
 		l.enqueue(ctx, func() {
-			l.reading = false
+			l.readingEpoch = false
 			if err != nil {
 				return
 			}
-			l.recordEpoch(r, sent)
+			l.handleEpoch(r, sent)
 			then()
 		})
 	}()
 }
 
-func (l *leader) recordEpoch(r lease.Record, sent time.Duration) {
+// handleEpoch handles a record that was read: it either confirms this grantor's epoch or shows that
+// the epoch has ended.
+func (l *leader) handleEpoch(r lease.Record, sent time.Duration) {
 	if r.Epoch != l.grants.Record().Epoch || r.Incarnation != l.Self.Incarnation {
-		l.deposed = true
+		l.epochEnded = true
 		return
 	}
 	l.grants.ConfirmEpoch(sent)
 }
 
-// confirmIncarnations opens connections to owners to which an order broke and then asks
-// the store whether they are in the same life and the epoch stands.
-// A restarted target has forgotten its fences and would take a grant of a grantor that was
-// succeeded. A connection that was opened before the store was asked breaks with the incarnation
-// that it was opened to.
+// confirmIncarnations opens connections to owners to which an order could not be delivered. It then
+// asks the store whether they are still the same incarnations and the epoch is still valid.
+//
+// A restarted target has lost its fences and would accept a grant from a superseded grantor. A
+// connection that was opened before the store was asked breaks with the incarnation that it was
+// opened to.
 func (l *leader) confirmIncarnations(ctx context.Context, now time.Duration) {
-	if l.checking || now < l.checkNext {
+	if l.checkingIncarnations || now < l.nextIncarnationCheck {
 		return
 	}
 	var owners []lease.Owner
 	for _, o := range l.grants.Unconfirmed() {
-		if l.listed(o) {
+		if l.isListed(o) {
 			owners = append(owners, o)
 		}
 	}
 	if len(owners) == 0 {
 		return
 	}
-	l.checking, l.checkNext = true, now+checkPause
-	lines := make([]*orderLine, len(owners))
+	l.checkingIncarnations, l.nextIncarnationCheck = true, now+incarnationCheckInterval
+	senders := make([]*orderSender, len(owners))
 	for i, o := range owners {
-		lines[i] = l.line(ctx, o)
+		senders[i] = l.sender(ctx, o)
 	}
-	go l.checkIncarnations(ctx, owners, lines)
+	go l.checkIncarnations(ctx, owners, senders)
 }
 
-// listed reports whether the target is listed in this life.
-func (l *leader) listed(o lease.Owner) bool {
+// isListed reports whether this incarnation of a target is listed.
+func (l *leader) isListed(o lease.Owner) bool {
 	t := l.TargetDirectory.View().ByID[o.ID]
 	return t != nil && t.Born == o.Born
 }
 
-func (l *leader) checkIncarnations(ctx context.Context, owners []lease.Owner, lines []*orderLine) {
-	connected := connectAll(ctx, owners, lines)
+func (l *leader) checkIncarnations(ctx context.Context, owners []lease.Owner, senders []*orderSender) {
+	connected := connectAll(ctx, owners, senders)
 	var confirmed []lease.Owner
 	var record lease.Record
 	sent := l.Clock.Now()
@@ -104,19 +107,19 @@
 	if len(connected) > 0 {
 		confirmed, err = l.queryIncarnations(ctx, connected)
 		if err == nil {
-			record, _, err = l.read(ctx)
+			record, _, err = l.readRecord(ctx)
 		}
 	}
 	if err != nil {
-		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("lives of targets not confirmed")
+		l.Log.Warn().Str("step", "leases").Str("service", l.service).Err(err).Msg("incarnations of targets not confirmed")
 	}
 	l.enqueue(ctx, func() {
-		l.checking = false
+		l.checkingIncarnations = false
 		if err != nil || len(connected) == 0 {
 			return
 		}
-		l.recordEpoch(record, sent)
-		if l.deposed {
+		l.handleEpoch(record, sent)
+		if l.epochEnded {
 			return
 		}
 		for _, o := range confirmed {
@@ -125,16 +128,17 @@
 	})
 }
 
-func connectAll(ctx context.Context, owners []lease.Owner, lines []*orderLine) []lease.Owner {
+// connectAll opens the connections for grants to the owners and returns the owners that were reached.
+func connectAll(ctx context.Context, owners []lease.Owner, senders []*orderSender) []lease.Owner {
 	ok := make([]bool, len(owners))
 	var wait sync.WaitGroup
 	for i := range owners {
 		wait.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 			defer cancel()
-			lines[i].pool.Drop()
-			for range grantConns {
-				if lines[i].pool.Connect(ctx) != nil {
+			senders[i].pool.Drop()
+			for range grantConnections {
+				if senders[i].pool.Connect(ctx) != nil {
 					return
 				}
 				ok[i] = true
@@ -151,11 +155,11 @@
 	return out
 }
 
-// queryIncarnations returns those owners that the store lists in the same life.
+// queryIncarnations returns the owners that the store lists as the same incarnation.
 func (l *leader) queryIncarnations(ctx context.Context, owners []lease.Owner) ([]lease.Owner, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.StoreTimeout)
 	defer cancel()
-	list, err := l.Store.ListKind(ctx, l.Orders.TargetKind())
+	list, err := l.Store.ListKind(ctx, l.OrderCodec.TargetKind())
 	if err != nil {
 		return nil, fmt.Errorf("list targets: %w", err)
 	}
@@ -174,13 +178,13 @@
 	return out, nil
 }
 
-// recordIncarnations notes the ends of lives: targets that are listed with a later start.
-func (l *leader) recordIncarnations() {
+// markEndedIncarnations marks the incarnations as ended whose targets are listed with a later start.
+func (l *leader) markEndedIncarnations() {
 	for id, t := range l.TargetDirectory.View().ByID {
-		if l.bornKnown[id] == t.Born {
+		if l.latestBorn[id] == t.Born {
 			continue
 		}
-		l.bornKnown[id] = t.Born
+		l.latestBorn[id] = t.Born
 		for _, s := range l.grants.Record().Slices {
 			for _, o := range []lease.Owner{s.Owner, s.Previous} {
 				if o.ID == id && o.Born < t.Born {
--- a/internal/gateway/leasingadapter.go
+++ b/internal/gateway/leasingadapter.go
@@ -11,9 +11,9 @@
 func (g *Gateway) newLeaseManager() *leasing.Manager {
 	state := leasingAdapter{g}
 	return leasing.New(g.ctx, leasing.Deps{
-		Self: g.self, Clock: g.clock, Log: g.log, Registry: g.registry, HoldMost: g.settings.HoldMost.D(),
-		Store: g.leaseStore(), StoreTimeout: storeTimeout, StorePause: maxStoreBackoff,
-		Mesh: g.mesh, Leases: g.state.leases, LocalState: state, TargetDirectory: state, Orders: g.adapter,
+		Self: g.self, Clock: g.clock, Log: g.log, Registry: g.registry, MaxHold: g.settings.HoldMost.D(),
+		Store: g.leaseStore(), StoreTimeout: storeTimeout, StoreRetryDelay: maxStoreBackoff,
+		Mesh: g.mesh, Leases: g.state.leases, LocalState: state, TargetDirectory: state, OrderCodec: g.adapter,
 		TargetIDHeader: g.headers.TargetID, InstanceIDHeader: g.headers.InstanceID,
 	})
 }
@@ -25,25 +25,25 @@
 // StoreUp implements leasing.LocalState.
 func (g leasingAdapter) StoreUp() bool { return g.gateway.storeUp.Load() }
 
-// Listed implements leasing.LocalState.
-func (g leasingAdapter) Listed() bool { return g.gateway.listed.Load() }
+// TargetsListed implements leasing.LocalState.
+func (g leasingAdapter) TargetsListed() bool { return g.gateway.listed.Load() }
 
 // Leaving implements leasing.LocalState.
 func (g leasingAdapter) Leaving() bool { return g.gateway.leaving.Load() }
 
-// EndsIn implements leasing.LocalState.
-func (g leasingAdapter) EndsIn() time.Duration { return g.gateway.shutdownTimeLeft() }
+// TimeUntilExit implements leasing.LocalState.
+func (g leasingAdapter) TimeUntilExit() time.Duration { return g.gateway.shutdownTimeLeft() }
 
 // StoreReachable implements leasing.LocalState.
 func (g leasingAdapter) StoreReachable() bool {
 	return g.gateway.storeUp.Load() || g.gateway.storeRelayed()
 }
 
-// Place implements leasing.LocalState.
-func (g leasingAdapter) Place(service string) int { return g.gateway.successionPlace(service) }
+// SuccessionRank implements leasing.LocalState.
+func (g leasingAdapter) SuccessionRank(service string) int { return g.gateway.successionPlace(service) }
 
-// Tag implements leasing.LocalState.
-func (g leasingAdapter) Tag() string { return g.gateway.tag() }
+// WriteID implements leasing.LocalState.
+func (g leasingAdapter) WriteID() string { return g.gateway.tag() }
 
 // View implements leasing.TargetDirectory.
 func (g leasingAdapter) View() *catalog.View { return g.gateway.state.view.Load() }
@@ -63,8 +63,8 @@
 	return 0
 }
 
-// UsualTime implements leasing.TargetDirectory.
-func (g leasingAdapter) UsualTime(service string) (time.Duration, bool) {
+// MeanServiceTime implements leasing.TargetDirectory.
+func (g leasingAdapter) MeanServiceTime(service string) (time.Duration, bool) {
 	g.gateway.state.mu.Lock()
 	defer g.gateway.state.mu.Unlock()
 	if d := g.gateway.state.durations[service]; d != nil && d.Known() {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -27,7 +27,7 @@
 		From: g.self, Leaving: g.leaving.Load(),
 		StoreLost: !g.storeUp.Load(), StoreRelayed: g.storeRelayed(), ConfigVersion: v.ConfigVersion(),
 		TargetsRevision: v.Targets.Revision, Targets: uint16(len(v.Targets.List)),
-		Leases: g.state.leases.Marks(), Loads: g.state.ownLoads(), Crashes: g.state.recentCrashes(),
+		Leases: g.state.leases.Versions(), Loads: g.state.ownLoads(), Crashes: g.state.recentCrashes(),
 	}
 }
 
@@ -63,7 +63,7 @@
 // isStale reports whether the leases known here are older than mark and must be fetched. Within an
 // epoch they must have been older for staleFetchDelay.
 func (g *Gateway) isStale(mark mesh.LeaseMark) bool {
-	r := g.state.leases.Of(mark.Service)
+	r := g.state.leases.Get(mark.Service)
 	if r == nil || mark.Epoch > r.Epoch {
 		return true
 	}
@@ -107,7 +107,7 @@
 
 // Routing returns the leases of a service.
 func (v View) Routing(service *string, out *lease.Routing) error {
-	r := v.gateway.state.leases.Of(*service)
+	r := v.gateway.state.leases.Get(*service)
 	if r == nil {
 		return errUnknown
 	}
--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -1,6 +1,6 @@
-// Package published holds the leases of keyed services as their grantors have published
-// them: of each service the latest version that this VM knows. It starts no goroutine and
-// uses neither network nor store.
+// Package published holds the leases of keyed services as published by their grantors: for each
+// service, the latest version that this VM has received. It starts no goroutines and uses neither
+// the network nor the store.
 package published
 
 import (
@@ -14,60 +14,62 @@
 	"hemlockquay/internal/mesh"
 )
 
-// Leases are the leases of all keyed services. They are safe for concurrent use.
+// Leases holds the leases of all keyed services. It is safe for concurrent use.
 type Leases struct {
 	clock    boottime.Clock
 	registry metrics.Registry
-	// changed is called after a change, without a lock of this package.
-	changed func()
+	// onChange is called after each change, without holding mu.
+	onChange func()
 
 	mu      sync.Mutex
 	routing map[string]*lease.Routing
-	// routedAt is when the routing of a service last changed.
-	routedAt map[string]time.Duration
-	// stale holds the versions of routing that were found behind.
-	stale map[string]staleSince
+	// changedAt is when the routing of each service last changed.
+	changedAt map[string]time.Duration
+	// stale is, by service, the version that was last found to be behind another VM's.
+	stale map[string]staleVersion
 }
 
-// New returns leases of which nothing is known. changed is called after each change.
-func New(clock boottime.Clock, registry metrics.Registry, changed func()) *Leases {
+// New returns a Leases without any leases. onChange is called after each change.
+func New(clock boottime.Clock, registry metrics.Registry, onChange func()) *Leases {
 	return &Leases{
-		clock: clock, registry: registry, changed: changed,
-		routing: make(map[string]*lease.Routing), routedAt: make(map[string]time.Duration), stale: make(map[string]staleSince),
+		clock: clock, registry: registry, onChange: onChange,
+		routing: make(map[string]*lease.Routing), changedAt: make(map[string]time.Duration), stale: make(map[string]staleVersion),
 	}
 }
 
-// Set applies a newer routing of a service's keys.
+// Set replaces the routing of a service by r if r is newer.
 func (l *Leases) Set(r *lease.Routing) {
-	if l.set(r) {
-		l.changed()
+	if l.replace(r) {
+		l.onChange()
 	}
 }
 
-func (l *Leases) set(r *lease.Routing) bool {
+// replace does the work of Set and reports whether r was newer.
+func (l *Leases) replace(r *lease.Routing) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if old := l.routing[r.Service]; old != nil && !r.After(old.Epoch, old.Seq) {
 		return false
 	}
 	if l.routing[r.Service] == nil {
-		l.gauge(r.Service)
+		l.registerAgeGauge(r.Service)
 	}
-	l.routing[r.Service], l.routedAt[r.Service] = r, l.clock.Now()
+	l.routing[r.Service], l.changedAt[r.Service] = r, l.clock.Now()
 	return true
 }
 
-// gauge shows how long ago a service's leases last changed, milliseconds.
-func (l *Leases) gauge(service string) {
+// registerAgeGauge registers a gauge of the time since a service's leases last changed, in
+// milliseconds.
+func (l *Leases) registerAgeGauge(service string) {
 	l.registry.GetOrRegister("leases."+service+".age", metrics.NewFunctionalGauge(func() int64 {
-		return (l.clock.Now() - l.RoutedAt(service)).Milliseconds()
+		return (l.clock.Now() - l.ChangedAt(service)).Milliseconds()
 	}))
 }
 
-// Update applies changes of a service's routing; false if they build on another
-// version.
+// Update applies changes to a service's routing. It returns false if they are based on another
+// version than the one held, or if the result is not valid.
 func (l *Leases) Update(u *lease.Update) bool {
-	old := l.Of(u.Routing.Service)
+	old := l.Get(u.Routing.Service)
 	if old != nil && !u.Routing.After(old.Epoch, old.Seq) {
 		return true
 	}
@@ -79,28 +81,28 @@
 	return true
 }
 
-// StaleFor returns for how long this VM has known that another version is later than
-// the one it has.
+// StaleFor returns for how long this VM has known that there is a later version than have. The
+// first call for a version returns 0.
 func (l *Leases) StaleFor(have *lease.Routing) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	since, ok := l.stale[have.Service]
-	if !ok || since.epoch != have.Epoch || since.seq != have.Seq {
-		since = staleSince{epoch: have.Epoch, seq: have.Seq, at: now}
-		l.stale[have.Service] = since
+	stale, ok := l.stale[have.Service]
+	if !ok || stale.epoch != have.Epoch || stale.seq != have.Seq {
+		stale = staleVersion{epoch: have.Epoch, seq: have.Seq, since: now}
+		l.stale[have.Service] = stale
 	}
-	return now - since.at
+	return now - stale.since
 }
 
-// staleSince is the version that this VM had when it first heard of a later one.
-type staleSince struct {
+// staleVersion is the version that this VM had when it first learned of a later one.
+type staleVersion struct {
 	epoch, seq uint64
-	at         time.Duration
+	since      time.Duration
 }
 
-// Of returns what is known of a service's leases, or nil.
-func (l *Leases) Of(service string) *lease.Routing {
+// Get returns the leases of a service, or nil if none are known.
+func (l *Leases) Get(service string) *lease.Routing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.routing[service]
@@ -117,14 +119,14 @@
 	return out
 }
 
-// RoutedAt returns when what is known of a service's leases last changed, on the clock.
-func (l *Leases) RoutedAt(service string) time.Duration {
+// ChangedAt returns when the leases of a service last changed, as a reading of the clock.
+func (l *Leases) ChangedAt(service string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.routedAt[service]
+	return l.changedAt[service]
 }
 
-// Grantors returns the VMs that are grantors of a service.
+// Grantors returns the VMs that are the grantor of at least one service.
 func (l *Leases) Grantors() map[string]bool {
 	out := make(map[string]bool)
 	for _, r := range l.All() {
@@ -135,8 +137,8 @@
 	return out
 }
 
-// Marks returns the versions of all leases.
-func (l *Leases) Marks() []mesh.LeaseMark {
+// Versions returns the versions of all leases.
+func (l *Leases) Versions() []mesh.LeaseMark {
 	var out []mesh.LeaseMark
 	for _, r := range l.All() {
 		out = append(out, mesh.LeaseMark{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq})
--- a/internal/gateway/repeats.go
+++ b/internal/gateway/repeats.go
@@ -57,7 +57,7 @@
 	if c.lastFailure != causeMisdirected {
 		return c.lastFailure
 	}
-	if r := g.state.leases.Of(c.service); r != nil && r.After(c.misdirectedBy.Epoch, c.misdirectedBy.Seq) {
+	if r := g.state.leases.Get(c.service); r != nil && r.After(c.misdirectedBy.Epoch, c.misdirectedBy.Seq) {
 		return causeMoved
 	}
 	return causeMisdirected
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -85,7 +85,7 @@
 func (s *routingState) reserveOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseMark, timeLeft time.Duration) (*attempt, refusal, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.leases.Of(service)
+	r := s.leases.Get(service)
 	if r == nil {
 		return nil, refusedMoving, "no leases known"
 	}
