--- a/internal/gateway/fetch_test.go
+++ b/internal/gateway/fetch_test.go
@@ -64,7 +64,7 @@
 	a, b := peerGateway(t, "a", 0), peerGateway(t, "b", 0)
 	want := largeConfig(7, 1560)
 	a.state.setConfig(want, sourceStore)
-	b.mesh.Meet(a.self)
+	b.mesh.Add(a.self)
 	eventually(t, func() bool { return b.configVersion() == 7 })
 	require.Equal(t, want, b.state.view.Load().Routes.Config())
 }
@@ -82,7 +82,7 @@
 		return assert.ObjectsAreEqual(a.state.view.Load().Targets, b.state.view.Load().Targets)
 	}
 	a.state.list(5, catalog.Target{ID: "t", Service: "s"}, catalog.Target{ID: "u", Service: "s"})
-	b.mesh.Meet(a.self)
+	b.mesh.Add(a.self)
 	eventually(t, same)
 
 	a.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
@@ -122,7 +122,7 @@
 	for _, name := range []string{"b", "c", "d", "e"} {
 		n := peerGateway(t, name, 0)
 		for _, other := range nodes {
-			n.mesh.Meet(other.self)
+			n.mesh.Add(other.self)
 		}
 		eventually(t, func() bool { return n.configVersion() == 7 })
 		nodes[0].transfers.limiter.SetLimit(0)
@@ -156,7 +156,7 @@
 		return err
 	})
 	<-begun
-	b.mesh.Meet(a.self)
+	b.mesh.Add(a.self)
 	require.NoError(t, <-ended)
 	require.EqualValues(t, 7, b.configVersion())
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -173,7 +173,7 @@
 			continue
 		}
 		for _, m := range members {
-			g.mesh.Meet(m)
+			g.mesh.Add(m)
 		}
 		g.joined.Store(true)
 	}
@@ -195,7 +195,7 @@
 			g.log.Warn().Str("step", "join").Str("vm", o.Name).Err(err).Msg("entry of a VM ignored")
 			continue
 		}
-		g.mesh.Meet(m)
+		g.mesh.Add(m)
 	}
 	g.joined.Store(true)
 	return nil
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -96,7 +96,7 @@
 
 // receive records a heartbeat, of a call or of a reply.
 func (m *Mesh) receive(b Heartbeat) {
-	m.Meet(b.From)
+	m.Add(b.From)
 	m.mu.Lock()
 	r := m.remotes[b.From.VM]
 	known := r != nil && r.member.Incarnation == b.From.Incarnation
@@ -116,7 +116,7 @@
 
 // Join makes the caller known and returns all known VMs.
 func (s Service) Join(in *Member, out *[]Member) error {
-	s.Mesh.Meet(*in)
+	s.Mesh.Add(*in)
 	*out = s.Mesh.Members()
 	return nil
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -113,8 +113,8 @@
 	m.wait.Wait()
 }
 
-// Meet adds a VM, or a new life of one.
-func (m *Mesh) Meet(who Member) {
+// Add adds a VM, or a new life of one.
+func (m *Mesh) Add(who Member) {
 	if who.VM == m.self.VM || who.VM == "" || who.Addr == "" {
 		return
 	}
