--- a/internal/gateway/expiry.go
+++ b/internal/gateway/expiry.go
@@ -34,7 +34,7 @@
 		return ""
 	}
 	r := g.state.leases.Of(service)
-	if r == nil || g.mesh.Lives(r.Holder, r.Incarnation) {
+	if r == nil || g.mesh.IsLive(r.Holder, r.Incarnation) {
 		return ""
 	}
 	renewed := g.state.leases.RoutedAt(service)
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -148,7 +148,7 @@
 		return -1, false
 	}
 	r := c.Leases.Of(c.service)
-	if r != nil && r.Holder != c.Self.VM && c.Mesh.Lives(r.Holder, r.Incarnation) && !c.stranded(r.Holder) {
+	if r != nil && r.Holder != c.Self.VM && c.Mesh.IsLive(r.Holder, r.Incarnation) && !c.stranded(r.Holder) {
 		c.storeProvenSince = 0
 		return -1, true
 	}
@@ -194,7 +194,7 @@
 // enough to succeed a grantor that lives. A VM that made no call during an outage takes the
 // store for up all the while; at its end the grantor needs a moment to find the store again.
 func (c *candidate) storeProven(old lease.Record) bool {
-	if old.Resigned || old.Holder == c.Self.VM || !c.Mesh.Lives(old.Holder, old.Incarnation) {
+	if old.Resigned || old.Holder == c.Self.VM || !c.Mesh.IsLive(old.Holder, old.Incarnation) {
 		return true
 	}
 	now := c.Clock.Now()
@@ -277,7 +277,7 @@
 // stillLed reports whether the record names a grantor that lives, and makes it
 // known: no heartbeat had named it yet.
 func (c *candidate) stillLed(r lease.Record) bool {
-	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.Lives(r.Holder, r.Incarnation) || c.stranded(r.Holder) {
+	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.IsLive(r.Holder, r.Incarnation) || c.stranded(r.Holder) {
 		return false
 	}
 	old := c.Leases.Of(c.service)
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -57,8 +57,8 @@
 
 // Mesh is the part of the mesh of VMs that the grantor uses.
 type Mesh interface {
-	// Lives reports whether a VM lives in this incarnation.
-	Lives(vm string, incarnation uint64) bool
+	// IsLive reports whether a VM lives in this incarnation.
+	IsLive(vm string, incarnation uint64) bool
 	// LastHeard returns when a VM was last heard of in this incarnation; false if it is not
 	// known.
 	LastHeard(vm string, incarnation uint64) (at time.Duration, known bool)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -179,9 +179,9 @@
 	return out
 }
 
-// Lives reports whether this life of a VM sent heartbeats lately. One that leaves does its
+// IsLive reports whether this life of a VM sent heartbeats lately. One that leaves does its
 // duties until it reports that they have ended.
-func (m *Mesh) Lives(vm string, incarnation uint64) bool {
+func (m *Mesh) IsLive(vm string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if vm == m.self.VM {
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -51,15 +51,15 @@
 	m, clock := newMesh(t)
 	b := Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}
 	m.receiveHeartbeat(Heartbeat{From: b})
-	require.True(t, m.Lives("b", 1))
+	require.True(t, m.IsLive("b", 1))
 	require.Len(t, m.Live(), 2)
 	pass(m, clock, silentLeast+stallAfter)
-	require.False(t, m.Lives("b", 1))
+	require.False(t, m.IsLive("b", 1))
 	m.receiveHeartbeat(Heartbeat{From: b})
-	require.True(t, m.Lives("b", 1))
+	require.True(t, m.IsLive("b", 1))
 	m.receiveHeartbeat(Heartbeat{From: b, Leaving: true})
 	require.Len(t, m.Live(), 1, "a VM that leaves takes no duties")
-	require.True(t, m.Lives("b", 1), "it still has those that it has")
+	require.True(t, m.IsLive("b", 1), "it still has those that it has")
 }
 
 // Guards against a VM that succeeds all others after it stood still.
@@ -67,9 +67,9 @@
 	m, clock := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}})
 	clock.advance(10 * time.Second)
-	require.True(t, m.Lives("b", 1))
+	require.True(t, m.IsLive("b", 1))
 	pass(m, clock, silentLeast+stallAfter)
-	require.False(t, m.Lives("b", 1), "it had time to speak")
+	require.False(t, m.IsLive("b", 1), "it had time to speak")
 }
 
 // A VM restarts. Its old life is over, also where a late heartbeat of it arrives.
@@ -82,8 +82,8 @@
 	next.Incarnation = 2
 	m.receiveHeartbeat(Heartbeat{From: next})
 	m.receiveHeartbeat(Heartbeat{From: b, Loads: []Load{NewLoad(0xabcdef12, 3)}})
-	require.False(t, m.Lives("b", 1))
-	require.True(t, m.Lives("b", 2))
+	require.False(t, m.IsLive("b", 1))
+	require.True(t, m.IsLive("b", 2))
 	require.Empty(t, m.Loads())
 	require.True(t, m.Replaced("b", b.Addr, 1))
 	require.False(t, m.Replaced("b", "127.0.0.2:1", 1), "at another address it proves nothing")
@@ -97,10 +97,10 @@
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 9}})
 	next := Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 5}}
 	m.receiveHeartbeat(next)
-	require.True(t, m.Lives("b", 9), "a late heartbeat of an earlier life")
+	require.True(t, m.IsLive("b", 9), "a late heartbeat of an earlier life")
 	pass(m, clock, silentLeast+stallAfter)
 	m.receiveHeartbeat(next)
-	require.True(t, m.Lives("b", 5))
+	require.True(t, m.IsLive("b", 5))
 }
 
 func TestLoadsOfAllVMsAddUp(t *testing.T) {
@@ -144,7 +144,7 @@
 	meet()
 	lostAfter := func() time.Duration {
 		begin := clock.Now()
-		for m.Lives("grantor", 1) {
+		for m.IsLive("grantor", 1) {
 			clock.advance(stallAfter / 2)
 			meet()
 		}
@@ -166,9 +166,9 @@
 	}
 	m.Monitor("s", "vm-0")
 	pass(m, clock, 3*time.Second)
-	require.True(t, m.Lives("vm-0", 1))
+	require.True(t, m.IsLive("vm-0", 1))
 	pass(m, clock, 4*time.Second)
-	require.False(t, m.Lives("vm-0", 1))
+	require.False(t, m.IsLive("vm-0", 1))
 }
 
 // Guards against a target that counts as busy with the requests of a VM that has failed.
