--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -160,7 +160,7 @@
 	}
 	rank = c.LocalState.Place(c.service)
 	if leaving {
-		rank += min(c.Mesh.Staying(), closeSuccessors)
+		rank += min(c.Mesh.NonLeavingPeers(), closeSuccessors)
 	}
 	if int64(now) < c.unfitUntil.Load() {
 		// All others come first; but where all resigned, one must do it.
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -159,7 +159,7 @@
 // replaceable reports whether this VM leaves, and another one should be the grantor: one that
 // stays, or any while this VM's process is about to end.
 func (l *leader) replaceable() bool {
-	return l.LocalState.Leaving() && (l.Mesh.Staying() > 0 || l.LocalState.EndsIn() < lastResignation)
+	return l.LocalState.Leaving() && (l.Mesh.NonLeavingPeers() > 0 || l.LocalState.EndsIn() < lastResignation)
 }
 
 // strayed reports whether most owners leave orders unanswered.
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -75,8 +75,8 @@
 	Replaced(vm, addr string, incarnation uint64) bool
 	// Size is how many VMs live, with this one.
 	Size() int
-	// Staying is how many other VMs live and were not asked to end.
-	Staying() int
+	// NonLeavingPeers is how many other VMs live and were not asked to end.
+	NonLeavingPeers() int
 	// Others returns the other VMs that live.
 	Others() []string
 	// Call calls another VM.
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -54,7 +54,7 @@
 				n.receive(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, Leaving: j < 5})
 			}
 		}
-		require.Equal(t, 3, n.mesh.Staying())
+		require.Equal(t, 3, n.mesh.NonLeavingPeers())
 		taken[n.leasePlace("s")] = true
 	}
 	require.Len(t, taken, 5)
--- a/internal/mesh/relays.go
+++ b/internal/mesh/relays.go
@@ -76,8 +76,8 @@
 	return place
 }
 
-// Staying returns how many other live VMs do not leave.
-func (m *Mesh) Staying() int { return len(m.liveOthers(false)) }
+// NonLeavingPeers returns the number of other live VMs that are not leaving.
+func (m *Mesh) NonLeavingPeers() int { return len(m.liveOthers(false)) }
 
 // yields reports whether another VM comes before this one in the order for a duty.
 func (m Member) yields(other Member, duty string) bool {
