--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -174,7 +174,7 @@
 // Such a grantor renews what it granted, but cannot move the keys of targets that leave or fail.
 func (c *candidate) stranded(holder string) bool {
 	now := c.Clock.Now()
-	if !c.LocalState.StoreUp() || c.Mesh.ReachesStoreIndirectly(holder) {
+	if !c.LocalState.StoreUp() || c.Mesh.ReachesStoreByAnyPath(holder) {
 		c.strandedSince = 0
 		return false
 	}
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -62,9 +62,9 @@
 	// LastHeard returns when a VM was last heard of in this incarnation; false if it is not
 	// known.
 	LastHeard(vm string, incarnation uint64) (at time.Duration, known bool)
-	// ReachesStoreIndirectly reports whether the store answers a VM, directly or through
+	// ReachesStoreByAnyPath reports whether the store answers a VM, directly or through
 	// another VM.
-	ReachesStoreIndirectly(vm string) bool
+	ReachesStoreByAnyPath(vm string) bool
 	// StoreRelays returns the VMs through which the store can be called.
 	StoreRelays() []mesh.Member
 	// Monitor has this VM monitor the one that has a duty closely; an empty name ends it.
--- a/internal/mesh/relays.go
+++ b/internal/mesh/relays.go
@@ -15,9 +15,9 @@
 	return r != nil && r.heartbeat.From.VM != "" && !r.heartbeat.StoreLost
 }
 
-// ReachesStoreIndirectly reports whether the store answers a VM, directly or through
+// ReachesStoreByAnyPath reports whether the store answers a VM, directly or through
 // another VM.
-func (m *Mesh) ReachesStoreIndirectly(vm string) bool {
+func (m *Mesh) ReachesStoreByAnyPath(vm string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.remotes[vm]
