--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -33,7 +33,7 @@
 	// failed is how the last arrival failed, misdirected by which version of the leases it was
 	// sent where its target did not hold the key.
 	failed      cause
-	misdirected mesh.LeaseMark
+	misdirected mesh.LeaseVersion
 	// last is an answer without success that stands if nothing better comes.
 	last   *upstream.Answer
 	trace  []string
--- a/internal/gateway/limit_test.go
+++ b/internal/gateway/limit_test.go
@@ -25,7 +25,7 @@
 	s.leases.Set(hot)
 	sent := func(key uint16) (n int) {
 		for range 1000 {
-			if e, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseMark{}, time.Second); e != nil {
+			if e, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseVersion{}, time.Second); e != nil {
 				s.finish(e, endAnswered)
 				n++
 			} else {
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -62,7 +62,7 @@
 const behindLeast = 100 * time.Millisecond
 
 // behind reports whether leases known here have been behind for a while.
-func (g *Gateway) behind(mark mesh.LeaseMark) bool {
+func (g *Gateway) behind(mark mesh.LeaseVersion) bool {
 	r := g.state.leases.Of(mark.Service)
 	if r == nil || mark.Epoch > r.Epoch {
 		return true
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -32,7 +32,7 @@
 	clock := newHandClock(time.Hour)
 	n := testGateway(clock)
 	defer n.mesh.Close()
-	mark := mesh.LeaseMark{Service: "s", Epoch: 3, Seq: 2}
+	mark := mesh.LeaseVersion{Service: "s", Epoch: 3, Seq: 2}
 	require.True(t, n.behind(mark), "unknown leases are fetched at once")
 	n.state.leases.Set(owners(1, 0))
 	require.False(t, n.behind(mark))
--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -136,10 +136,10 @@
 }
 
 // Marks returns the versions of all leases.
-func (l *Leases) Marks() []mesh.LeaseMark {
-	var out []mesh.LeaseMark
+func (l *Leases) Marks() []mesh.LeaseVersion {
+	var out []mesh.LeaseVersion
 	for _, r := range l.All() {
-		out = append(out, mesh.LeaseMark{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq})
+		out = append(out, mesh.LeaseVersion{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq})
 	}
 	return out
 }
--- a/internal/gateway/repeating_test.go
+++ b/internal/gateway/repeating_test.go
@@ -25,7 +25,7 @@
 	require.EqualValues(t, 1, count("keyed", causeRefused))
 	require.EqualValues(t, 1, b.repeatsOf("keyed"))
 
-	c := &call{service: "keyed", failed: causeMisdirected, misdirected: mesh.LeaseMark{Service: "keyed", Epoch: 1, Seq: 1}}
+	c := &call{service: "keyed", failed: causeMisdirected, misdirected: mesh.LeaseVersion{Service: "keyed", Epoch: 1, Seq: 1}}
 	require.Equal(t, causeMisdirected, b.causeOf(c))
 	b.state.own("keyed", 1, 2, "k", lease.Served)
 	require.Equal(t, causeMoved, b.causeOf(c))
--- a/internal/gateway/sending.go
+++ b/internal/gateway/sending.go
@@ -27,7 +27,7 @@
 	// cold reports whether the key is cold at its owner.
 	cold bool
 	// leases is the version of the leases that named the owner.
-	leases mesh.LeaseMark
+	leases mesh.LeaseVersion
 	// sharers is how many VMs sent requests to the target then.
 	sharers int
 }
@@ -79,7 +79,7 @@
 
 // chooseOwner reserves the target that owns the key, by leases after the version by which
 // the request was misdirected. Where it refuses, it describes what it decided on.
-func (s *routingState) chooseOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseMark, left time.Duration) (*attempt, refusal, string) {
+func (s *routingState) chooseOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseVersion, left time.Duration) (*attempt, refusal, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.leases.Of(service)
@@ -113,7 +113,7 @@
 	if e == nil {
 		return nil, why, t.inputs()
 	}
-	e.cold, e.leases = cold, mesh.LeaseMark{Service: service, Epoch: r.Epoch, Seq: r.Seq}
+	e.cold, e.leases = cold, mesh.LeaseVersion{Service: service, Epoch: r.Epoch, Seq: r.Seq}
 	return e, why, ""
 }
 
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -62,12 +62,12 @@
 	target.Draining = true
 	s.list(2, target)
 
-	e, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	e, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedNone, why, "until the key has another owner, this one serves it")
 	s.finish(e, endLeft)
 
 	clock.advance(leavingMost + time.Millisecond)
-	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedLost, why)
 }
 
@@ -75,13 +75,13 @@
 	s := testState(newHandClock(0))
 	s.list(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	s.own("s", 1, 2, "t", lease.Moving)
-	_, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedMoving, why)
 	s.own("s", 1, 1, "t", lease.Served)
-	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedMoving, why, "older leases change nothing")
 	s.own("s", 2, 1, "t", lease.Served)
-	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedNone, why)
 }
 
@@ -104,19 +104,19 @@
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
 	s.list(1, target)
 	s.own("s", 1, 1, "t", lease.Served)
-	e, _, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	e, _, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	a := &upstream.Answer{Status: http.StatusMisdirectedRequest, Header: http.Header{"Instance": {"other"}}}
 	h := fakeAdapter{}.Headers()
 	require.True(t, h.another(a, "t"))
 	require.False(t, h.another(a, "other"), "a target that does not hold the key is no other")
 	s.displaced(e)
-	_, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, why, _ := s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedLost, why)
 	_, why = s.chooseFromPool("s", &route.Route{}, nil, time.Second, 0)
 	require.Equal(t, refusedFull, why)
 	target.Born = 2
 	s.list(2, target)
-	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, why, _ = s.chooseOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedNone, why, "a new life answers there")
 }
 
--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -32,8 +32,8 @@
 	return float64(m.LinkMbps) * BytesPerMbit
 }
 
-// LeaseMark is the version of a service's leases that a VM knows.
-type LeaseMark struct {
+// LeaseVersion is the version of a service's leases that a VM knows.
+type LeaseVersion struct {
 	Service string `msgpack:"s"`
 	Epoch   uint64 `msgpack:"e"`
 	Seq     uint64 `msgpack:"q"`
@@ -69,9 +69,9 @@
 	ConfigVersion   uint64 `msgpack:"c"`
 	TargetsRevision uint64 `msgpack:"t"`
 	// Targets is how many the sender lists.
-	Targets uint16      `msgpack:"n"`
-	Leases  []LeaseMark `msgpack:"m"`
-	Loads   []Load      `msgpack:"o"`
+	Targets uint16         `msgpack:"n"`
+	Leases  []LeaseVersion `msgpack:"m"`
+	Loads   []Load         `msgpack:"o"`
 	// Crashes are the requests that seem to crash targets.
 	Crashes []Crash `msgpack:"r"`
 }
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -118,7 +118,7 @@
 	full := Heartbeat{
 		From:   Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1},
 		Loads:  []Load{NewLoad(7<<8, 3)},
-		Leases: []LeaseMark{{Service: "s", Epoch: 2}},
+		Leases: []LeaseVersion{{Service: "s", Epoch: 2}},
 	}
 	m.receiveHeartbeat(full)
 	next := full
