--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -78,7 +78,7 @@
 // place returns this VM's place, from 0, in the order for a duty of the live VMs that
 // are fit for it. VMs with much faster links come first: on a link of 10 Mbit/s, renewals of
 // hundreds of ranges compete with requests.
-func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Place(duty, fit) }
+func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Rank(duty, fit) }
 
 // leasePlace returns this VM's place in the succession of a service's grantor. VMs that the
 // store turns away have a place as well: they may be grantors through a relay, and while
--- a/internal/mesh/relays.go
+++ b/internal/mesh/relays.go
@@ -52,9 +52,9 @@
 	return out
 }
 
-// Place returns this VM's place, from 0, in the order of preference for a duty of the live
+// Rank returns this VM's place, from 0, in the order of preference for a duty of the live
 // VMs that are fit for it. This VM is in it in any case.
-func (m *Mesh) Place(duty string, fit func(vm string) bool) int {
+func (m *Mesh) Rank(duty string, fit func(vm string) bool) int {
 	place := 0
 	for _, other := range m.live() {
 		if other.VM != m.self.VM && m.self.yields(other, duty) && fit(other.VM) {
--- a/internal/mesh/slope_test.go
+++ b/internal/mesh/slope_test.go
@@ -34,7 +34,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			m, _ := fleet(b, n)
 			for b.Loop() {
-				m.Place("watch", m.ReachesStore)
+				m.Rank("watch", m.ReachesStore)
 			}
 		})
 	}
