--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -86,7 +86,7 @@
 // A VM that leaves has a place among those that leave.
 func (g *Gateway) leasePlace(service string) int {
 	if g.leaving.Load() {
-		return g.mesh.PlaceAmongLeaving(service)
+		return g.mesh.RankAmongLeaving(service)
 	}
 	return g.place(service, func(string) bool { return true })
 }
--- a/internal/mesh/relays.go
+++ b/internal/mesh/relays.go
@@ -64,9 +64,9 @@
 	return place
 }
 
-// PlaceAmongLeaving returns the place of this VM, which leaves, in the order of preference
+// RankAmongLeaving returns the place of this VM, which leaves, in the order of preference
 // for a duty of the live VMs that leave.
-func (m *Mesh) PlaceAmongLeaving(duty string) int {
+func (m *Mesh) RankAmongLeaving(duty string) int {
 	place := 0
 	for _, other := range m.liveOthers(true) {
 		if m.self.yields(other, duty) {
