--- a/internal/mesh/crashes.go
+++ b/internal/mesh/crashes.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// pastLife is what a VM reported before its process ended.
-type pastLife struct {
+// previousIncarnation is what a VM reported before its process ended.
+type previousIncarnation struct {
 	crashes   []Crash
 	lastHeard time.Duration
 }
 
-// ended returns what to remember of a VM whose process has ended.
-func (r *remote) ended() *pastLife {
+// asPrevious returns what to remember of a VM whose process has asPrevious.
+func (r *remote) asPrevious() *previousIncarnation {
 	if len(r.heartbeat.Crashes) == 0 {
-		return r.past
+		return r.previous
 	}
-	return &pastLife{crashes: r.heartbeat.Crashes, lastHeard: r.lastHeard}
+	return &previousIncarnation{crashes: r.heartbeat.Crashes, lastHeard: r.lastHeard}
 }
 
 // Crashes returns the targets that ended at other VMs while they ran a request of
@@ -26,8 +26,8 @@
 	var out []uint32
 	for _, r := range m.remotes {
 		out = appendCrashes(out, r.heartbeat.Crashes, content)
-		if r.past != nil && now-r.past.lastHeard < memory {
-			out = appendCrashes(out, r.past.crashes, content)
+		if r.previous != nil && now-r.previous.lastHeard < memory {
+			out = appendCrashes(out, r.previous.crashes, content)
 		}
 	}
 	return out
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -15,12 +15,12 @@
 	for {
 		var err error
 		period, monitored := m.periodOf(r)
-		if announcing || monitored || m.self.VM < r.member.VM || m.silence(r) > time.Duration(overdue*float64(period)) {
-			err = m.call(ctx, r, announcing && !first)
+		if announcing || monitored || m.self.VM < r.member.VM || m.sinceLastHeard(r) > time.Duration(overdueFactor*float64(period)) {
+			err = m.exchangeOnce(ctx, r, announcing && !first)
 		}
 		announcing, first = false, false
-		silent := m.silence(r)
-		if now := silent > m.silenceOf(r); now != lost {
+		silent := m.sinceLastHeard(r)
+		if now := silent > m.failureTimeoutOf(r); now != lost {
 			lost = now
 			if lost {
 				m.dropLoads(r)
@@ -34,28 +34,28 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.announce:
+		case <-r.announcements:
 			announcing = true
-		case <-time.After(pauseAfter(err, lost, period)):
+		case <-time.After(delayAfter(err, lost, period)):
 		}
 	}
 }
 
-// retryShare is the part of the period after which a failed exchange is repeated: more often, the
+// retryFraction is the part of the period after which a failed exchange is repeated: more often, the
 // loss of half of a large fleet would keep the other half busy with calls to it.
-const retryShare = 0.25
+const retryFraction = 0.25
 
-// pauseAfter returns the pause after an exchange. A failed one is repeated soon, so that one
+// delayAfter returns the pause after an exchange. A failed one is repeated soon, so that one
 // lost message does not make a VM count as failed; one that has failed is called rarely.
-func pauseAfter(err error, lost bool, period time.Duration) time.Duration {
+func delayAfter(err error, lost bool, period time.Duration) time.Duration {
 	if err != nil && !lost {
-		return min(period, max(closePeriod, time.Duration(retryShare*float64(period))))
+		return min(period, max(maxClosePeriod, time.Duration(retryFraction*float64(period))))
 	}
 	return period
 }
 
-// call exchanges heartbeats once.
-func (m *Mesh) call(ctx context.Context, r *remote, brief bool) error {
+// exchangeOnce exchanges heartbeats once.
+func (m *Mesh) exchangeOnce(ctx context.Context, r *remote, brief bool) error {
 	var reply Heartbeat
 	heartbeat := m.local.Heartbeat()
 	if brief {
@@ -70,18 +70,18 @@
 	return err
 }
 
-// silenceOf returns for how long one VM may be silent until it counts as lost.
-func (m *Mesh) silenceOf(r *remote) time.Duration {
+// failureTimeoutOf returns for how long one VM may be silent until it counts as lost.
+func (m *Mesh) failureTimeoutOf(r *remote) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.silenceOfLocked(r, m.clock.Now())
+	return m.failureTimeoutOfLocked(r, m.clock.Now())
 }
 
-func (m *Mesh) silence(r *remote) time.Duration {
+func (m *Mesh) sinceLastHeard(r *remote) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
-	m.stepLocked(now)
+	m.checkPauseLocked(now)
 	return now - r.lastHeard
 }
 
@@ -101,7 +101,7 @@
 	r := m.remotes[b.From.VM]
 	known := r != nil && r.member.Incarnation == b.From.Incarnation
 	if known {
-		b = b.completed(r.heartbeat)
+		b = b.withDetailsOf(r.heartbeat)
 		r.lastHeard, r.heartbeat = m.clock.Now(), b
 		m.loads.replace(r, b.Loads)
 	}
--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -43,17 +43,17 @@
 // of the target's id, the lower 8 the number.
 type Load uint32
 
-// loadMost is the largest number that a Load holds.
-const loadMost = 1<<8 - 1
+// maxLoad is the largest number that a Load holds.
+const maxLoad = 1<<8 - 1
 
 // NewLoad returns the load of a target, by a hash of its id.
 func NewLoad(hash uint32, requests int) Load {
-	return Load(hash&^loadMost | uint32(min(requests, loadMost)))
+	return Load(hash&^maxLoad | uint32(min(requests, maxLoad)))
 }
 
-func (l Load) target() uint32 { return uint32(l) &^ loadMost }
+func (l Load) target() uint32 { return uint32(l) &^ maxLoad }
 
-func (l Load) requests() int { return int(l & loadMost) }
+func (l Load) requests() int { return int(l & maxLoad) }
 
 // Heartbeat is what a VM reports of itself to the others.
 type Heartbeat struct {
@@ -83,8 +83,8 @@
 	return b
 }
 
-// completed returns a brief heartbeat with the rest of the last one.
-func (b Heartbeat) completed(last Heartbeat) Heartbeat {
+// withDetailsOf returns a brief heartbeat with the rest of the last one.
+func (b Heartbeat) withDetailsOf(last Heartbeat) Heartbeat {
 	if b.Brief {
 		b.Leases, b.Loads, b.Crashes = last.Leases, last.Loads, last.Crashes
 	}
@@ -99,4 +99,4 @@
 }
 
 // LoadKey returns the key of a target in Loads, by the hash of its id.
-func LoadKey(hash uint32) uint32 { return hash &^ loadMost }
+func LoadKey(hash uint32) uint32 { return hash &^ maxLoad }
--- a/internal/mesh/loads.go
+++ b/internal/mesh/loads.go
@@ -15,13 +15,13 @@
 
 // replace puts the loads of a VM in place of those that are counted of it.
 func (s *loadSums) replace(r *remote, loads []Load) {
-	for _, l := range r.counted {
+	for _, l := range r.countedLoads {
 		s.add(l.target(), -l.requests())
 	}
 	for _, l := range loads {
 		s.add(l.target(), l.requests())
 	}
-	r.counted = loads
+	r.countedLoads = loads
 }
 
 func (s *loadSums) add(target uint32, requests int) {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -25,26 +25,26 @@
 	// basePeriod is the time between two exchanges of a pair of VMs in a small
 	// fleet. One of the two calls; the reply carries as much as the call.
 	basePeriod = 150 * time.Millisecond
-	// overdue is after how many periods without a heartbeat the other one calls.
-	overdue = 1.6
+	// overdueFactor is after how many periods without a heartbeat the other one calls.
+	overdueFactor = 1.6
 	// periodPerVM makes the period grow with the fleet beyond smallFleet, so that a VM
 	// exchanges about 40 heartbeats a second with VMs that are no neighbours.
-	periodPerVM = 24 * time.Millisecond
-	smallFleet  = 6
+	periodPerVM    = 24 * time.Millisecond
+	smallFleetSize = 6
 	// callTimeout bounds one exchange.
 	callTimeout = 400 * time.Millisecond
 	// transferTimeout bounds a transfer: a megabyte over a link of 10 Mbit/s.
 	transferTimeout = time.Second
-	// silentPeriods is after how many periods without a heartbeat a VM counts as
+	// failureTimeoutPeriods is after how many periods without a heartbeat a VM counts as
 	// failed; silentLeast is the least, since a short pause is no failure.
-	silentPeriods = 2.6
-	silentLeast   = 750 * time.Millisecond
+	failureTimeoutPeriods = 2.6
+	minFailureTimeout     = 750 * time.Millisecond
 	// forgetAfter is when a lost VM is not called any more. One that returns
 	// calls by itself.
 	forgetAfter = time.Minute
-	// stallAfter is a gap between two steps of our own from which we were
+	// pauseThreshold is a gap between two steps of our own from which we were
 	// paused and know nothing of the others.
-	stallAfter = 500 * time.Millisecond
+	pauseThreshold = 500 * time.Millisecond
 )
 
 // Local is what the mesh asks of its VM.
@@ -63,12 +63,12 @@
 	transfers *peer.Client
 	lastHeard time.Duration
 	heartbeat Heartbeat
-	// past is an earlier life of the VM that reported crashes, or nil.
-	past *pastLife
-	// counted are the loads of the heartbeat that are in the sums.
-	counted  []Load
-	cancel   context.CancelFunc
-	announce chan struct{}
+	// previous is an earlier life of the VM that reported crashes, or nil.
+	previous *previousIncarnation
+	// countedLoads are the loads of the heartbeat that are in the sums.
+	countedLoads  []Load
+	cancel        context.CancelFunc
+	announcements chan struct{}
 }
 
 // Mesh is the VM's view of the others. It is safe for concurrent use.
@@ -89,16 +89,16 @@
 	// neighbours are the VMs that use some of the same targets as this one.
 	neighbours map[string]bool
 	loads      loadSums
-	// blindUntil is until when no VM counts as failed: this one was paused
+	// detectionResumesAt is until when no VM counts as failed: this one was paused
 	// itself.
-	blindUntil time.Duration
-	lastStep   time.Duration
+	detectionResumesAt time.Duration
+	lastCheck          time.Duration
 }
 
 // New returns a mesh that knows nobody.
 func New(self Member, clock boottime.Clock, logger *log.Logger) *Mesh {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Mesh{self: self, clock: clock, log: logger, ctx: ctx, cancel: cancel, remotes: make(map[string]*remote), monitored: make(map[string]string), loads: newLoadSums(), lastStep: clock.Now()}
+	return &Mesh{self: self, clock: clock, log: logger, ctx: ctx, cancel: cancel, remotes: make(map[string]*remote), monitored: make(map[string]string), loads: newLoadSums(), lastCheck: clock.Now()}
 }
 
 // Start begins to answer with local's state.
@@ -114,8 +114,8 @@
 }
 
 // Add adds a VM, or a new life of one.
-func (m *Mesh) Add(who Member) {
-	if who.VM == m.self.VM || who.VM == "" || who.Addr == "" {
+func (m *Mesh) Add(member Member) {
+	if member.VM == m.self.VM || member.VM == "" || member.Addr == "" {
 		return
 	}
 	m.mu.Lock()
@@ -123,8 +123,8 @@
 	if m.ctx.Err() != nil {
 		return
 	}
-	old := m.remotes[who.VM]
-	if old != nil && !m.newerLocked(old, who) {
+	old := m.remotes[member.VM]
+	if old != nil && !m.supersedesLocked(old, member) {
 		return
 	}
 	if old != nil {
@@ -132,37 +132,37 @@
 		m.loads.replace(old, nil)
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
-	r := &remote{member: who, client: peer.NewClient(who.Addr, 1), transfers: peer.NewClient(who.Addr, 1), lastHeard: m.clock.Now(), cancel: cancel, announce: make(chan struct{}, 1)}
+	r := &remote{member: member, client: peer.NewClient(member.Addr, 1), transfers: peer.NewClient(member.Addr, 1), lastHeard: m.clock.Now(), cancel: cancel, announcements: make(chan struct{}, 1)}
 	if old != nil {
-		r.past = old.ended()
+		r.previous = old.asPrevious()
 	}
-	m.remotes[who.VM] = r
-	m.log.Info().Str("step", "mesh").Str("peer", who.VM).Str("addr", who.Addr).Uint64("incarnation", who.Incarnation).Msg("peer known")
+	m.remotes[member.VM] = r
+	m.log.Info().Str("step", "mesh").Str("peer", member.VM).Str("addr", member.Addr).Uint64("incarnation", member.Incarnation).Msg("peer known")
 	m.wait.Add(1)
 	go m.exchange(ctx, r)
 }
 
-// newerLocked reports whether who is another life than the one that is known. It
+// supersedesLocked reports whether who is another life than the one that is known. It
 // needs m.mu.
 // The incarnation of a VM whose time of day has jumped back is lower than before. A process that is
 // silent has ended in any case.
-func (m *Mesh) newerLocked(old *remote, who Member) bool {
-	if who.Incarnation == old.member.Incarnation {
+func (m *Mesh) supersedesLocked(old *remote, member Member) bool {
+	if member.Incarnation == old.member.Incarnation {
 		return false
 	}
-	return who.Incarnation > old.member.Incarnation || m.clock.Now()-old.lastHeard > m.silenceLocked()
+	return member.Incarnation > old.member.Incarnation || m.clock.Now()-old.lastHeard > m.failureTimeoutLocked()
 }
 
 // Live returns the VMs that sent heartbeats lately, this one included, in order of
 // their names. Those that leave are left out.
 func (m *Mesh) Live() []Member {
-	out := m.live()
+	out := m.liveUnsorted()
 	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
 	return out
 }
 
-// live returns the same in no order.
-func (m *Mesh) live() []Member { return append(m.liveOthers(false), m.self) }
+// liveUnsorted returns the same in no order.
+func (m *Mesh) liveUnsorted() []Member { return append(m.liveOthers(false), m.self) }
 
 // liveOthers returns the other VMs that sent heartbeats lately: those that leave, or those
 // that do not.
@@ -222,15 +222,15 @@
 // liveLocked needs m.mu.
 // After a suspension of this VM all others seem silent. It waits until they had time to call.
 func (m *Mesh) liveLocked(r *remote, now time.Duration) bool {
-	m.stepLocked(now)
-	return now < m.blindUntil || now-r.lastHeard < m.silenceOfLocked(r, now)
+	m.checkPauseLocked(now)
+	return now < m.detectionResumesAt || now-r.lastHeard < m.failureTimeoutOfLocked(r, now)
 }
 
-func (m *Mesh) stepLocked(now time.Duration) {
-	if now-m.lastStep > stallAfter {
-		m.blindUntil = now + m.silenceLocked()
+func (m *Mesh) checkPauseLocked(now time.Duration) {
+	if now-m.lastCheck > pauseThreshold {
+		m.detectionResumesAt = now + m.failureTimeoutLocked()
 	}
-	m.lastStep = now
+	m.lastCheck = now
 }
 
 // Announce sends a brief heartbeat to all VMs at once: this VM has a newer version of something.
@@ -239,7 +239,7 @@
 	defer m.mu.Unlock()
 	for _, r := range m.remotes {
 		select {
-		case r.announce <- struct{}{}:
+		case r.announcements <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -12,24 +12,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// handClock is moved by the test, and read by the goroutines of a mesh.
-type handClock struct{ now atomic.Int64 }
+// manualClock is moved by the test, and read by the goroutines of a mesh.
+type manualClock struct{ now atomic.Int64 }
 
-func (c *handClock) Now() time.Duration { return time.Duration(c.now.Load()) }
+func (c *manualClock) Now() time.Duration { return time.Duration(c.now.Load()) }
 
-func (c *handClock) advance(d time.Duration) { c.now.Add(int64(d)) }
+func (c *manualClock) advance(d time.Duration) { c.now.Add(int64(d)) }
 
-type silentLocal struct{ self Member }
+type staticLocal struct{ self Member }
 
-func (l silentLocal) Heartbeat() Heartbeat { return Heartbeat{From: l.self} }
-func (silentLocal) OnHeartbeat(Heartbeat)  {}
+func (l staticLocal) Heartbeat() Heartbeat { return Heartbeat{From: l.self} }
+func (staticLocal) OnHeartbeat(Heartbeat)  {}
 
-func newMesh(t *testing.T) (*Mesh, *handClock) {
-	clock := new(handClock)
+func newMesh(t *testing.T) (*Mesh, *manualClock) {
+	clock := new(manualClock)
 	clock.advance(time.Hour)
 	self := Member{VM: "a", Addr: "127.0.0.1:1", Incarnation: 7}
 	m := New(self, clock, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
-	m.Start(silentLocal{self})
+	m.Start(staticLocal{self})
 	t.Cleanup(m.Close)
 	return m, clock
 }
@@ -39,21 +39,21 @@
 	_ = Service{m}.Heartbeat(&b, &out)
 }
 
-// pass lets time pass in steps that are no pause of our own.
-func pass(m *Mesh, clock *handClock, d time.Duration) {
+// advanceInSteps lets time advanceInSteps in steps that are no pause of our own.
+func advanceInSteps(m *Mesh, clock *manualClock, d time.Duration) {
 	for end := clock.Now() + d; clock.Now() < end; {
-		clock.advance(stallAfter / 2)
+		clock.advance(pauseThreshold / 2)
 		m.Live()
 	}
 }
 
-func TestSilentVMIsLostAndComesBack(t *testing.T) {
+func TestSilentVMIsLostUntilItsNextHeartbeat(t *testing.T) {
 	m, clock := newMesh(t)
 	b := Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}
 	m.receiveHeartbeat(Heartbeat{From: b})
 	require.True(t, m.IsLive("b", 1))
 	require.Len(t, m.Live(), 2)
-	pass(m, clock, silentLeast+stallAfter)
+	advanceInSteps(m, clock, minFailureTimeout+pauseThreshold)
 	require.False(t, m.IsLive("b", 1))
 	m.receiveHeartbeat(Heartbeat{From: b})
 	require.True(t, m.IsLive("b", 1))
@@ -63,17 +63,17 @@
 }
 
 // Guards against a VM that succeeds all others after it stood still.
-func TestAfterAPauseOfOurOwnNobodyIsLost(t *testing.T) {
+func TestOwnPauseDoesNotMarkPeersAsLost(t *testing.T) {
 	m, clock := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}})
 	clock.advance(10 * time.Second)
 	require.True(t, m.IsLive("b", 1))
-	pass(m, clock, silentLeast+stallAfter)
+	advanceInSteps(m, clock, minFailureTimeout+pauseThreshold)
 	require.False(t, m.IsLive("b", 1), "it had time to speak")
 }
 
 // A VM restarts. Its old life is over, also where a late heartbeat of it arrives.
-func TestNewLifeReplacesTheOld(t *testing.T) {
+func TestNewIncarnationReplacesTheOldOne(t *testing.T) {
 	m, _ := newMesh(t)
 	b := Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}
 	m.receiveHeartbeat(Heartbeat{From: b, Loads: []Load{NewLoad(0xabcdef12, 3)}})
@@ -92,28 +92,28 @@
 }
 
 // Guards against a VM that is ignored since its time of day jumped back.
-func TestLifeAfterAClockStepBackIsHeard(t *testing.T) {
+func TestIncarnationAfterClockStepBackIsAccepted(t *testing.T) {
 	m, clock := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 9}})
 	next := Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 5}}
 	m.receiveHeartbeat(next)
 	require.True(t, m.IsLive("b", 9), "a late heartbeat of an earlier life")
-	pass(m, clock, silentLeast+stallAfter)
+	advanceInSteps(m, clock, minFailureTimeout+pauseThreshold)
 	m.receiveHeartbeat(next)
 	require.True(t, m.IsLive("b", 5))
 }
 
-func TestLoadsOfAllVMsAddUp(t *testing.T) {
+func TestLoadsOfAllVMsAreSummed(t *testing.T) {
 	m, _ := newMesh(t)
 	for i, vm := range []string{"b", "c"} {
 		m.receiveHeartbeat(Heartbeat{From: Member{VM: vm, Addr: "127.0.0.1:1", Incarnation: 1}, Loads: []Load{NewLoad(1<<20, i+1), NewLoad(2<<20, 1000)}})
 	}
 	require.Equal(t, 3, m.Loads()[LoadKey(1<<20)])
-	require.Equal(t, 2*loadMost, m.Loads()[LoadKey(2<<20)], "a number that does not fit is cut, and spills over nothing")
+	require.Equal(t, 2*maxLoad, m.Loads()[LoadKey(2<<20)], "a number that does not fit is cut, and spills over nothing")
 }
 
 // Guards against announcements that fill the links.
-func TestBriefHeartbeatKeepsWhatTheLastOneSaidOfTargets(t *testing.T) {
+func TestBriefHeartbeatKeepsDetailsOfTheLastFullOne(t *testing.T) {
 	m, _ := newMesh(t)
 	full := Heartbeat{
 		From:   Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1},
@@ -133,7 +133,7 @@
 }
 
 // Guards against a grantor in a large fleet that counts as lost only after its grants have expired.
-func TestLossOfAMonitoredVMIsNoticedWithinAHold(t *testing.T) {
+func TestLossOfMonitoredVMIsDetectedBeforeGrantsExpire(t *testing.T) {
 	m, clock := newMesh(t)
 	meet := func() {
 		for i := range 88 {
@@ -145,7 +145,7 @@
 	lostAfter := func() time.Duration {
 		begin := clock.Now()
 		for m.IsLive("grantor", 1) {
-			clock.advance(stallAfter / 2)
+			clock.advance(pauseThreshold / 2)
 			meet()
 		}
 		m.receiveHeartbeat(Heartbeat{From: Member{VM: "grantor", Addr: "127.0.0.1:1", Incarnation: 1}})
@@ -159,20 +159,20 @@
 }
 
 // Guards against a takeover by a VM whose own link is full: no heartbeat reaches it in time.
-func TestMonitoredVMIsNotLostWhereMostAreSilent(t *testing.T) {
+func TestMonitoredVMIsNotLostWhileMostVMsAreSilent(t *testing.T) {
 	m, clock := newMesh(t)
 	for i := range 88 {
 		m.receiveHeartbeat(Heartbeat{From: Member{VM: fmt.Sprintf("vm-%d", i), Addr: "127.0.0.1:1", Incarnation: 1}})
 	}
 	m.Monitor("s", "vm-0")
-	pass(m, clock, 3*time.Second)
+	advanceInSteps(m, clock, 3*time.Second)
 	require.True(t, m.IsLive("vm-0", 1))
-	pass(m, clock, 4*time.Second)
+	advanceInSteps(m, clock, 4*time.Second)
 	require.False(t, m.IsLive("vm-0", 1))
 }
 
 // Guards against a target that counts as busy with the requests of a VM that has failed.
-func TestLoadsOfAFailedVMAreDropped(t *testing.T) {
+func TestLoadsOfFailedVMAreDropped(t *testing.T) {
 	m, _ := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}, Loads: []Load{NewLoad(1<<20, 3)}})
 	require.Equal(t, map[uint32]int{1 << 20: 3}, m.ChangedLoads())
@@ -183,7 +183,7 @@
 }
 
 // Guards against counts of a shared target that get older as the fleet grows.
-func TestNeighboursExchangeHeartbeatsOftenAtAnySize(t *testing.T) {
+func TestHeartbeatPeriodOfNeighboursIsBoundedAtAnyFleetSize(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
 		m, _ := newMesh(t)
 		for i := range n {
@@ -191,7 +191,7 @@
 		}
 		m.SetNeighbours(map[string]bool{"vm-3": true})
 		period, _ := m.periodOf(m.remote("vm-3"))
-		require.LessOrEqual(t, period, closePeriod, "%d VMs", n)
+		require.LessOrEqual(t, period, maxClosePeriod, "%d VMs", n)
 		other, _ := m.periodOf(m.remote("vm-4"))
 		perSecond := float64(n) / other.Seconds()
 		require.Less(t, perSecond, 70.0, "heartbeats a second with all others, %d VMs", n)
@@ -199,15 +199,15 @@
 }
 
 // Guards against a VM that counts as failed after one lost message.
-func TestFailedHeartbeatIsRepeatedSoon(t *testing.T) {
-	require.Equal(t, closePeriod, pauseAfter(errors.New("timed out"), false, closePeriod))
-	require.Equal(t, time.Second, pauseAfter(errors.New("timed out"), false, 4*time.Second))
-	require.Equal(t, 5*time.Second, pauseAfter(nil, false, 5*time.Second))
-	require.Equal(t, 5*time.Second, pauseAfter(errors.New("timed out"), true, 5*time.Second))
+func TestFailedHeartbeatIsRetriedSoon(t *testing.T) {
+	require.Equal(t, maxClosePeriod, delayAfter(errors.New("timed out"), false, maxClosePeriod))
+	require.Equal(t, time.Second, delayAfter(errors.New("timed out"), false, 4*time.Second))
+	require.Equal(t, 5*time.Second, delayAfter(nil, false, 5*time.Second))
+	require.Equal(t, 5*time.Second, delayAfter(errors.New("timed out"), true, 5*time.Second))
 }
 
 // Guards against a request that ends targets anew after each restart of the VM that saw them end.
-func TestCrashesCountAfterTheProcessThatReportedThemHasEnded(t *testing.T) {
+func TestReportedCrashesOutliveTheReportingProcess(t *testing.T) {
 	const memory = 30 * time.Second
 	m, clock := newMesh(t)
 	b := Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}
--- a/internal/mesh/period.go
+++ b/internal/mesh/period.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// silenceLocked returns for how long a VM may be silent until it counts as failed.
-func (m *Mesh) silenceLocked() time.Duration {
-	return max(silentLeast, time.Duration(silentPeriods*float64(m.periodLocked())))
+// failureTimeoutLocked returns for how long a VM may be silent until it counts as failed.
+func (m *Mesh) failureTimeoutLocked() time.Duration {
+	return max(minFailureTimeout, time.Duration(failureTimeoutPeriods*float64(m.periodLocked())))
 }
 
 func (m *Mesh) periodLocked() time.Duration {
-	return max(basePeriod, time.Duration(len(m.remotes)-smallFleet)*periodPerVM)
+	return max(basePeriod, time.Duration(len(m.remotes)-smallFleetSize)*periodPerVM)
 }
 
 // Period returns the time between two heartbeats of a pair of VMs.
@@ -32,9 +32,9 @@
 	defer m.mu.Unlock()
 	switch {
 	case m.monitoredLocked(r.member.VM):
-		return closePeriod, true
+		return maxClosePeriod, true
 	case m.neighbours[r.member.VM]:
-		return min(closePeriod, m.periodLocked()), false
+		return min(maxClosePeriod, m.periodLocked()), false
 	}
 	return m.periodLocked(), false
 }
--- a/internal/mesh/relays.go
+++ b/internal/mesh/relays.go
@@ -56,8 +56,8 @@
 // VMs that are fit for it. This VM is in it in any case.
 func (m *Mesh) Rank(duty string, fit func(vm string) bool) int {
 	place := 0
-	for _, other := range m.live() {
-		if other.VM != m.self.VM && m.self.yields(other, duty) && fit(other.VM) {
+	for _, other := range m.liveUnsorted() {
+		if other.VM != m.self.VM && m.self.ranksBelow(other, duty) && fit(other.VM) {
 			place++
 		}
 	}
@@ -69,7 +69,7 @@
 func (m *Mesh) RankAmongLeaving(duty string) int {
 	place := 0
 	for _, other := range m.liveOthers(true) {
-		if m.self.yields(other, duty) {
+		if m.self.ranksBelow(other, duty) {
 			place++
 		}
 	}
@@ -79,8 +79,8 @@
 // NonLeavingPeers returns the number of other live VMs that are not leaving.
 func (m *Mesh) NonLeavingPeers() int { return len(m.liveOthers(false)) }
 
-// yields reports whether another VM comes before this one in the order for a duty.
-func (m Member) yields(other Member, duty string) bool {
+// ranksBelow reports whether another VM comes before this one in the order for a duty.
+func (m Member) ranksBelow(other Member, duty string) bool {
 	if mine, theirs := m.LinkClass(), other.LinkClass(); mine != theirs {
 		return theirs > mine
 	}
--- a/internal/mesh/slope_test.go
+++ b/internal/mesh/slope_test.go
@@ -9,13 +9,13 @@
 	"github.com/phuslu/log"
 )
 
-// fleet returns a mesh that knows so many VMs, each with requests at ten targets.
-func fleet(b *testing.B, n int) (*Mesh, []Heartbeat) {
-	clock := new(handClock)
+// newFleetMesh returns a mesh that knows so many VMs, each with requests at ten targets.
+func newFleetMesh(b *testing.B, n int) (*Mesh, []Heartbeat) {
+	clock := new(manualClock)
 	clock.advance(time.Hour)
 	self := Member{VM: "self", Addr: "127.0.0.1:1", Incarnation: 1}
 	m := New(self, clock, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
-	m.Start(silentLocal{self})
+	m.Start(staticLocal{self})
 	b.Cleanup(m.Close)
 	heartbeats := make([]Heartbeat, n)
 	for i := range heartbeats {
@@ -28,11 +28,11 @@
 	return m, heartbeats
 }
 
-// BenchmarkSlopePlace is finding the VM's place for a duty, by VMs.
-func BenchmarkSlopePlace(b *testing.B) {
+// BenchmarkSlopeRank is finding the VM's place for a duty, by VMs.
+func BenchmarkSlopeRank(b *testing.B) {
 	for _, n := range []int{10, 100, 300} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m, _ := fleet(b, n)
+			m, _ := newFleetMesh(b, n)
 			for b.Loop() {
 				m.Rank("watch", m.ReachesStore)
 			}
@@ -44,7 +44,7 @@
 func BenchmarkSlopeLoads(b *testing.B) {
 	for _, n := range []int{10, 100, 300} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m, heartbeats := fleet(b, n)
+			m, heartbeats := newFleetMesh(b, n)
 			for b.Loop() {
 				for i := range 4 {
 					m.receive(heartbeats[i])
