--- a/internal/mesh/crashes.go
+++ b/internal/mesh/crashes.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// previousIncarnation is what a VM reported before its process ended.
+// previousIncarnation holds the crashes that a VM reported before its process ended.
 type previousIncarnation struct {
 	crashes   []Crash
 	lastHeard time.Duration
 }
 
-// asPrevious returns what to remember of a VM whose process has asPrevious.
+// asPrevious returns what to keep of a VM whose process has ended. If it reported no crashes,
+// those of an earlier incarnation are kept.
 func (r *remote) asPrevious() *previousIncarnation {
 	if len(r.heartbeat.Crashes) == 0 {
 		return r.previous
@@ -16,17 +17,18 @@
 	return &previousIncarnation{crashes: r.heartbeat.Crashes, lastHeard: r.lastHeard}
 }
 
-// Crashes returns the targets that ended at other VMs while they ran a request of
-// this content. One target may be named several times. What a VM reported counts for a time
-// after its process has ended: the new one does not know of it.
-func (m *Mesh) Crashes(content uint64, memory time.Duration) []uint32 {
+// Crashes returns the targets whose process ended while it ran a request of this content, as
+// reported by other VMs. A target may occur several times. Reports of a VM whose process has
+// ended count for the retention time after its last heartbeat, because its new process does not
+// know of them.
+func (m *Mesh) Crashes(content uint64, retention time.Duration) []uint32 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	var out []uint32
 	for _, r := range m.remotes {
 		out = appendCrashes(out, r.heartbeat.Crashes, content)
-		if r.previous != nil && now-r.previous.lastHeard < memory {
+		if r.previous != nil && now-r.previous.lastHeard < retention {
 			out = appendCrashes(out, r.previous.crashes, content)
 		}
 	}
--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// exchange sends heartbeats to one VM until it is replaced or forgotten.
+// exchange exchanges heartbeats with one VM until the VM is replaced or forgotten.
 func (m *Mesh) exchange(ctx context.Context, r *remote) {
 	defer m.wait.Done()
 	defer r.client.Close()
@@ -41,12 +41,13 @@
 	}
 }
 
-// retryFraction is the part of the period after which a failed exchange is repeated: more often, the
-// loss of half of a large fleet would keep the other half busy with calls to it.
+// retryFraction is the fraction of the period after which a failed exchange is retried. With more
+// frequent retries, the loss of half of a large fleet would keep the other half busy with calls
+// to the lost VMs.
 const retryFraction = 0.25
 
-// delayAfter returns the pause after an exchange. A failed one is repeated soon, so that one
-// lost message does not make a VM count as failed; one that has failed is called rarely.
+// delayAfter returns the delay until the next exchange. A failed exchange is retried soon, so that
+// one lost message does not make a VM count as failed. A lost VM is called at the normal period.
 func delayAfter(err error, lost bool, period time.Duration) time.Duration {
 	if err != nil && !lost {
 		return min(period, max(maxClosePeriod, time.Duration(retryFraction*float64(period))))
@@ -54,7 +55,7 @@
 	return period
 }
 
-// exchangeOnce exchanges heartbeats once.
+// exchangeOnce sends one heartbeat and records the reply.
 func (m *Mesh) exchangeOnce(ctx context.Context, r *remote, brief bool) error {
 	var reply Heartbeat
 	heartbeat := m.local.Heartbeat()
@@ -70,13 +71,14 @@
 	return err
 }
 
-// failureTimeoutOf returns for how long one VM may be silent until it counts as lost.
+// failureTimeoutOf returns the time without a heartbeat after which one VM counts as lost.
 func (m *Mesh) failureTimeoutOf(r *remote) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.failureTimeoutOfLocked(r, m.clock.Now())
 }
 
+// sinceLastHeard returns the time since the last heartbeat of a VM.
 func (m *Mesh) sinceLastHeard(r *remote) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +96,7 @@
 	}
 }
 
-// receive records a heartbeat, of a call or of a reply.
+// receive records a heartbeat that arrived as a call or as a reply.
 func (m *Mesh) receive(b Heartbeat) {
 	m.Add(b.From)
 	m.mu.Lock()
@@ -111,7 +113,7 @@
 	}
 }
 
-// Service answers the calls of other VMs. It is registered as "Mesh".
+// Service is the RPC receiver for the calls of other VMs. It is registered as "Mesh".
 type Service struct{ Mesh *Mesh }
 
 // Join makes the caller known and returns all known VMs.
--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -2,29 +2,29 @@
 
 import "math/bits"
 
-// Member is one life of a VM's daemon. Names on the wire are short: heartbeats between
-// data centres were a quarter of all bytes there.
+// Member is one incarnation of a VM's daemon. Field names on the wire are short, because
+// heartbeats made up a quarter of all bytes between data centres.
 type Member struct {
 	VM         string `msgpack:"v"`
 	Addr       string `msgpack:"a"`
 	DataCentre string `msgpack:"d"`
-	// Incarnation rises with every start.
+	// Incarnation increases with each start of the daemon.
 	Incarnation uint64 `msgpack:"i"`
-	// LinkMbps is the speed of the VM's link, Mbit/s; 0 where it is not known.
+	// LinkMbps is the speed of the VM's link in Mbit/s, or 0 if unknown.
 	LinkMbps uint32 `msgpack:"l"`
 }
 
-// LinkClass is the same for links whose speeds differ little: by less than a factor of two.
+// LinkClass returns the order of magnitude of the link's speed, in powers of two. Links of the
+// same class differ by less than a factor of two.
 func (m Member) LinkClass() int { return bits.Len32(m.LinkMbps) }
 
 const (
-	// unknownLinkMbps is assumed for a link whose speed is not known.
+	// unknownLinkMbps is the speed assumed for a link of unknown speed.
 	unknownLinkMbps = 100
-	// BytesPerMbit is the number of bytes in a megabit.
-	BytesPerMbit = 1e6 / 8
+	BytesPerMbit    = 1e6 / 8
 )
 
-// LinkBytesPerSecond returns how much the VM's link carries.
+// LinkBytesPerSecond returns the speed of the VM's link.
 func (m Member) LinkBytesPerSecond() float64 {
 	if m.LinkMbps == 0 {
 		return unknownLinkMbps * BytesPerMbit
@@ -39,14 +39,15 @@
 	Seq     uint64 `msgpack:"q"`
 }
 
-// Load is how many requests of a VM are at a target: the upper 24 bits are a hash
-// of the target's id, the lower 8 the number.
+// Load is the number of requests that a VM has in flight at a target. The upper 24 bits are
+// a hash of the target's id, the lower 8 bits the number.
 type Load uint32
 
 // maxLoad is the largest number that a Load holds.
 const maxLoad = 1<<8 - 1
 
-// NewLoad returns the load of a target, by a hash of its id.
+// NewLoad returns the load of the target whose id has the given hash. A number above maxLoad is
+// reduced to it.
 func NewLoad(hash uint32, requests int) Load {
 	return Load(hash&^maxLoad | uint32(min(requests, maxLoad)))
 }
@@ -55,35 +56,36 @@
 
 func (l Load) requests() int { return int(l & maxLoad) }
 
-// Heartbeat is what a VM reports of itself to the others.
+// Heartbeat is the state that a VM reports to the other VMs.
 type Heartbeat struct {
 	From    Member `msgpack:"f"`
 	Leaving bool   `msgpack:"l"`
-	// Brief heartbeats carry no leases, loads and crashes: the receiver keeps those of the
-	// last full one.
+	// Brief heartbeats omit leases, loads and crashes. The receiver keeps those of the last
+	// full heartbeat.
 	Brief bool `msgpack:"b"`
-	// StoreLost says that the sender does not reach the platform's store.
+	// StoreLost says that the sender does not reach the platform's store directly.
 	StoreLost bool `msgpack:"x"`
-	// StoreRelayed says that the store has lately answered the sender through another VM.
+	// StoreRelayed says that the store has recently answered the sender through another VM.
 	StoreRelayed    bool   `msgpack:"y"`
 	ConfigVersion   uint64 `msgpack:"c"`
 	TargetsRevision uint64 `msgpack:"t"`
-	// Targets is how many the sender lists.
+	// Targets is the number of targets that the sender knows.
 	Targets uint16         `msgpack:"n"`
 	Leases  []LeaseVersion `msgpack:"m"`
 	Loads   []Load         `msgpack:"o"`
-	// Crashes are the requests that seem to crash targets.
+	// Crashes are the requests that are suspected of crashing targets.
 	Crashes []Crash `msgpack:"r"`
 }
 
-// brief returns the heartbeat without what it carries of leases, targets and requests.
+// brief returns the heartbeat without leases, loads and crashes.
 func (b Heartbeat) brief() Heartbeat {
 	b.Brief = true
 	b.Leases, b.Loads, b.Crashes = nil, nil, nil
 	return b
 }
 
-// withDetailsOf returns a brief heartbeat with the rest of the last one.
+// withDetailsOf returns the heartbeat, if it is brief with the leases, loads and crashes of the
+// last one.
 func (b Heartbeat) withDetailsOf(last Heartbeat) Heartbeat {
 	if b.Brief {
 		b.Leases, b.Loads, b.Crashes = last.Leases, last.Loads, last.Crashes
@@ -91,12 +93,12 @@
 	return b
 }
 
-// Crash names the targets that ended while they ran a request, by hashes of the
-// request's content and of the targets' ids.
+// Crash lists the targets whose process ended while it ran a request. The request is identified
+// by a hash of its content, the targets by hashes of their ids.
 type Crash struct {
 	Content uint64   `msgpack:"c"`
 	Targets []uint32 `msgpack:"t"`
 }
 
-// LoadKey returns the key of a target in Loads, by the hash of its id.
+// LoadKey returns the key in Mesh.Loads of the target whose id has the given hash.
 func LoadKey(hash uint32) uint32 { return hash &^ maxLoad }
--- a/internal/mesh/loads.go
+++ b/internal/mesh/loads.go
@@ -2,10 +2,11 @@
 
 import "maps"
 
-// loadSums are what the other VMs have at each target, added up as heartbeats arrive.
+// loadSums holds the number of requests that the other VMs have in flight at each target. It is
+// updated as heartbeats arrive. Targets are identified by LoadKey.
 type loadSums struct {
 	requests map[uint32]int
-	// changed holds the targets whose sum has changed since it was last read.
+	// changed holds the targets whose sum has changed since the last call of ChangedLoads.
 	changed map[uint32]bool
 }
 
@@ -13,7 +14,7 @@
 	return loadSums{requests: make(map[uint32]int), changed: make(map[uint32]bool)}
 }
 
-// replace puts the loads of a VM in place of those that are counted of it.
+// replace replaces the loads of a VM that are included in the sums.
 func (s *loadSums) replace(r *remote, loads []Load) {
 	for _, l := range r.countedLoads {
 		s.add(l.target(), -l.requests())
@@ -31,15 +32,16 @@
 	}
 }
 
-// Loads returns what the other live VMs have at each target.
+// Loads returns the number of requests that the other live VMs have in flight at each target, by
+// LoadKey.
 func (m *Mesh) Loads() map[uint32]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.loads.requests)
 }
 
-// ChangedLoads returns what the other live VMs have at each target for which that has
-// changed since the last call.
+// ChangedLoads returns the same as Loads, but only the targets whose sum has changed since the
+// last call, including those whose sum is now 0.
 func (m *Mesh) ChangedLoads() map[uint32]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,7 +53,7 @@
 	return out
 }
 
-// dropLoads takes a lost VM's loads out of the sums.
+// dropLoads removes a lost VM's loads from the sums.
 func (m *Mesh) dropLoads(r *remote) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,9 +1,9 @@
-// Package mesh joins the VMs of the system: which ones live, what each one believes of
-// the store, and what it has running at the targets.
+// Package mesh tracks the VMs of the system by heartbeats: which VMs are live, whether each one
+// reaches the store, and how many requests it has in flight at each target.
 //
-// Each VM exchanges heartbeats with each other one, with its neighbours several times a second
-// and with the rest the more rarely the larger the fleet is. A heartbeat is small and holds only
-// versions; a VM that sees a newer one fetches it.
+// Each pair of VMs exchanges heartbeats: neighbours several times a second, other pairs at a
+// period that grows with the fleet. A heartbeat is small: it carries versions of configuration,
+// targets and leases rather than their contents. A VM that sees a newer version fetches it.
 package mesh
 
 import (
@@ -23,33 +23,34 @@
 // Periods of the mesh.
 const (
 	// basePeriod is the time between two exchanges of a pair of VMs in a small
-	// fleet. One of the two calls; the reply carries as much as the call.
+	// fleet. Only one of the two calls; the reply carries the other's heartbeat.
 	basePeriod = 150 * time.Millisecond
-	// overdueFactor is after how many periods without a heartbeat the other one calls.
+	// overdueFactor is the number of periods without a heartbeat after which the VM of a pair
+	// that normally only answers makes the call itself.
 	overdueFactor = 1.6
-	// periodPerVM makes the period grow with the fleet beyond smallFleet, so that a VM
-	// exchanges about 40 heartbeats a second with VMs that are no neighbours.
+	// periodPerVM is added to the period for each VM beyond smallFleetSize, so that a VM
+	// exchanges about 40 heartbeats a second with VMs that are not its neighbours.
 	periodPerVM    = 24 * time.Millisecond
 	smallFleetSize = 6
-	// callTimeout bounds one exchange.
+	// callTimeout bounds one heartbeat exchange or small call.
 	callTimeout = 400 * time.Millisecond
-	// transferTimeout bounds a transfer: a megabyte over a link of 10 Mbit/s.
+	// transferTimeout bounds a transfer. It suffices for 1 MB over a link of 10 Mbit/s.
 	transferTimeout = time.Second
-	// failureTimeoutPeriods is after how many periods without a heartbeat a VM counts as
-	// failed; silentLeast is the least, since a short pause is no failure.
+	// failureTimeoutPeriods is the number of periods without a heartbeat after which a VM counts
+	// as failed. minFailureTimeout is the lower bound, so that a short pause is not a failure.
 	failureTimeoutPeriods = 2.6
 	minFailureTimeout     = 750 * time.Millisecond
-	// forgetAfter is when a lost VM is not called any more. One that returns
-	// calls by itself.
+	// forgetAfter is the time without a heartbeat after which a lost VM is removed and no longer
+	// called. If it returns, it calls by itself.
 	forgetAfter = time.Minute
-	// pauseThreshold is a gap between two steps of our own from which we were
-	// paused and know nothing of the others.
+	// pauseThreshold is the gap between two checks of this VM from which it was paused itself,
+	// and the age of the other VMs' heartbeats proves nothing.
 	pauseThreshold = 500 * time.Millisecond
 )
 
-// Local is what the mesh asks of its VM.
+// Local is implemented by the daemon that the mesh runs in.
 type Local interface {
-	// Heartbeat returns the state to send.
+	// Heartbeat returns the heartbeat to send.
 	Heartbeat() Heartbeat
 	// OnHeartbeat is called with each heartbeat of a live VM. It must not block.
 	OnHeartbeat(Heartbeat)
@@ -63,15 +64,15 @@
 	transfers *peer.Client
 	lastHeard time.Duration
 	heartbeat Heartbeat
-	// previous is an earlier life of the VM that reported crashes, or nil.
+	// previous is the last earlier incarnation of the VM that reported crashes, or nil.
 	previous *previousIncarnation
-	// countedLoads are the loads of the heartbeat that are in the sums.
+	// countedLoads are the VM's loads that are included in Mesh.loads.
 	countedLoads  []Load
 	cancel        context.CancelFunc
 	announcements chan struct{}
 }
 
-// Mesh is the VM's view of the others. It is safe for concurrent use.
+// Mesh is this VM's view of the other VMs. It is safe for concurrent use.
 type Mesh struct {
 	self  Member
 	local Local
@@ -84,36 +85,37 @@
 
 	mu      sync.Mutex
 	remotes map[string]*remote
-	// monitored holds the VMs that are monitored closely, by duty.
+	// monitored holds the closely monitored VM of each duty.
 	monitored map[string]string
-	// neighbours are the VMs that use some of the same targets as this one.
+	// neighbours are the VMs that share targets with this one.
 	neighbours map[string]bool
 	loads      loadSums
-	// detectionResumesAt is until when no VM counts as failed: this one was paused
-	// itself.
+	// detectionResumesAt is the time before which no VM counts as failed, because this VM was
+	// paused itself.
 	detectionResumesAt time.Duration
 	lastCheck          time.Duration
 }
 
-// New returns a mesh that knows nobody.
+// New returns a mesh that knows only this VM.
 func New(self Member, clock boottime.Clock, logger *log.Logger) *Mesh {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Mesh{self: self, clock: clock, log: logger, ctx: ctx, cancel: cancel, remotes: make(map[string]*remote), monitored: make(map[string]string), loads: newLoadSums(), lastCheck: clock.Now()}
 }
 
-// Start begins to answer with local's state.
+// Start sets the source of this VM's heartbeats and the receiver of the others'. Call it before
+// heartbeats are exchanged.
 func (m *Mesh) Start(local Local) { m.local = local }
 
-// Close ends all exchanges.
+// Close stops all exchanges and waits for their end.
 func (m *Mesh) Close() {
-	// No exchange may begin while the others are awaited.
+	// Cancelling under the lock ensures that Add starts no exchange during Wait.
 	m.mu.Lock()
 	m.cancel()
 	m.mu.Unlock()
 	m.wait.Wait()
 }
 
-// Add adds a VM, or a new life of one.
+// Add adds a VM, or replaces a known VM by a new incarnation.
 func (m *Mesh) Add(member Member) {
 	if member.VM == m.self.VM || member.VM == "" || member.Addr == "" {
 		return
@@ -137,15 +139,16 @@
 		r.previous = old.asPrevious()
 	}
 	m.remotes[member.VM] = r
-	m.log.Info().Str("step", "mesh").Str("peer", member.VM).Str("addr", member.Addr).Uint64("incarnation", member.Incarnation).Msg("peer known")
+	m.log.Info().Str("step", "mesh").Str("peer", member.VM).Str("addr", member.Addr).Uint64("incarnation", member.Incarnation).Msg("peer added")
 	m.wait.Add(1)
 	go m.exchange(ctx, r)
 }
 
-// supersedesLocked reports whether who is another life than the one that is known. It
-// needs m.mu.
-// The incarnation of a VM whose time of day has jumped back is lower than before. A process that is
-// silent has ended in any case.
+// supersedesLocked reports whether member is a later incarnation than the known one. The caller
+// holds m.mu.
+//
+// If the VM's wall clock stepped back, the later incarnation has the lower number. So any other
+// incarnation is accepted once the known one has exceeded the failure timeout.
 func (m *Mesh) supersedesLocked(old *remote, member Member) bool {
 	if member.Incarnation == old.member.Incarnation {
 		return false
@@ -153,19 +156,17 @@
 	return member.Incarnation > old.member.Incarnation || m.clock.Now()-old.lastHeard > m.failureTimeoutLocked()
 }
 
-// Live returns the VMs that sent heartbeats lately, this one included, in order of
-// their names. Those that leave are left out.
+// Live returns the live VMs that are not leaving, this one included, sorted by name.
 func (m *Mesh) Live() []Member {
 	out := m.liveUnsorted()
 	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
 	return out
 }
 
-// liveUnsorted returns the same in no order.
+// liveUnsorted is Live without the sorting.
 func (m *Mesh) liveUnsorted() []Member { return append(m.liveOthers(false), m.self) }
 
-// liveOthers returns the other VMs that sent heartbeats lately: those that leave, or those
-// that do not.
+// liveOthers returns the other live VMs that are leaving, or those that are not.
 func (m *Mesh) liveOthers(leaving bool) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,8 +180,8 @@
 	return out
 }
 
-// IsLive reports whether this life of a VM sent heartbeats lately. One that leaves does its
-// duties until it reports that they have ended.
+// IsLive reports whether this incarnation of a VM is live. A leaving VM counts as live, since it
+// keeps its duties until it reports their end.
 func (m *Mesh) IsLive(vm string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -191,8 +192,8 @@
 	return r != nil && r.member.Incarnation == incarnation && m.liveLocked(r, m.clock.Now())
 }
 
-// LastHeard returns when the last heartbeat of this life of a VM arrived, on the mesh's clock;
-// false if it is not known.
+// LastHeard returns when the last heartbeat of this incarnation of a VM arrived, on the mesh's
+// clock. It returns false if the incarnation is not known.
 func (m *Mesh) LastHeard(vm string, incarnation uint64) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,8 +204,8 @@
 	return r.lastHeard, true
 }
 
-// Replaced reports whether a process of a VM has ended: a later one runs at its
-// address.
+// Replaced reports whether a process of a VM is known to have ended, because a later incarnation
+// runs at the same address.
 func (m *Mesh) Replaced(vm, addr string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,13 +220,17 @@
 	return now.Addr == addr && now.Incarnation > incarnation
 }
 
-// liveLocked needs m.mu.
-// After a suspension of this VM all others seem silent. It waits until they had time to call.
+// liveLocked reports whether a heartbeat arrived within the failure timeout. The caller holds
+// m.mu.
+//
+// After a pause of this VM the heartbeats of all others are old. None counts as failed until it
+// has had time to call again.
 func (m *Mesh) liveLocked(r *remote, now time.Duration) bool {
 	m.checkPauseLocked(now)
 	return now < m.detectionResumesAt || now-r.lastHeard < m.failureTimeoutOfLocked(r, now)
 }
 
+// checkPauseLocked suspends failure detection if this VM was paused since the last check.
 func (m *Mesh) checkPauseLocked(now time.Duration) {
 	if now-m.lastCheck > pauseThreshold {
 		m.detectionResumesAt = now + m.failureTimeoutLocked()
@@ -233,7 +238,8 @@
 	m.lastCheck = now
 }
 
-// Announce sends a brief heartbeat to all VMs at once: this VM has a newer version of something.
+// Announce sends a brief heartbeat to all VMs without waiting for the period, to tell them that
+// this VM has a newer version of something.
 func (m *Mesh) Announce() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,7 +251,7 @@
 	}
 }
 
-// Size returns how many VMs are known, lost ones included.
+// Size returns the number of known VMs, including lost ones and this one.
 func (m *Mesh) Size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,8 +267,8 @@
 	return callWithin(ctx, callTimeout, r.client, method, args, reply)
 }
 
-// Transfer calls one VM with a message or a reply that may be large, on a connection of its
-// own.
+// Transfer calls one VM with a message or a reply that may be large, on a connection separate
+// from heartbeats.
 func (m *Mesh) Transfer(ctx context.Context, vm, method string, args, reply any) error {
 	r := m.remote(vm)
 	if r == nil {
@@ -283,7 +289,7 @@
 	return m.remotes[vm]
 }
 
-// Others returns the names of all other VMs that are not lost.
+// Others returns the names of all other live VMs, including leaving ones.
 func (m *Mesh) Others() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -297,7 +303,7 @@
 	return out
 }
 
-// Members returns this VM and all that it knows.
+// Members returns this VM and all known VMs, including lost ones.
 func (m *Mesh) Members() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -308,7 +314,7 @@
 	return out
 }
 
-// Heartbeat exchanges heartbeats.
+// Heartbeat receives the caller's heartbeat and replies with this VM's, brief if the caller's is.
 func (s Service) Heartbeat(in *Heartbeat, out *Heartbeat) error {
 	s.Mesh.receive(*in)
 	*out = s.Mesh.local.Heartbeat()
@@ -318,7 +324,7 @@
 	return nil
 }
 
-// Join asks the VM at addr for all that it knows, and makes itself known.
+// Join makes self known to the VM at addr and returns all VMs that it knows.
 func Join(ctx context.Context, addr string, self Member) ([]Member, error) {
 	client := peer.NewClient(addr, 1)
 	defer client.Close()
--- a/internal/mesh/mesh_test.go
+++ b/internal/mesh/mesh_test.go
@@ -12,13 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// manualClock is moved by the test, and read by the goroutines of a mesh.
+// manualClock is a clock that only the test advances. Goroutines of a mesh read it concurrently.
 type manualClock struct{ now atomic.Int64 }
 
 func (c *manualClock) Now() time.Duration { return time.Duration(c.now.Load()) }
 
 func (c *manualClock) advance(d time.Duration) { c.now.Add(int64(d)) }
 
+// staticLocal sends the same heartbeat each time and ignores those of others.
 type staticLocal struct{ self Member }
 
 func (l staticLocal) Heartbeat() Heartbeat { return Heartbeat{From: l.self} }
@@ -39,7 +40,7 @@
 	_ = Service{m}.Heartbeat(&b, &out)
 }
 
-// advanceInSteps lets time advanceInSteps in steps that are no pause of our own.
+// advanceInSteps advances the clock in steps too short to count as a pause of this VM.
 func advanceInSteps(m *Mesh, clock *manualClock, d time.Duration) {
 	for end := clock.Now() + d; clock.Now() < end; {
 		clock.advance(pauseThreshold / 2)
@@ -58,21 +59,21 @@
 	m.receiveHeartbeat(Heartbeat{From: b})
 	require.True(t, m.IsLive("b", 1))
 	m.receiveHeartbeat(Heartbeat{From: b, Leaving: true})
-	require.Len(t, m.Live(), 1, "a VM that leaves takes no duties")
-	require.True(t, m.IsLive("b", 1), "it still has those that it has")
+	require.Len(t, m.Live(), 1, "a leaving VM takes no new duties")
+	require.True(t, m.IsLive("b", 1), "a leaving VM keeps its duties")
 }
 
-// Guards against a VM that succeeds all others after it stood still.
+// Guards against a VM that takes over the duties of all others after it was paused itself.
 func TestOwnPauseDoesNotMarkPeersAsLost(t *testing.T) {
 	m, clock := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}})
 	clock.advance(10 * time.Second)
 	require.True(t, m.IsLive("b", 1))
 	advanceInSteps(m, clock, minFailureTimeout+pauseThreshold)
-	require.False(t, m.IsLive("b", 1), "it had time to speak")
+	require.False(t, m.IsLive("b", 1), "it had time to call after the pause")
 }
 
-// A VM restarts. Its old life is over, also where a late heartbeat of it arrives.
+// Guards against a late heartbeat of an ended process that replaces the VM's new incarnation.
 func TestNewIncarnationReplacesTheOldOne(t *testing.T) {
 	m, _ := newMesh(t)
 	b := Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}
@@ -86,18 +87,19 @@
 	require.True(t, m.IsLive("b", 2))
 	require.Empty(t, m.Loads())
 	require.True(t, m.Replaced("b", b.Addr, 1))
-	require.False(t, m.Replaced("b", "127.0.0.2:1", 1), "at another address it proves nothing")
+	require.False(t, m.Replaced("b", "127.0.0.2:1", 1), "a process at another address may still run")
 	require.False(t, m.Replaced("c", b.Addr, 1))
-	require.True(t, m.Replaced("a", "127.0.0.1:1", 6), "our own last life")
+	require.True(t, m.Replaced("a", "127.0.0.1:1", 6), "the last incarnation of this VM")
 }
 
-// Guards against a VM that is ignored since its time of day jumped back.
+// Guards against a VM that is ignored after its wall clock stepped back, which makes its new
+// incarnation lower than the old one.
 func TestIncarnationAfterClockStepBackIsAccepted(t *testing.T) {
 	m, clock := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 9}})
 	next := Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 5}}
 	m.receiveHeartbeat(next)
-	require.True(t, m.IsLive("b", 9), "a late heartbeat of an earlier life")
+	require.True(t, m.IsLive("b", 9), "a late heartbeat of an earlier incarnation is ignored")
 	advanceInSteps(m, clock, minFailureTimeout+pauseThreshold)
 	m.receiveHeartbeat(next)
 	require.True(t, m.IsLive("b", 5))
@@ -109,10 +111,11 @@
 		m.receiveHeartbeat(Heartbeat{From: Member{VM: vm, Addr: "127.0.0.1:1", Incarnation: 1}, Loads: []Load{NewLoad(1<<20, i+1), NewLoad(2<<20, 1000)}})
 	}
 	require.Equal(t, 3, m.Loads()[LoadKey(1<<20)])
-	require.Equal(t, 2*maxLoad, m.Loads()[LoadKey(2<<20)], "a number that does not fit is cut, and spills over nothing")
+	require.Equal(t, 2*maxLoad, m.Loads()[LoadKey(2<<20)], "a number above the maximum is reduced and does not alter the hash")
 }
 
-// Guards against announcements that fill the links.
+// Guards against announcements that saturate the links: they are brief in both directions, and
+// the receiver keeps the details of the last full heartbeat.
 func TestBriefHeartbeatKeepsDetailsOfTheLastFullOne(t *testing.T) {
 	m, _ := newMesh(t)
 	full := Heartbeat{
@@ -127,12 +130,13 @@
 	brief := next.brief()
 	require.Empty(t, brief.Loads)
 	require.NoError(t, Service{m}.Heartbeat(&brief, &reply))
-	require.True(t, reply.Brief, "the reply is as small")
+	require.True(t, reply.Brief, "the reply is brief as well")
 	require.Equal(t, map[uint32]int{7 << 8: 3}, m.Loads())
 	require.EqualValues(t, 9, m.remote("b").heartbeat.ConfigVersion)
 }
 
-// Guards against a grantor in a large fleet that counts as lost only after its grants have expired.
+// Guards against a large fleet that detects the loss of a grantor only after its grants have
+// expired.
 func TestLossOfMonitoredVMIsDetectedBeforeGrantsExpire(t *testing.T) {
 	m, clock := newMesh(t)
 	meet := func() {
@@ -158,7 +162,8 @@
 	require.Greater(t, lostAfter(), 5*time.Second)
 }
 
-// Guards against a takeover by a VM whose own link is full: no heartbeat reaches it in time.
+// Guards against a takeover by a VM whose own link is saturated, so that heartbeats of all VMs
+// reach it late.
 func TestMonitoredVMIsNotLostWhileMostVMsAreSilent(t *testing.T) {
 	m, clock := newMesh(t)
 	for i := range 88 {
@@ -171,18 +176,18 @@
 	require.False(t, m.IsLive("vm-0", 1))
 }
 
-// Guards against a target that counts as busy with the requests of a VM that has failed.
+// Guards against a target that still counts as loaded with the requests of a failed VM.
 func TestLoadsOfFailedVMAreDropped(t *testing.T) {
 	m, _ := newMesh(t)
 	m.receiveHeartbeat(Heartbeat{From: Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}, Loads: []Load{NewLoad(1<<20, 3)}})
 	require.Equal(t, map[uint32]int{1 << 20: 3}, m.ChangedLoads())
-	require.Empty(t, m.ChangedLoads(), "nothing has changed since")
+	require.Empty(t, m.ChangedLoads(), "no load has changed since the last call")
 	m.dropLoads(m.remote("b"))
 	require.Equal(t, map[uint32]int{1 << 20: 0}, m.ChangedLoads())
 	require.Empty(t, m.Loads())
 }
 
-// Guards against counts of a shared target that get older as the fleet grows.
+// Guards against load counts of shared targets that become more stale as the fleet grows.
 func TestHeartbeatPeriodOfNeighboursIsBoundedAtAnyFleetSize(t *testing.T) {
 	for _, n := range []int{10, 100, 300} {
 		m, _ := newMesh(t)
@@ -198,7 +203,7 @@
 	}
 }
 
-// Guards against a VM that counts as failed after one lost message.
+// Guards against a VM that counts as failed after one lost heartbeat.
 func TestFailedHeartbeatIsRetriedSoon(t *testing.T) {
 	require.Equal(t, maxClosePeriod, delayAfter(errors.New("timed out"), false, maxClosePeriod))
 	require.Equal(t, time.Second, delayAfter(errors.New("timed out"), false, 4*time.Second))
@@ -206,18 +211,19 @@
 	require.Equal(t, 5*time.Second, delayAfter(errors.New("timed out"), true, 5*time.Second))
 }
 
-// Guards against a request that ends targets anew after each restart of the VM that saw them end.
+// Guards against a request that crashes targets again after each restart of the VM that reported
+// the crashes.
 func TestReportedCrashesOutliveTheReportingProcess(t *testing.T) {
-	const memory = 30 * time.Second
+	const retention = 30 * time.Second
 	m, clock := newMesh(t)
 	b := Member{VM: "b", Addr: "127.0.0.1:1", Incarnation: 1}
 	m.receiveHeartbeat(Heartbeat{From: b, Crashes: []Crash{{Content: 7, Targets: []uint32{1, 2}}}})
 	b.Incarnation = 2
 	m.receiveHeartbeat(Heartbeat{From: b})
-	require.Equal(t, []uint32{1, 2}, m.Crashes(7, memory))
-	require.Empty(t, m.Crashes(8, memory))
+	require.Equal(t, []uint32{1, 2}, m.Crashes(7, retention))
+	require.Empty(t, m.Crashes(8, retention))
 	m.receiveHeartbeat(Heartbeat{From: b, Crashes: []Crash{{Content: 7, Targets: []uint32{3}}}})
-	require.ElementsMatch(t, []uint32{1, 2, 3}, m.Crashes(7, memory))
-	clock.advance(memory)
-	require.Equal(t, []uint32{3}, m.Crashes(7, memory))
+	require.ElementsMatch(t, []uint32{1, 2, 3}, m.Crashes(7, retention))
+	clock.advance(retention)
+	require.Equal(t, []uint32{3}, m.Crashes(7, retention))
 }
--- a/internal/mesh/monitor.go
+++ b/internal/mesh/monitor.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// maxClosePeriod bounds the period of heartbeats between neighbours, and between a VM that is
-// monitored closely and one that monitors it, however large the fleet.
+// maxClosePeriod bounds the period of heartbeats between neighbours, and between a closely
+// monitored VM and the VM that monitors it, at any fleet size.
 const maxClosePeriod = 250 * time.Millisecond
 
-// monitoredTimeoutPeriods is after how many of its periods without a heartbeat a VM that is monitored
-// closely counts as failed.
+// monitoredTimeoutPeriods is the number of periods of maxClosePeriod without a heartbeat after
+// which a closely monitored VM counts as failed.
 const monitoredTimeoutPeriods = 5
 
-// Monitor has this VM monitor the VM that has a duty closely, so that its loss is noticed as
-// soon as in a small fleet; an empty name ends it.
+// Monitor sets the VM that holds a duty, which this VM then monitors closely: its loss is detected
+// about as soon as in a small fleet. An empty name ends the monitoring.
 func (m *Mesh) Monitor(duty, vm string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -23,7 +23,7 @@
 }
 
 // monitoredLocked reports whether a VM is monitored more closely than the others. In a small
-// fleet all are.
+// fleet none is, since the common period is short enough. The caller holds m.mu.
 func (m *Mesh) monitoredLocked(vm string) bool {
 	if m.periodLocked() <= maxClosePeriod {
 		return false
@@ -36,9 +36,9 @@
 	return false
 }
 
-// failureTimeoutOfLocked returns for how long one VM may be silent until it counts as lost. A VM
-// that is monitored closely gets no less time than the others where most of these are silent
-// as well: then the link of this VM is the likely reason.
+// failureTimeoutOfLocked returns the time without a heartbeat after which one VM counts as lost.
+// A closely monitored VM has a shorter timeout than the others, unless most VMs are silent: then
+// the likely cause is the link of this VM. The caller holds m.mu.
 func (m *Mesh) failureTimeoutOfLocked(r *remote, now time.Duration) time.Duration {
 	if !m.monitoredLocked(r.member.VM) {
 		return m.failureTimeoutLocked()
--- a/internal/mesh/period.go
+++ b/internal/mesh/period.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// failureTimeoutLocked returns for how long a VM may be silent until it counts as failed.
+// failureTimeoutLocked returns the time without a heartbeat after which a VM counts as failed. The
+// caller holds m.mu.
 func (m *Mesh) failureTimeoutLocked() time.Duration {
 	return max(minFailureTimeout, time.Duration(failureTimeoutPeriods*float64(m.periodLocked())))
 }
@@ -18,15 +19,15 @@
 	return m.periodLocked()
 }
 
-// SetNeighbours has this VM exchange heartbeats more often with the VMs that use some of the
-// same targets: their loads decide where its requests go.
+// SetNeighbours sets the VMs that share targets with this one. Heartbeats with them are more
+// frequent, because this VM chooses targets by their loads.
 func (m *Mesh) SetNeighbours(vms map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.neighbours = vms
 }
 
-// periodOf returns the period of heartbeats with one VM, and whether that is monitored closely.
+// periodOf returns the period of heartbeats with one VM, and whether that VM is closely monitored.
 func (m *Mesh) periodOf(r *remote) (period time.Duration, monitored bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/relays.go
+++ b/internal/mesh/relays.go
@@ -7,7 +7,7 @@
 	"hemlockquay/internal/decide/rendezvous"
 )
 
-// ReachesStore reports whether a VM said that the store answers it.
+// ReachesStore reports whether a VM's last heartbeat said that it reaches the store directly.
 func (m *Mesh) ReachesStore(vm string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -15,8 +15,8 @@
 	return r != nil && r.heartbeat.From.VM != "" && !r.heartbeat.StoreLost
 }
 
-// ReachesStoreByAnyPath reports whether the store answers a VM, directly or through
-// another VM.
+// ReachesStoreByAnyPath reports whether a VM's last heartbeat said that it reaches the store,
+// directly or through another VM.
 func (m *Mesh) ReachesStoreByAnyPath(vm string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -24,8 +24,8 @@
 	return r != nil && r.heartbeat.From.VM != "" && (!r.heartbeat.StoreLost || r.heartbeat.StoreRelayed)
 }
 
-// StoreRelays returns the live VMs that the store answers directly, in this VM's own order of
-// preference, so that VMs share the work.
+// StoreRelays returns the live VMs that reach the store directly, in order of preference. The
+// order differs between VMs, so that the relays share the work.
 func (m *Mesh) StoreRelays() []Member {
 	var relays []Member
 	for _, member := range m.Live() {
@@ -36,8 +36,8 @@
 	return ByPreference(relays, m.self.VM)
 }
 
-// ByPreference returns the members in order of preference for a duty: those with much faster
-// links first, and in an order that the duty's name determines.
+// ByPreference returns the members in order of preference for a duty: by link class, fastest
+// first, and within a class by rendezvous hashing of the duty's name.
 func ByPreference(members []Member, duty string) []Member {
 	candidates := make([]rendezvous.Candidate, len(members))
 	for i, member := range members {
@@ -52,8 +52,8 @@
 	return out
 }
 
-// Rank returns this VM's place, from 0, in the order of preference for a duty of the live
-// VMs that are fit for it. This VM is in it in any case.
+// Rank returns this VM's rank, from 0, in the order of preference for a duty among the live VMs
+// that are fit for it and not leaving. This VM itself is not tested for fitness.
 func (m *Mesh) Rank(duty string, fit func(vm string) bool) int {
 	place := 0
 	for _, other := range m.liveUnsorted() {
@@ -64,8 +64,8 @@
 	return place
 }
 
-// RankAmongLeaving returns the place of this VM, which leaves, in the order of preference
-// for a duty of the live VMs that leave.
+// RankAmongLeaving returns this VM's rank, from 0, in the order of preference for a duty among
+// the live VMs that are leaving. This VM is one of them.
 func (m *Mesh) RankAmongLeaving(duty string) int {
 	place := 0
 	for _, other := range m.liveOthers(true) {
@@ -79,7 +79,7 @@
 // NonLeavingPeers returns the number of other live VMs that are not leaving.
 func (m *Mesh) NonLeavingPeers() int { return len(m.liveOthers(false)) }
 
-// ranksBelow reports whether another VM comes before this one in the order for a duty.
+// ranksBelow reports whether another VM precedes this one in the order of preference for a duty.
 func (m Member) ranksBelow(other Member, duty string) bool {
 	if mine, theirs := m.LinkClass(), other.LinkClass(); mine != theirs {
 		return theirs > mine
--- a/internal/mesh/slope_test.go
+++ b/internal/mesh/slope_test.go
@@ -9,7 +9,8 @@
 	"github.com/phuslu/log"
 )
 
-// newFleetMesh returns a mesh that knows so many VMs, each with requests at ten targets.
+// newFleetMesh returns a mesh that knows n other VMs, each with one request at each of ten targets,
+// and the heartbeats of those VMs.
 func newFleetMesh(b *testing.B, n int) (*Mesh, []Heartbeat) {
 	clock := new(manualClock)
 	clock.advance(time.Hour)
@@ -28,7 +29,7 @@
 	return m, heartbeats
 }
 
-// BenchmarkSlopeRank is finding the VM's place for a duty, by VMs.
+// BenchmarkSlopeRank measures Mesh.Rank by the number of VMs.
 func BenchmarkSlopeRank(b *testing.B) {
 	for _, n := range []int{10, 100, 300} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -40,7 +41,8 @@
 	}
 }
 
-// BenchmarkSlopeLoads is 50 ms of loads of a fleet that sends 80 heartbeats a second, by VMs.
+// BenchmarkSlopeLoads measures 50 ms of load updates at 80 heartbeats a second (4 heartbeats), by
+// the number of VMs.
 func BenchmarkSlopeLoads(b *testing.B) {
 	for _, n := range []int{10, 100, 300} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
