--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -64,5 +64,5 @@
 // leaseStore returns the store for lease records, which other VMs relay while it turns
 // this one away.
 func (g *Gateway) leaseStore() *storerelay.Store {
-	return &storerelay.Store{Direct: g.store, Up: g.storeUp.Load, Mesh: g.mesh, Answered: g.noteRelayed}
+	return &storerelay.Store{Direct: g.store, Up: g.storeUp.Load, Mesh: g.mesh, OnRelayAnswer: g.noteRelayed}
 }
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -40,8 +40,8 @@
 	// Up reports whether the store answers this VM.
 	Up   func() bool
 	Mesh Mesh
-	// Answered is called when the store has answered through a relay.
-	Answered func()
+	// OnRelayAnswer is called when the store has answered through a relay.
+	OnRelayAnswer func()
 }
 
 // Get returns one object.
@@ -117,7 +117,7 @@
 	}
 	err := reply.err(vm)
 	if err == nil || errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrNotFound) {
-		s.Answered()
+		s.OnRelayAnswer()
 	}
 	return reply, err
 }
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -78,7 +78,7 @@
 	yes := func() bool { return true }
 	service := NewService(context.Background(), p.relayed, yes)
 	p.mesh = &fakeMesh{names: []string{"a", "b"}, services: map[string]Service{"a": service, "b": service}}
-	p.Store = &Store{Direct: p.direct, Up: func() bool { return up }, Mesh: p.mesh, Answered: func() { p.answered++ }}
+	p.Store = &Store{Direct: p.direct, Up: func() bool { return up }, Mesh: p.mesh, OnRelayAnswer: func() { p.answered++ }}
 	return p
 }
 
