--- a/internal/storerelay/messages.go
+++ b/internal/storerelay/messages.go
@@ -19,13 +19,13 @@
 	conflict
 	unavailable
 	ambiguous
-	refused
+	otherError
 )
 
-// classes pairs the outcomes with the errors of package platform. An error that joins
+// outcomeErrors pairs the outcomes with the errors of package platform. An error that joins
 // several is of the first that it matches: an ambiguous write must not pass for one
 // without effect.
-var classes = []struct {
+var outcomeErrors = []struct {
 	outcome outcome
 	err     error
 }{
@@ -53,8 +53,8 @@
 	if err == nil {
 		return
 	}
-	r.Outcome, r.Text = refused, err.Error()
-	for _, c := range classes {
+	r.Outcome, r.Text = otherError, err.Error()
+	for _, c := range outcomeErrors {
 		if errors.Is(err, c.err) {
 			r.Outcome = c.outcome
 			return
@@ -67,7 +67,7 @@
 	if r.Outcome == succeeded {
 		return nil
 	}
-	for _, c := range classes {
+	for _, c := range outcomeErrors {
 		if r.Outcome == c.outcome {
 			return fmt.Errorf("through %s: %s: %w", relay, r.Text, c.err)
 		}
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -73,8 +73,8 @@
 	writes   access = true
 )
 
-// mayRepeat reports whether the call may be made once more after this error.
-func (a access) mayRepeat(err error) bool {
+// retryable reports whether the call may be made once more after this error.
+func (a access) retryable(err error) bool {
 	if a == writes && errors.Is(err, platform.ErrAmbiguous) {
 		return false
 	}
@@ -86,11 +86,11 @@
 	up := s.Up()
 	if up {
 		out, err := direct()
-		if !a.mayRepeat(err) || ctx.Err() != nil {
+		if !a.retryable(err) || ctx.Err() != nil {
 			return out, err
 		}
 	}
-	var none T
+	var zero T
 	err := platform.ErrUnavailable
 	relays := s.Mesh.StoreRelays()
 	for _, relay := range relays[:min(len(relays), maxRelays)] {
@@ -98,12 +98,12 @@
 		if reply, err = s.relay(ctx, relay.VM, method, args); err == nil {
 			return result(reply), nil
 		}
-		if !a.mayRepeat(err) || ctx.Err() != nil {
-			return none, err
+		if !a.retryable(err) || ctx.Err() != nil {
+			return zero, err
 		}
 	}
 	if up || len(relays) > 0 {
-		return none, err
+		return zero, err
 	}
 	return direct()
 }
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -38,9 +38,9 @@
 
 // fakeMesh passes calls to the services of its relays; lost is the error of the way there.
 type fakeMesh struct {
-	names    []string
-	services map[string]Service
-	lost     error
+	names       []string
+	services    map[string]Service
+	transferErr error
 }
 
 func (m *fakeMesh) StoreRelays() []mesh.Member {
@@ -52,8 +52,8 @@
 }
 
 func (m *fakeMesh) Transfer(_ context.Context, vm, method string, args, reply any) error {
-	if m.lost != nil {
-		return m.lost
+	if m.transferErr != nil {
+		return m.transferErr
 	}
 	service, out := m.services[vm], reply.(*Reply)
 	switch method {
@@ -65,28 +65,28 @@
 	return service.ListKind(args.(*ListArgs), out)
 }
 
-// play returns a VM that the store turns away and two relays in front of the given store.
-type play struct {
+// fixture returns a VM that the store turns away and two relays in front of the given store.
+type fixture struct {
 	*Store
 	direct, relayed *fakeStore
-	mesh            *fakeMesh
-	answered        int
+	relays          *fakeMesh
+	relayAnswers    int
 }
 
-func newPlay(up bool) *play {
-	p := &play{direct: &fakeStore{err: platform.ErrUnavailable}, relayed: &fakeStore{}}
+func newFixture(up bool) *fixture {
+	p := &fixture{direct: &fakeStore{err: platform.ErrUnavailable}, relayed: &fakeStore{}}
 	yes := func() bool { return true }
 	service := NewService(context.Background(), p.relayed, yes)
-	p.mesh = &fakeMesh{names: []string{"a", "b"}, services: map[string]Service{"a": service, "b": service}}
-	p.Store = &Store{Direct: p.direct, Up: func() bool { return up }, Mesh: p.mesh, OnRelayAnswer: func() { p.answered++ }}
+	p.relays = &fakeMesh{names: []string{"a", "b"}, services: map[string]Service{"a": service, "b": service}}
+	p.Store = &Store{Direct: p.direct, Up: func() bool { return up }, Mesh: p.relays, OnRelayAnswer: func() { p.relayAnswers++ }}
 	return p
 }
 
 var id = platform.ID{Kind: "k", Name: "n"}
 
 // Guards against a grantor that loses its authority while other VMs reach the store.
-func TestCallsGoThroughAnotherVMWhileTheStoreTurnsThisOneAway(t *testing.T) {
-	p := newPlay(false)
+func TestCallsAreRelayedWhileTheStoreRejectsThisVM(t *testing.T) {
+	p := newFixture(false)
 	o, err := p.Get(t.Context(), id)
 	require.NoError(t, err)
 	require.EqualValues(t, 7, o.Version)
@@ -97,69 +97,69 @@
 	require.NoError(t, err)
 	require.EqualValues(t, 9, l.Revision)
 	require.Zero(t, p.direct.calls)
-	require.Equal(t, 3, p.answered)
+	require.Equal(t, 3, p.relayAnswers)
 }
 
 // Guards against a first call that is lost before the VM knows that the store turns it away.
-func TestCallThatTheStoreRefusesIsRelayedAtOnce(t *testing.T) {
-	p := newPlay(true)
+func TestFailedDirectCallIsRelayedAtOnce(t *testing.T) {
+	p := newFixture(true)
 	_, err := p.Put(t.Context(), platform.Object{Kind: "k", Name: "n"})
 	require.NoError(t, err)
 	require.Equal(t, 1, p.direct.calls)
 	require.Equal(t, 1, p.relayed.calls)
 }
 
-func TestStoreThatAnswersNeedsNoRelay(t *testing.T) {
-	p := newPlay(true)
+func TestCallsAreDirectWhileTheStoreAnswers(t *testing.T) {
+	p := newFixture(true)
 	p.direct.err = nil
 	_, err := p.Get(t.Context(), id)
 	require.NoError(t, err)
 	require.Zero(t, p.relayed.calls)
-	require.Zero(t, p.answered)
+	require.Zero(t, p.relayAnswers)
 }
 
 // Guards against a conditional write that is made twice and conflicts with itself.
-func TestAmbiguousWriteIsNotRepeatedAtAnotherRelay(t *testing.T) {
+func TestAmbiguousWriteIsNotRetriedThroughAnotherRelay(t *testing.T) {
 	for name, lost := range map[string]error{"at the store": nil, "at the relay": peer.ErrLost} {
-		p := newPlay(false)
-		p.relayed.err, p.mesh.lost = platform.ErrAmbiguous, lost
+		p := newFixture(false)
+		p.relayed.err, p.relays.transferErr = platform.ErrAmbiguous, lost
 		_, err := p.Put(t.Context(), platform.Object{Kind: "k", Name: "n"})
 		require.ErrorIs(t, err, platform.ErrAmbiguous, name)
 		require.LessOrEqual(t, p.relayed.calls, 1, name)
 	}
-	p := newPlay(true)
+	p := newFixture(true)
 	p.direct.err = platform.ErrAmbiguous
 	_, err := p.Put(t.Context(), platform.Object{Kind: "k", Name: "n"})
 	require.ErrorIs(t, err, platform.ErrAmbiguous)
 	require.Zero(t, p.relayed.calls)
 }
 
-func TestReadGoesToASecondRelay(t *testing.T) {
-	p := newPlay(false)
-	p.mesh.services["a"] = NewService(context.Background(), p.relayed, func() bool { return false })
+func TestReadIsRetriedThroughASecondRelay(t *testing.T) {
+	p := newFixture(false)
+	p.relays.services["a"] = NewService(context.Background(), p.relayed, func() bool { return false })
 	_, err := p.Get(t.Context(), id)
 	require.NoError(t, err)
 	require.Equal(t, 1, p.relayed.calls)
 }
 
 // Guards against errors of the store that lose their class on the way.
-func TestErrorsKeepTheirClass(t *testing.T) {
+func TestErrorClassesSurviveTheRelay(t *testing.T) {
 	for _, class := range []error{platform.ErrNotFound, platform.ErrConflict, platform.ErrUnavailable, platform.ErrAmbiguous} {
-		p := newPlay(false)
+		p := newFixture(false)
 		p.relayed.err = class
 		_, err := p.Put(t.Context(), platform.Object{Kind: "k", Name: "n"})
 		require.ErrorIs(t, err, class)
 	}
-	p := newPlay(false)
+	p := newFixture(false)
 	p.relayed.err = errors.Join(platform.ErrUnavailable, platform.ErrAmbiguous)
 	_, err := p.Put(t.Context(), platform.Object{Kind: "k", Name: "n"})
 	require.ErrorIs(t, err, platform.ErrAmbiguous)
 	require.NotErrorIs(t, err, platform.ErrUnavailable)
 }
 
-func TestWithoutRelaysTheStoreIsCalledDirectly(t *testing.T) {
-	p := newPlay(false)
-	p.mesh.names = nil
+func TestCallIsDirectWhereThereAreNoRelays(t *testing.T) {
+	p := newFixture(false)
+	p.relays.names = nil
 	p.direct.err = nil
 	_, err := p.Get(t.Context(), id)
 	require.NoError(t, err)
