--- a/internal/storerelay/messages.go
+++ b/internal/storerelay/messages.go
@@ -9,8 +9,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// outcome is the class of a relayed call's error. The classes of package platform do not
-// survive net/rpc, which carries an error as text.
+// outcome is the error class of a relayed call. It is sent in the reply, because net/rpc carries
+// an error only as text and loses its class.
 type outcome uint8
 
 const (
@@ -22,9 +22,9 @@
 	otherError
 )
 
-// outcomeErrors pairs the outcomes with the errors of package platform. An error that joins
-// several is of the first that it matches: an ambiguous write must not pass for one
-// without effect.
+// outcomeErrors maps outcomes to the errors of package platform. An error that joins several
+// of them takes the first match, so that an ambiguous write is never reported as one without
+// effect.
 var outcomeErrors = []struct {
 	outcome outcome
 	err     error
@@ -40,15 +40,16 @@
 	Object  platform.Object  `msgpack:"o"`
 	Listing platform.Listing `msgpack:"l"`
 	Outcome outcome          `msgpack:"c"`
-	// Text describes the error of a call that did not succeed.
+	// Text is the error text of a failed call.
 	Text string `msgpack:"t"`
 }
 
-// ListArgs names the kind of the objects to list.
+// ListArgs are the arguments of Store.ListKind.
 type ListArgs struct {
 	Kind model.Kind `msgpack:"k"`
 }
 
+// setError records the error of a call to the store, if any, with its class.
 func (r *Reply) setError(err error) {
 	if err == nil {
 		return
@@ -62,25 +63,26 @@
 	}
 }
 
-// err returns the error of the call at the store, of its class in package platform.
+// err returns the error of the relay's call to the store, wrapping the error of package platform
+// that stands for its class.
 func (r *Reply) err(relay string) error {
 	if r.Outcome == succeeded {
 		return nil
 	}
 	for _, c := range outcomeErrors {
 		if r.Outcome == c.outcome {
-			return fmt.Errorf("through %s: %s: %w", relay, r.Text, c.err)
+			return fmt.Errorf("store call through relay %s: %s: %w", relay, r.Text, c.err)
 		}
 	}
-	return fmt.Errorf("through %s: %s", relay, r.Text)
+	return fmt.Errorf("store call through relay %s: %s", relay, r.Text)
 }
 
-// transportError classifies the error of the call to the relay itself. A relay that took
-// the call may have passed it on.
+// transportError classifies the error of the call to the relay itself. Unless the call was
+// certainly not sent, the relay may have forwarded it, so the outcome is ambiguous.
 func transportError(relay string, err error) error {
 	class := platform.ErrAmbiguous
 	if errors.Is(err, peer.ErrNotSent) {
 		class = platform.ErrUnavailable
 	}
-	return fmt.Errorf("through %s: %w", relay, errors.Join(class, err))
+	return fmt.Errorf("call relay %s: %w", relay, errors.Join(class, err))
 }
--- a/internal/storerelay/service.go
+++ b/internal/storerelay/service.go
@@ -8,20 +8,21 @@
 	"hemlockquay/internal/platform"
 )
 
-// serviceTimeout bounds the call of a relay to the store, so that its reply arrives within
-// relayTimeout of the caller.
+// serviceTimeout bounds the relay's call to the store. It is shorter than relayTimeout, so that
+// the reply reaches the caller in time.
 const serviceTimeout = relayTimeout - 100*time.Millisecond
 
-// Service makes calls to the store for other VMs. It is registered as "Store".
+// Service is the RPC receiver that calls the store on behalf of other VMs. It is registered as
+// "Store".
 type Service struct {
 	store platform.ObjectStore
 	up    func() bool
 	ctx   context.Context
 }
 
-// NewService returns a service that makes its calls at store, which must not be a Store of
-// this package: two VMs without the store would pass a call back and forth. up reports
-// whether the store answers this VM. The context ends with the process.
+// NewService returns a service that calls the given store. It must not be a Store of this package,
+// or two VMs that do not reach the store would relay a call to each other endlessly. up reports
+// whether the store answers this VM. ctx must last until the process ends.
 func NewService(ctx context.Context, store platform.ObjectStore, up func() bool) Service {
 	return Service{store: store, up: up, ctx: ctx}
 }
@@ -34,7 +35,7 @@
 	})
 }
 
-// Put writes an object under its condition.
+// Put writes the object if its stored version is o.Version.
 func (s Service) Put(o *platform.Object, out *Reply) error {
 	return s.serve(out, func(ctx context.Context) (err error) {
 		out.Object, err = s.store.Put(ctx, *o)
@@ -50,7 +51,8 @@
 	})
 }
 
-// serve returns the outcome in the reply: an error of net/rpc itself would lose its class.
+// serve makes a call to the store and records its outcome in the reply: returned as an error
+// through net/rpc, it would lose its class.
 func (s Service) serve(out *Reply, call func(ctx context.Context) error) error {
 	if !s.up() {
 		out.setError(fmt.Errorf("relay does not reach the store: %w", platform.ErrUnavailable))
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -1,10 +1,10 @@
-// Package storerelay calls the platform's store through another VM while the store turns
-// this VM away.
+// Package storerelay calls the platform's store through another VM while the store does not
+// answer this VM.
 //
-// A relayed call is an ordinary call of the store with a longer path: a read is linearizable
-// between the request and the reply, and a conditional write stays one. A write whose reply
-// is lost is ambiguous, as it is without a relay. The caller dates what it learns from
-// before the call, so a slow relay shortens the validity of a confirmation.
+// A relay keeps the guarantees of the store: a read is linearizable between request and reply,
+// and a conditional write stays conditional. A write whose reply is lost is ambiguous, as it is
+// without a relay. Callers count the validity of a confirmation from before the call, so a slow
+// relay shortens it and never extends it.
 package storerelay
 
 import (
@@ -18,24 +18,24 @@
 )
 
 const (
-	// relayTimeout bounds a relayed call, the relay's own call included.
+	// relayTimeout bounds a relayed call, including the relay's own call to the store.
 	relayTimeout = 500 * time.Millisecond
-	// maxRelays bounds the VMs that are tried for one call.
+	// maxRelays bounds the relays that are tried for one call.
 	maxRelays = 2
 )
 
-// Mesh is the part of the mesh of VMs that a Store uses.
+// Mesh is the part of mesh.Mesh that a Store uses.
 type Mesh interface {
-	// StoreRelays returns the VMs that the store answers, in order of preference.
+	// StoreRelays returns the VMs that reach the store directly, in order of preference.
 	StoreRelays() []mesh.Member
-	// Transfer calls a VM on the connection for large messages.
+	// Transfer calls a method of a VM on the connection for large messages.
 	Transfer(ctx context.Context, vm, method string, args, reply any) error
 }
 
-// Store is the platform's store for reads and conditional writes. It is safe for concurrent
-// use.
+// Store reads and conditionally writes objects of the platform's store, directly or through a
+// relay. It is safe for concurrent use.
 type Store struct {
-	// Direct is the store as this VM reaches it.
+	// Direct calls the store without a relay.
 	Direct platform.ObjectStore
 	// Up reports whether the store answers this VM.
 	Up   func() bool
@@ -65,7 +65,7 @@
 		func(r *Reply) platform.Listing { return r.Listing })
 }
 
-// access says whether a call may be repeated after an ambiguous end.
+// access says whether a call writes. A write must not be repeated after an ambiguous error.
 type access bool
 
 const (
@@ -73,7 +73,7 @@
 	writes   access = true
 )
 
-// retryable reports whether the call may be made once more after this error.
+// retryable reports whether the call may be made again after this error.
 func (a access) retryable(err error) bool {
 	if a == writes && errors.Is(err, platform.ErrAmbiguous) {
 		return false
@@ -81,7 +81,8 @@
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrAmbiguous)
 }
 
-// call makes a call directly where the store answers this VM, else through relays.
+// call makes a call directly while the store answers this VM, and otherwise, or if the direct call
+// fails with a retryable error, through relays. Without any relay it calls the store directly.
 func call[T any](ctx context.Context, s *Store, a access, method string, args any, direct func() (T, error), result func(*Reply) T) (T, error) {
 	up := s.Up()
 	if up {
@@ -108,6 +109,7 @@
 	return direct()
 }
 
+// relay makes one call through the relay on vm.
 func (s *Store) relay(ctx context.Context, vm, method string, args any) (*Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/platform"
 )
 
-// fakeStore counts its calls and answers each with err or a fixed object.
+// fakeStore counts its calls and returns a fixed result and err from each.
 type fakeStore struct {
 	platform.ObjectStore
 	err   error
@@ -36,7 +36,8 @@
 	return platform.Listing{Revision: 9, Objects: []platform.Object{{Kind: kind}}}, s.err
 }
 
-// fakeMesh passes calls to the services of its relays; lost is the error of the way there.
+// fakeMesh passes calls to the services of its relays. transferErr, if set, is returned in place
+// of the call.
 type fakeMesh struct {
 	names       []string
 	services    map[string]Service
@@ -65,7 +66,8 @@
 	return service.ListKind(args.(*ListArgs), out)
 }
 
-// fixture returns a VM that the store turns away and two relays in front of the given store.
+// fixture is the Store of a VM whose direct calls fail, with two relays that share the store
+// relayed.
 type fixture struct {
 	*Store
 	direct, relayed *fakeStore
@@ -73,6 +75,7 @@
 	relayAnswers    int
 }
 
+// newFixture returns a fixture whose Store.Up reports up.
 func newFixture(up bool) *fixture {
 	p := &fixture{direct: &fakeStore{err: platform.ErrUnavailable}, relayed: &fakeStore{}}
 	yes := func() bool { return true }
@@ -84,7 +87,8 @@
 
 var id = platform.ID{Kind: "k", Name: "n"}
 
-// Guards against a grantor that loses its authority while other VMs reach the store.
+// Guards against a grantor that loses its authority because the store does not answer its VM,
+// while it answers others.
 func TestCallsAreRelayedWhileTheStoreRejectsThisVM(t *testing.T) {
 	p := newFixture(false)
 	o, err := p.Get(t.Context(), id)
@@ -100,7 +104,8 @@
 	require.Equal(t, 3, p.relayAnswers)
 }
 
-// Guards against a first call that is lost before the VM knows that the store turns it away.
+// Guards against the failure of the first calls after the store has stopped answering this VM,
+// before Up reports it.
 func TestFailedDirectCallIsRelayedAtOnce(t *testing.T) {
 	p := newFixture(true)
 	_, err := p.Put(t.Context(), platform.Object{Kind: "k", Name: "n"})
@@ -118,7 +123,8 @@
 	require.Zero(t, p.relayAnswers)
 }
 
-// Guards against a conditional write that is made twice and conflicts with itself.
+// Guards against a conditional write that is executed twice, so that the second execution
+// conflicts with the first.
 func TestAmbiguousWriteIsNotRetriedThroughAnotherRelay(t *testing.T) {
 	for name, lost := range map[string]error{"at the store": nil, "at the relay": peer.ErrLost} {
 		p := newFixture(false)
@@ -142,7 +148,7 @@
 	require.Equal(t, 1, p.relayed.calls)
 }
 
-// Guards against errors of the store that lose their class on the way.
+// Guards against errors of the store that lose their class in the relay's reply.
 func TestErrorClassesSurviveTheRelay(t *testing.T) {
 	for _, class := range []error{platform.ErrNotFound, platform.ErrConflict, platform.ErrUnavailable, platform.ErrAmbiguous} {
 		p := newFixture(false)
