--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -29,11 +29,11 @@
 		name  string
 		bytes int
 	}{{"256B", 256}, {"16KiB", 16 << 10}, {"256KiB", 256 << 10}} {
-		b.Run(size.name, func(b *testing.B) { benchmarkSize(b, s.Addr(), size.bytes) })
+		b.Run(size.name, func(b *testing.B) { benchmarkCallOfSize(b, s.Addr(), size.bytes) })
 	}
 }
 
-func benchmarkSize(b *testing.B, addr string, size int) {
+func benchmarkCallOfSize(b *testing.B, addr string, size int) {
 	c := NewClient(addr, 4)
 	defer c.Close()
 	body := make([]byte, size)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -78,15 +78,15 @@
 		conn.release(s, false)
 		return fmt.Errorf("%s at %s: %w", method, c.addr, errors.Join(ErrNotSent, err))
 	}
-	call := conn.await(ctx.Done(), s, w)
+	call := conn.awaitReply(ctx.Done(), s, w)
 	if call == nil {
 		return fmt.Errorf("%s at %s: %w", method, c.addr, errors.Join(conn.abandon(s, w), ctx.Err()))
 	}
-	conn.release(s, broken(call.Error))
+	conn.release(s, isConnError(call.Error))
 	if call.Error == nil {
 		reflect.ValueOf(reply).Elem().Set(own.Elem())
 	}
-	return conn.outcome(method, call.Error)
+	return conn.classify(method, call.Error)
 }
 
 // Close closes the connections; calls that wait get ErrLost.
@@ -118,7 +118,7 @@
 // acquire returns the session for one more call. It waits for another call's dial no longer
 // than the context lasts.
 func (m *managedConn) acquire(ctx context.Context) (*session, error) {
-	if s, err := m.take(); s != nil || err != nil {
+	if s, err := m.acquireCurrent(); s != nil || err != nil {
 		return s, err
 	}
 	select {
@@ -127,18 +127,18 @@
 		return nil, fmt.Errorf("wait for another call's dial: %w", ctx.Err())
 	}
 	defer func() { <-m.dialing }()
-	if s, err := m.take(); s != nil || err != nil {
+	if s, err := m.acquireCurrent(); s != nil || err != nil {
 		return s, err
 	}
 	s, err := m.dial(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return m.use(s)
+	return m.setCurrent(s)
 }
 
-// take counts a call on the current session; it returns nil if there is none.
-func (m *managedConn) take() (*session, error) {
+// acquireCurrent counts a call on the current session; it returns nil if there is none.
+func (m *managedConn) acquireCurrent() (*session, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -150,8 +150,8 @@
 	return m.current, nil
 }
 
-// use makes s the current session, with one call.
-func (m *managedConn) use(s *session) (*session, error) {
+// setCurrent makes s the current session, with one call.
+func (m *managedConn) setCurrent(s *session) (*session, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -184,8 +184,8 @@
 	return dialer.DialContext(ctx, "tcp", m.addr)
 }
 
-// broken reports whether the error came from the connection and not the peer.
-func broken(err error) bool {
+// isConnError reports whether the error came from the connection and not the peer.
+func isConnError(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -215,14 +215,14 @@
 		m.release(s, false)
 		return ErrLost
 	}
-	go m.releaseStuck(s, w)
+	go m.releaseStalled(s, w)
 	return ErrLost
 }
 
-// releaseStuck releases a session whose writer was not done with a call that timed out. If the
+// releaseStalled releases a session whose writer was not done with a call that timed out. If the
 // peer still does not read, later calls get another connection.
-func (m *managedConn) releaseStuck(s *session, w *write) {
-	timer := time.NewTimer(stuckAfter)
+func (m *managedConn) releaseStalled(s *session, w *write) {
+	timer := time.NewTimer(writeStallTimeout)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -238,11 +238,11 @@
 	}
 }
 
-// outcome classifies a call's error. Pending calls of a connection that breaks get
+// classify classifies a call's error. Pending calls of a connection that breaks get
 // io.ErrUnexpectedEOF and may have run; a call after that gets rpc.ErrShutdown and was not
 // sent. The invariant of managedConn keeps the two apart.
-func (m *managedConn) outcome(method string, err error) error {
-	if !broken(err) {
+func (m *managedConn) classify(method string, err error) error {
+	if !isConnError(err) {
 		if err == nil {
 			return nil
 		}
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -34,24 +34,24 @@
 
 func (c *codec) write(header, body any) error {
 	if err := c.enc.Encode(header); err != nil {
-		return c.broken(err)
+		return c.closeAfterWriteError(err)
 	}
-	c.enc.SetOmitEmpty(!dense(body))
+	c.enc.SetOmitEmpty(!mostlySet(body))
 	defer c.enc.SetOmitEmpty(false)
 	if err := c.enc.Encode(body); err != nil {
-		return c.broken(err)
+		return c.closeAfterWriteError(err)
 	}
 	if err := c.out.Flush(); err != nil {
-		return c.broken(err)
+		return c.closeAfterWriteError(err)
 	}
 	return nil
 }
 
-// dense reports whether most fields of a message are set. To leave empty ones out, the
+// mostlySet reports whether most fields of a message are set. To leave empty ones out, the
 // library allocates twice for each field that is not empty: half of all allocations
 // of a request's call. Messages of control are mostly empty and few; there the bytes
 // count.
-func dense(body any) bool {
+func mostlySet(body any) bool {
 	switch body.(type) {
 	case *wire.Request, *wire.Answer:
 		return true
@@ -59,9 +59,9 @@
 	return false
 }
 
-// broken closes the connection after half a message: what follows would
+// closeAfterWriteError closes the connection after half a message: what follows would
 // be read as its rest.
-func (c *codec) broken(err error) error {
+func (c *codec) closeAfterWriteError(err error) error {
 	c.conn.Close()
 	return fmt.Errorf("encode message: %w", err)
 }
--- a/internal/peer/header.go
+++ b/internal/peer/header.go
@@ -15,8 +15,8 @@
 // reflection they were half of a call's allocations: two strings, a slice and
 // several values of package reflect for each header.
 
-// errHeader says that a peer sent headers that cannot be read.
-var errHeader = errors.New("malformed headers")
+// errMalformedHeaders says that a peer sent headers that cannot be read.
+var errMalformedHeaders = errors.New("malformed headers")
 
 func init() {
 	msgpack.Register(http.Header(nil), encodeHeader, decodeHeader)
@@ -56,76 +56,76 @@
 	b = binary.AppendUvarint(b, uint64(len(h)))
 	b = binary.AppendUvarint(b, uint64(values))
 	for name, list := range h {
-		b = appendText(b, name)
+		b = appendString(b, name)
 		b = binary.AppendUvarint(b, uint64(len(list)))
 		for _, value := range list {
-			b = appendText(b, value)
+			b = appendString(b, value)
 		}
 	}
 	return b
 }
 
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
 // parseHeader is the inverse of appendHeader. All texts share the memory of s, and
 // all lists of values one array.
 func parseHeader(s string) (http.Header, error) {
-	r := headerReader{left: s}
-	names, values := r.number(), r.number()
+	r := headerParser{rest: s}
+	names, values := r.readNumber(), r.readNumber()
 	// Each name and value takes a byte at least: no count may ask for more memory
 	// than the message has.
-	if names > len(r.left) || values > len(r.left) {
-		return nil, errHeader
+	if names > len(r.rest) || values > len(r.rest) {
+		return nil, errMalformedHeaders
 	}
 	h := make(http.Header, names)
 	all := make([]string, 0, values)
 	for range names {
-		name, n := r.text(), r.number()
+		name, n := r.readString(), r.readNumber()
 		if n > values-len(all) {
-			return nil, errHeader
+			return nil, errMalformedHeaders
 		}
 		first := len(all)
 		for range n {
-			all = append(all, r.text())
+			all = append(all, r.readString())
 		}
 		h[name] = all[first:len(all):len(all)]
 	}
-	if r.broken || r.left != "" || len(all) != values {
-		return nil, errHeader
+	if r.failed || r.rest != "" || len(all) != values {
+		return nil, errMalformedHeaders
 	}
 	return h, nil
 }
 
-// headerReader reads from the front of left. After the first error it is broken
+// headerParser reads from the front of left. After the first error it is broken
 // and all it returns is zero.
-type headerReader struct {
-	left   string
-	broken bool
+type headerParser struct {
+	rest   string
+	failed bool
 }
 
-func (r *headerReader) number() int {
+func (r *headerParser) readNumber() int {
 	var value uint64
-	for i := 0; i < len(r.left) && i < binary.MaxVarintLen32; i++ {
-		c := r.left[i]
+	for i := 0; i < len(r.rest) && i < binary.MaxVarintLen32; i++ {
+		c := r.rest[i]
 		value |= uint64(c&0x7f) << (7 * i)
 		if c < 0x80 {
-			r.left = r.left[i+1:]
+			r.rest = r.rest[i+1:]
 			return int(value)
 		}
 	}
-	r.broken, r.left = true, ""
+	r.failed, r.rest = true, ""
 	return 0
 }
 
-func (r *headerReader) text() string {
-	n := r.number()
-	if n > len(r.left) {
-		r.broken, r.left = true, ""
+func (r *headerParser) readString() string {
+	n := r.readNumber()
+	if n > len(r.rest) {
+		r.failed, r.rest = true, ""
 		return ""
 	}
-	text := r.left[:n]
-	r.left = r.left[n:]
+	text := r.rest[:n]
+	r.rest = r.rest[n:]
 	return text
 }
--- a/internal/peer/header_test.go
+++ b/internal/peer/header_test.go
@@ -9,7 +9,7 @@
 
 // An answer's header reaches the caller under another name, or a value is cut: the
 // bytes of a message were read at the wrong place.
-func FuzzHeaderReturnsWholeOrNot(f *testing.F) {
+func FuzzHeaderRoundTrip(f *testing.F) {
 	f.Add("\x01\x02\x01a\x02\x01b\x00", "X-A", "1", "")
 	f.Add("\xff\xff\xff\xff\xff\xff", "", "a,b", "\x00\n")
 	f.Add("\x01\x01\x7fa", "Set-Cookie", "a=1", "b=2")
@@ -22,7 +22,7 @@
 		require.Equal(t, h, got)
 		for i := range len(text) {
 			_, err := parseHeader(text[:i])
-			require.ErrorIs(t, err, errHeader, "a part of the headers was taken for the whole")
+			require.ErrorIs(t, err, errMalformedHeaders, "a part of the headers was taken for the whole")
 		}
 		if got, err := parseHeader(raw); err == nil {
 			again, err := parseHeader(string(appendHeader(nil, got)))
@@ -33,7 +33,7 @@
 }
 
 // Appending to one header's values must not overwrite the next header's.
-func TestValuesOfHeadersAreApart(t *testing.T) {
+func TestHeaderValuesDoNotOverlap(t *testing.T) {
 	got, err := parseHeader(string(appendHeader(nil, http.Header{"A": {"1"}, "B": {"2"}})))
 	require.NoError(t, err)
 	got.Add("A", "x")
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -42,7 +42,7 @@
 // A peer restarts while its connection is idle. The caller's next request must
 // be reported as not sent, so that it may go elsewhere; a request that was
 // waiting when the peer died must be reported as lost.
-func TestBreakTellsUnsentFromLost(t *testing.T) {
+func TestBrokenConnectionDistinguishesUnsentFromLostCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	accepted := make(chan net.Conn, 1)
@@ -78,7 +78,7 @@
 // A caller gets bytes that are part of another caller's answer. A peer of an
 // incompatible version sends a message that cannot be decoded; the bytes left in
 // the stream would be read as the next message.
-func TestUndecodableMessageEndsTheConnection(t *testing.T) {
+func TestUndecodableMessageClosesTheConnection(t *testing.T) {
 	client, server := net.Pipe()
 	defer client.Close()
 	go func() {
@@ -91,7 +91,7 @@
 	require.ErrorIs(t, err, io.ErrClosedPipe)
 }
 
-func TestMessagesOfTwoVersionsMeet(t *testing.T) {
+func TestMessagesOfTwoVersionsAreCompatible(t *testing.T) {
 	type older struct{ A string }
 	type newer struct {
 		A string
--- a/internal/peer/silence.go
+++ b/internal/peer/probe.go
@@ -10,11 +10,11 @@
 const (
 	// probeAfter is how long a call waits before the peer is probed. Most calls end sooner.
 	probeAfter = 250 * time.Millisecond
-	// silenceStep is how often a probed connection is checked.
-	silenceStep = 50 * time.Millisecond
-	// silentSteps is for how many steps after a probe nothing arrives until the connection
+	// silenceCheckInterval is how often a probed connection is checked.
+	silenceCheckInterval = 50 * time.Millisecond
+	// silentIntervals is for how many steps after a probe nothing arrives until the connection
 	// counts as silent. A peer answers a probe at once, however long its calls take.
-	silentSteps = 10
+	silentIntervals = 10
 )
 
 // probeService and methodProbe name the probe, which every server answers at once. An error
@@ -24,11 +24,11 @@
 	methodProbe  = probeService + ".Probe"
 )
 
-// prober is the receiver of probes.
-type prober struct{}
+// probeReceiver is the receiver of probes.
+type probeReceiver struct{}
 
 // Probe answers.
-func (prober) Probe(_, _ *struct{}) error { return nil }
+func (probeReceiver) Probe(_, _ *struct{}) error { return nil }
 
 // countingConn counts the reads that returned data.
 type countingConn struct {
@@ -45,12 +45,12 @@
 	return n, err
 }
 
-// suspicion is what is known of whether the calls on a session arrive. The lock of managedConn
+// deliveryState is what is known of whether the calls on a session arrive. The lock of managedConn
 // guards it.
-type suspicion struct {
-	// unproved counts the calls whose arrival is not proved yet, timedOut those of them that
+type deliveryState struct {
+	// unconfirmed counts the calls whose arrival is not proved yet, timedOut those of them that
 	// timed out.
-	unproved, timedOut int
+	unconfirmed, timedOut int
 	// probing says that a goroutine probes until all calls are proved. It stays set on a
 	// session that has ended.
 	probing bool
@@ -60,55 +60,55 @@
 	reads  uint64
 }
 
-// suspect starts to probe whether the calls on the session arrive.
+// startProbing starts to probe whether the calls on the session arrive.
 //
 // After a cut the kernel delivers what was written before it, and the peer would execute calls
 // that timed out long ago. A probe on the same connection shows, by its reply, that the calls
 // before it arrived. If nothing arrives at all, the connection is reset, which drops what is
 // undelivered. A peer that is only slow answers the probe.
-func (m *managedConn) suspect(s *session, timedOut bool) {
+func (m *managedConn) startProbing(s *session, timedOut bool) {
 	if !m.resetOnTimeout {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.suspicion.unproved++
+	s.delivery.unconfirmed++
 	if timedOut {
-		s.suspicion.timedOut++
-		m.endIfSilent(s)
+		s.delivery.timedOut++
+		m.closeIfSilent(s)
 	}
-	if !s.suspicion.probing {
-		s.suspicion.probing = true
-		go m.prove(s)
+	if !s.delivery.probing {
+		s.delivery.probing = true
+		go m.probeUntilConfirmed(s)
 	}
 }
 
-// prove sends probes until one that was sent after all suspected calls is answered.
-func (m *managedConn) prove(s *session) {
+// probeUntilConfirmed sends probes until one that was sent after all suspected calls is answered.
+func (m *managedConn) probeUntilConfirmed(s *session) {
 	for {
-		before := m.suspicionOf(s)
-		if !m.probe(s) || m.proved(s, before) {
+		before := m.deliveryOf(s)
+		if !m.probe(s) || m.confirm(s, before) {
 			return
 		}
 	}
 }
 
-func (m *managedConn) suspicionOf(s *session) suspicion {
+func (m *managedConn) deliveryOf(s *session) deliveryState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return s.suspicion
+	return s.delivery
 }
 
-// proved records that the calls that were suspected before a probe have arrived. It reports
+// confirm records that the calls that were suspected before a probe have arrived. It reports
 // whether all have.
-func (m *managedConn) proved(s *session, before suspicion) bool {
+func (m *managedConn) confirm(s *session, before deliveryState) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.suspicion.unproved -= before.unproved
-	s.suspicion.timedOut -= before.timedOut
-	s.suspicion.silent = false
-	s.suspicion.probing = s.suspicion.unproved > 0
-	return !s.suspicion.probing
+	s.delivery.unconfirmed -= before.unconfirmed
+	s.delivery.timedOut -= before.timedOut
+	s.delivery.silent = false
+	s.delivery.probing = s.delivery.unconfirmed > 0
+	return !s.delivery.probing
 }
 
 // probe reports whether the peer answered; it waits until it does or the connection ends.
@@ -119,34 +119,34 @@
 	answered := make(chan error, 1)
 	seen, quiet := s.conn.reads.Load(), 0
 	go func() { answered <- s.rpc.Call(methodProbe, &struct{}{}, &struct{}{}) }()
-	step := time.NewTicker(silenceStep)
+	step := time.NewTicker(silenceCheckInterval)
 	defer step.Stop()
 	for {
 		select {
 		case err := <-answered:
-			return !broken(err)
+			return !isConnError(err)
 		case <-step.C:
 			quiet++
 			if now := s.conn.reads.Load(); now != seen {
 				seen, quiet = now, 0
 			}
-			m.noteSilence(s, quiet >= silentSteps, seen)
+			m.recordSilence(s, quiet >= silentIntervals, seen)
 		}
 	}
 }
 
-func (m *managedConn) noteSilence(s *session, silent bool, reads uint64) {
+func (m *managedConn) recordSilence(s *session, silent bool, reads uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	s.suspicion.silent, s.suspicion.reads = silent, reads
-	m.endIfSilent(s)
+	s.delivery.silent, s.delivery.reads = silent, reads
+	m.closeIfSilent(s)
 }
 
-// endIfSilent ends a silent session if a call on it timed out. Its pending calls get the error
+// closeIfSilent ends a silent session if a call on it timed out. Its pending calls get the error
 // of the read, which is not rpc.ErrShutdown: they may have run. Until a call times out the
 // session stays, since its calls may yet be answered. m.mu is held.
-func (m *managedConn) endIfSilent(s *session) {
-	if !s.suspicion.silent || s.suspicion.timedOut == 0 || s.conn.reads.Load() != s.suspicion.reads {
+func (m *managedConn) closeIfSilent(s *session) {
+	if !s.delivery.silent || s.delivery.timedOut == 0 || s.conn.reads.Load() != s.delivery.reads {
 		return
 	}
 	m.retire(s)
@@ -156,8 +156,8 @@
 	}
 }
 
-// await waits for the end of a call; it returns nil if the context ends first.
-func (m *managedConn) await(done <-chan struct{}, s *session, w *write) *rpc.Call {
+// awaitReply waits for the end of a call; it returns nil if the context ends first.
+func (m *managedConn) awaitReply(done <-chan struct{}, s *session, w *write) *rpc.Call {
 	var early <-chan time.Time
 	if m.resetOnTimeout {
 		timer := time.NewTimer(probeAfter)
@@ -175,9 +175,9 @@
 			}
 			ended = nil
 		case <-early:
-			m.suspect(s, false)
+			m.startProbing(s, false)
 		case <-done:
-			m.suspect(s, true)
+			m.startProbing(s, true)
 			return nil
 		}
 	}
--- a/internal/peer/held_test.go
+++ b/internal/peer/probe_test.go
@@ -21,15 +21,15 @@
 	return nil
 }
 
-// endsMost bounds the wait for the end of a connection that ought to be ended. It is
+// maxEndWait bounds the wait for the end of a connection that ought to be ended. It is
 // reached only where the test fails anyway.
-const endsMost = 8 * time.Second
+const maxEndWait = 8 * time.Second
 
 // A caller is told that its booking may have run; it looks, finds none, books again, and has
 // two. The way between two VMs is cut, and the call that carries the booking is given up at its
 // deadline. Its connection is shared and stays open, so that the system delivers the call as
 // the cut ends, and the other VM carries it out seconds after its caller has left.
-func TestACallThatWasGivenUpIsNotCarriedOutAfterACut(t *testing.T) {
+func TestTimedOutCallIsNotExecutedAfterACut(t *testing.T) {
 	d := new(diary)
 	s, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -79,13 +79,13 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(endsMost):
+	case <-time.After(maxEndWait):
 	}
 }
 
 // A caller is told that its booking did not run, and it did. In a cut another caller's call on
 // the same connection is given up, and the connection ends under the booking that waits.
-func TestACallOnASilentConnectionMayHaveRun(t *testing.T) {
+func TestPendingCallOnSilentConnectionIsReportedLost(t *testing.T) {
 	l, c := echoOverLink(t)
 	l.Cut()
 	waiting := make(chan error, 1)
@@ -101,7 +101,7 @@
 
 // Callers get `unknown` for requests that were going well: another caller's call to the same VM
 // takes long and is given up, and the connection that they share is ended though it is whole.
-func TestACallGivenUpOnAWholeConnectionDisturbsNoOther(t *testing.T) {
+func TestCanceledCallOnWorkingConnectionDoesNotEndOthers(t *testing.T) {
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -121,7 +121,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_ = c.Call(ctx, "Echo.Say", "x", new(string))
-	require.Eventually(t, func() bool { return !c.conns[0].suspicionOf(first).probing }, endsMost, time.Millisecond,
+	require.Eventually(t, func() bool { return !c.conns[0].deliveryOf(first).probing }, maxEndWait, time.Millisecond,
 		"the peer answers the probe")
 	release()
 	require.NoError(t, <-waiting)
@@ -138,7 +138,7 @@
 
 // A caller gets its answer long after its deadline: the VM that its call goes to is cut off, and
 // the call waits behind another one's dial.
-func TestAnotherCallsDialIsAwaitedNoLongerThanTheDeadline(t *testing.T) {
+func TestWaitForAnotherCallsDialEndsWithTheContext(t *testing.T) {
 	c := NewRequestClient("127.0.0.1:1", 1)
 	defer c.Close()
 	c.conns[0].dialing <- struct{}{}
@@ -151,14 +151,14 @@
 // ends, and the booking is carried out while the connection is still being probed. Where the
 // silence lasted long enough before the deadline, the connection ends before the caller is told.
 // Until a call is given up it stays, since the calls on it may yet be answered in time.
-func TestAConnectionKnownToBeSilentEndsBeforeTheCallerIsTold(t *testing.T) {
+func TestSilentConnectionIsResetBeforeTheCallReturns(t *testing.T) {
 	l, c := echoOverLink(t)
 	first := current(c)
 	l.Cut()
 	ctx, cancel := context.WithCancel(t.Context())
 	given := make(chan error, 1)
 	go func() { given <- c.Call(ctx, "Echo.Say", "y", new(string)) }()
-	require.Eventually(t, func() bool { return c.conns[0].suspicionOf(first).silent }, endsMost, time.Millisecond)
+	require.Eventually(t, func() bool { return c.conns[0].deliveryOf(first).silent }, maxEndWait, time.Millisecond)
 	require.Same(t, first, current(c), "nobody gave up yet")
 	cancel()
 	require.ErrorIs(t, <-given, ErrLost)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -31,7 +31,7 @@
 		return nil, fmt.Errorf("listen for peers: %w", err)
 	}
 	s := &Server{rpc: rpc.NewServer(), listener: l, conns: make(map[net.Conn]struct{})}
-	if err := s.Register(probeService, prober{}); err != nil {
+	if err := s.Register(probeService, probeReceiver{}); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
 	return s, nil
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// stuckAfter is how long the writer of a session may take with one call until the
+	// writeStallTimeout is how long the writer of a session may take with one call until the
 	// connection counts as stuck.
-	stuckAfter = 50 * time.Millisecond
-	// writeQueue bounds the calls that wait for the writer of a session.
-	writeQueue = 64
+	writeStallTimeout = 50 * time.Millisecond
+	// writeQueueLength bounds the calls that wait for the writer of a session.
+	writeQueueLength = 64
 )
 
 // session is one connection and the number of its pending calls.
@@ -22,11 +22,11 @@
 // net/rpc writes a call in the goroutine that makes it, however long the peer does not read.
 // So a goroutine of the session writes, and the callers wait for it only as long as they may.
 type session struct {
-	rpc       *rpc.Client
-	conn      *countingConn
-	pending   int
-	retired   bool
-	suspicion suspicion
+	rpc      *rpc.Client
+	conn     *countingConn
+	pending  int
+	retired  bool
+	delivery deliveryState
 
 	writes chan *write
 	ended  chan struct{}
@@ -61,7 +61,7 @@
 // cancel removes a call that timed out from the queue of a writer that is stuck with another
 // one. It reports whether it did: a writer that is not stuck is about to write the call.
 func (w *write) cancel() bool {
-	return time.Since(w.queued) >= stuckAfter && w.state.CompareAndSwap(writeQueued, writeCanceled)
+	return time.Since(w.queued) >= writeStallTimeout && w.state.CompareAndSwap(writeQueued, writeCanceled)
 }
 
 // isWritten reports whether nothing of the call is left to write.
@@ -72,7 +72,7 @@
 	conn := &countingConn{Conn: nc}
 	s := &session{
 		rpc: rpc.NewClientWithCodec(clientCodec{newCodec(conn)}), conn: conn,
-		writes: make(chan *write, writeQueue), ended: make(chan struct{}),
+		writes: make(chan *write, writeQueueLength), ended: make(chan struct{}),
 	}
 	go s.writeCalls()
 	return s
--- a/internal/peer/stuck_test.go
+++ b/internal/peer/stalled_write_test.go
@@ -14,7 +14,7 @@
 // A caller with a large upload gets no answer long after its deadline, and the calls that
 // share the connection wait behind it. The other VM does not read; the call is given up, but
 // net/rpc is still writing it, and the client looks at the deadline only after that.
-func TestACallThatIsStillBeingWrittenEndsWithItsContext(t *testing.T) {
+func TestCallBeingWrittenEndsWithItsContext(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -36,7 +36,7 @@
 	var got error
 	select {
 	case got = <-ended:
-	case <-time.After(endsMost):
+	case <-time.After(maxEndWait):
 		got = errors.New("the call has not ended")
 	}
 	_ = conn.Close()
@@ -44,7 +44,7 @@
 }
 
 // Guards against calls that are held up past their deadlines by another on the same connection.
-func TestCallsBehindOneThatIsBeingWrittenEndUnsent(t *testing.T) {
+func TestCallsQueuedBehindAStalledWriteEndUnsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer there.Close()
@@ -57,25 +57,25 @@
 		go func() { ended <- c.Call(first, "Echo.Take", make([]byte, 64<<10), new(string)) }()
 		synctest.Wait()
 
-		behind, cancelBehind := context.WithTimeout(t.Context(), 2*stuckAfter)
+		behind, cancelBehind := context.WithTimeout(t.Context(), 2*writeStallTimeout)
 		defer cancelBehind()
 		begin := time.Now()
 		err := c.Call(behind, "Echo.Take", "small", new(string))
 		require.ErrorIs(t, err, ErrNotSent)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
-		require.Equal(t, 2*stuckAfter, time.Since(begin))
+		require.Equal(t, 2*writeStallTimeout, time.Since(begin))
 		require.Same(t, s, current(c))
 
 		cancelFirst()
 		require.ErrorIs(t, <-ended, ErrLost)
-		time.Sleep(stuckAfter)
+		time.Sleep(writeStallTimeout)
 		synctest.Wait()
 		require.Nil(t, current(c), "calls after it get a connection of their own")
 	})
 }
 
 // Guards against a queued call that waits for ever after its client is closed.
-func TestCallsThatAreQueuedEndWhenTheClientIsClosed(t *testing.T) {
+func TestQueuedCallsEndWhenTheClientIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
 		defer there.Close()
