--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -8,9 +8,9 @@
 	"hemlockquay/internal/wire"
 )
 
-type doubler struct{}
+type echoDispatch struct{}
 
-func (doubler) Do(r *wire.Request, a *wire.Answer) error {
+func (echoDispatch) Do(r *wire.Request, a *wire.Answer) error {
 	*a = wire.Answer{ID: r.ID, Status: http.StatusOK, Header: r.Header, Body: r.Body, Sum: r.Sum}
 	return nil
 }
@@ -21,7 +21,7 @@
 		b.Fatal(err)
 	}
 	defer s.Close()
-	if err := s.Register("Dispatch", doubler{}); err != nil {
+	if err := s.Register("Dispatch", echoDispatch{}); err != nil {
 		b.Fatal(err)
 	}
 	go func() { _ = s.Serve() }()
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -16,21 +16,23 @@
 
 // Errors of a call. An error that is none of these was returned by the peer.
 var (
-	// ErrNotSent says that the call surely did not reach the peer.
+	// ErrNotSent says that the call did not reach the peer.
 	ErrNotSent = errors.New("not sent")
-	// ErrLost says that the call may have reached the peer and no reply came.
+	// ErrLost says that the call may have reached the peer, but no reply came.
 	ErrLost = errors.New("reply lost")
 )
 
-// redialPause is the shortest time between two dials of one connection: a peer
-// that is down is not flooded with SYNs, and a restarted one is found soon.
+// redialPause is the minimum time between a failed dial of a connection and the
+// next. It spares a peer that is down a flood of SYNs, and is short enough that a
+// restarted peer is found soon.
 const redialPause = 100 * time.Millisecond
 
-// dialTimeout bounds one dial. Data centres are milliseconds apart; a second
-// without an answer is a cut.
+// dialTimeout bounds one dial. Round trips between data centres take
+// milliseconds, so no answer within a second means that the path is cut.
 const dialTimeout = time.Second
 
-// Client calls one peer over a fixed number of connections, opened on demand.
+// Client calls one peer over a fixed number of connections, which are opened on demand. It is
+// safe for concurrent use.
 type Client struct {
 	addr  string
 	conns []*managedConn
@@ -38,13 +40,13 @@
 }
 
 // NewClient returns a client of the peer at addr. A call that times out may still be executed
-// later: use it for queries and notifications, which are harmless then.
+// later, so use this client only for queries and notifications, for which that is harmless.
 func NewClient(addr string, connections int) *Client { return newClient(addr, connections, false) }
 
-// NewRequestClient returns a client whose calls carry requests: one that times out while the
-// path to the peer is silent is not executed when the silence ends, since the connection is
-// reset. Do not use it for large replies that are requested again after a timeout: over a full
-// link each reset would start them anew.
+// NewRequestClient returns a client for calls that carry requests. If a call times out while
+// nothing is received from the peer, the connection is reset, so that the call is not executed
+// once the path works again. Do not use it for large replies that are requested again after
+// a timeout: over a saturated link each reset would restart the transfer.
 func NewRequestClient(addr string, connections int) *Client {
 	return newClient(addr, connections, true)
 }
@@ -60,12 +62,13 @@
 // Addr returns the peer's address.
 func (c *Client) Addr() string { return c.addr }
 
-// Call sends args and waits until the context ends for the reply, to which reply must point.
-// After an error it is unchanged. What args refers to must not change even after Call has
-// returned: a call that timed out may still be written.
+// Call calls a method of the peer and stores the result in reply, which must be a pointer. It
+// returns when the context ends at the latest. After an error the value at reply is unchanged.
+// The caller must not modify args even after Call has returned, because a call that timed out may
+// still be written.
 //
-// The reply is decoded into a private value and copied once it is complete, because the
-// context may end while net/rpc decodes.
+// The reply is decoded into a separate value and copied when it is complete, because the context
+// may end while net/rpc decodes.
 func (c *Client) Call(ctx context.Context, method string, args, reply any) error {
 	conn := c.conns[c.next.Add(1)%uint64(len(c.conns))]
 	s, err := conn.acquire(ctx)
@@ -89,24 +92,26 @@
 	return conn.classify(method, call.Error)
 }
 
-// Close closes the connections; calls that wait get ErrLost.
+// Close closes the connections. Pending calls return ErrLost.
 func (c *Client) Close() {
 	for _, conn := range c.conns {
 		conn.close()
 	}
 }
 
-// managedConn is one connection that is opened again after it broke.
+// managedConn is one connection to the peer, which is reopened after it broke.
 //
-// Invariant: the rpc client of a session is closed only once the session is retired and has no
-// pending call, and a retired session accepts no call. So rpc.ErrShutdown always means that the
-// call found the connection already shut, except after Close. The connection of a silent
-// session may be closed under pending calls.
+// Invariant: the rpc client of a session is closed only after the session is retired and has no
+// pending calls, and a retired session accepts no calls. So rpc.ErrShutdown always means that the
+// connection was shut down before the call, except after Close. The network connection of a silent
+// session may be closed while calls are pending.
 type managedConn struct {
 	addr string
-	// resetOnTimeout says that connections are probed, and reset if they are silent.
+	// resetOnTimeout says that the connection is probed when calls are late, and reset if it is
+	// silent when a call times out.
 	resetOnTimeout bool
-	// dialing is held during a dial; it guards lastDial.
+	// dialing is a lock that is held during a dial. It guards lastDial, the time of the last
+	// failed dial.
 	dialing  chan struct{}
 	lastDial time.Time
 
@@ -115,8 +120,8 @@
 	closed  bool
 }
 
-// acquire returns the session for one more call. It waits for another call's dial no longer
-// than the context lasts.
+// acquire returns a session with one more pending call, and dials if there is none. It waits for
+// another call's dial until the context ends at the latest.
 func (m *managedConn) acquire(ctx context.Context) (*session, error) {
 	if s, err := m.acquireCurrent(); s != nil || err != nil {
 		return s, err
@@ -137,7 +142,7 @@
 	return m.setCurrent(s)
 }
 
-// acquireCurrent counts a call on the current session; it returns nil if there is none.
+// acquireCurrent adds a pending call to the current session. It returns nil if there is none.
 func (m *managedConn) acquireCurrent() (*session, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -150,7 +155,7 @@
 	return m.current, nil
 }
 
-// setCurrent makes s the current session, with one call.
+// setCurrent makes s the current session and adds one pending call to it.
 func (m *managedConn) setCurrent(s *session) (*session, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,7 +171,7 @@
 // dial opens a connection; m.dialing is held.
 func (m *managedConn) dial(ctx context.Context) (*session, error) {
 	if since := time.Since(m.lastDial); since < redialPause {
-		return nil, fmt.Errorf("dial failed %v ago", since.Round(time.Millisecond))
+		return nil, fmt.Errorf("not dialled: the last dial failed %v ago", since.Round(time.Millisecond))
 	}
 	nc, err := m.connect(ctx)
 	if err != nil {
@@ -184,7 +189,7 @@
 	return dialer.DialContext(ctx, "tcp", m.addr)
 }
 
-// isConnError reports whether the error came from the connection and not the peer.
+// isConnError reports whether the error came from the connection rather than from the peer.
 func isConnError(err error) bool {
 	if err == nil {
 		return false
@@ -193,6 +198,7 @@
 	return !errors.As(err, &remote)
 }
 
+// release removes a pending call from the session. If the call failed, the session is retired.
 func (m *managedConn) release(s *session, failed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,8 +225,9 @@
 	return ErrLost
 }
 
-// releaseStalled releases a session whose writer was not done with a call that timed out. If the
-// peer still does not read, later calls get another connection.
+// releaseStalled releases the session of a call that timed out before it was completely written.
+// If it is not written after writeStallTimeout, the session is retired, so that later calls use
+// another connection.
 func (m *managedConn) releaseStalled(s *session, w *write) {
 	timer := time.NewTimer(writeStallTimeout)
 	defer timer.Stop()
@@ -231,6 +238,7 @@
 	m.release(s, !w.isWritten())
 }
 
+// retire excludes the session from further calls. m.mu is held.
 func (m *managedConn) retire(s *session) {
 	s.retired = true
 	if m.current == s {
@@ -238,9 +246,9 @@
 	}
 }
 
-// classify classifies a call's error. Pending calls of a connection that breaks get
-// io.ErrUnexpectedEOF and may have run; a call after that gets rpc.ErrShutdown and was not
-// sent. The invariant of managedConn keeps the two apart.
+// classify adds ErrLost or ErrNotSent to the error of a broken connection. Calls that are pending
+// when the connection breaks get io.ErrUnexpectedEOF and may have run. A later call gets
+// rpc.ErrShutdown and was not sent. The invariant of managedConn keeps the two cases apart.
 func (m *managedConn) classify(method string, err error) error {
 	if !isConnError(err) {
 		if err == nil {
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -11,13 +11,13 @@
 	"hemlockquay/internal/wire"
 )
 
-// bufferSize holds a usual request or answer, so that it leaves in one write.
+// bufferSize is large enough for a typical request or answer to be sent in one write.
 const bufferSize = 16 << 10
 
-// codec carries net/rpc in MessagePack. Structs travel as maps by field name: a
-// field that one side does not know is skipped and one that is missing is zero,
-// so VMs of two versions understand each other during an upgrade. Arrays would
-// be shorter, but the library refuses one of another length.
+// codec encodes net/rpc messages as MessagePack. Structs are encoded as maps by
+// field name: an unknown field is skipped and a missing one is zero, so VMs of
+// two versions can call each other during an upgrade. Arrays would be shorter,
+// but the library rejects an array of another length.
 type codec struct {
 	conn net.Conn
 	out  *bufio.Writer
@@ -47,10 +47,10 @@
 	return nil
 }
 
-// mostlySet reports whether most fields of a message are set. To leave empty ones out, the
-// library allocates twice for each field that is not empty: half of all allocations
-// of a request's call. Messages of control are mostly empty and few; there the bytes
-// count.
+// mostlySet reports whether most fields of a message are set, so that empty ones are not omitted.
+// To omit them, the library allocates twice for each field that is not empty, which made up half
+// of all allocations of a request's call. Control messages are few and mostly empty; for them
+// the size matters more.
 func mostlySet(body any) bool {
 	switch body.(type) {
 	case *wire.Request, *wire.Answer:
@@ -59,15 +59,15 @@
 	return false
 }
 
-// closeAfterWriteError closes the connection after half a message: what follows would
-// be read as its rest.
+// closeAfterWriteError closes the connection, since a part of the message may have been
+// written: the peer would read the next message as the rest of it.
 func (c *codec) closeAfterWriteError(err error) error {
 	c.conn.Close()
 	return fmt.Errorf("encode message: %w", err)
 }
 
-// read closes the connection after a message that cannot be decoded: net/rpc
-// would go on and take the rest of its bytes for the next message, possibly
+// read decodes a message and closes the connection if that fails: net/rpc would
+// continue and read the rest of its bytes as the next message, possibly as
 // another caller's answer.
 func (c *codec) read(v any) error {
 	err := c.decode(v)
--- a/internal/peer/header.go
+++ b/internal/peer/header.go
@@ -11,11 +11,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Headers travel as one string of counts, lengths and texts. As a map by
-// reflection they were half of a call's allocations: two strings, a slice and
-// several values of package reflect for each header.
+// Headers are encoded as one string of counts, lengths and strings. Encoded by
+// reflection as a map they caused half of a call's allocations: two strings, a
+// slice and several values of package reflect for each header.
 
-// errMalformedHeaders says that a peer sent headers that cannot be read.
+// errMalformedHeaders says that a peer sent headers that cannot be decoded.
 var errMalformedHeaders = errors.New("malformed headers")
 
 func init() {
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// appendHeader writes the number of names and of all values, then each name with
-// its values.
+// appendHeader appends the number of names, the number of all values, and then
+// each name with its values.
 func appendHeader(b []byte, h http.Header) []byte {
 	values := 0
 	for _, list := range h {
@@ -69,13 +69,13 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// parseHeader is the inverse of appendHeader. All texts share the memory of s, and
-// all lists of values one array.
+// parseHeader is the inverse of appendHeader. All names and values share the
+// memory of s, and all lists of values are parts of one array.
 func parseHeader(s string) (http.Header, error) {
 	r := headerParser{rest: s}
 	names, values := r.readNumber(), r.readNumber()
-	// Each name and value takes a byte at least: no count may ask for more memory
-	// than the message has.
+	// Each name and value takes at least one byte. A larger count would make the
+	// decoder allocate more memory than the message justifies.
 	if names > len(r.rest) || values > len(r.rest) {
 		return nil, errMalformedHeaders
 	}
@@ -98,8 +98,8 @@
 	return h, nil
 }
 
-// headerParser reads from the front of left. After the first error it is broken
-// and all it returns is zero.
+// headerParser reads from the front of rest. After the first error failed is set
+// and all results are zero values.
 type headerParser struct {
 	rest   string
 	failed bool
--- a/internal/peer/header_test.go
+++ b/internal/peer/header_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An answer's header reaches the caller under another name, or a value is cut: the
-// bytes of a message were read at the wrong place.
+// Guards against headers that are decoded from the wrong offset, so that the caller gets
+// a header under another name or with a truncated value.
 func FuzzHeaderRoundTrip(f *testing.F) {
 	f.Add("\x01\x02\x01a\x02\x01b\x00", "X-A", "1", "")
 	f.Add("\xff\xff\xff\xff\xff\xff", "", "a,b", "\x00\n")
@@ -22,7 +22,7 @@
 		require.Equal(t, h, got)
 		for i := range len(text) {
 			_, err := parseHeader(text[:i])
-			require.ErrorIs(t, err, errMalformedHeaders, "a part of the headers was taken for the whole")
+			require.ErrorIs(t, err, errMalformedHeaders, "truncated headers were accepted")
 		}
 		if got, err := parseHeader(raw); err == nil {
 			again, err := parseHeader(string(appendHeader(nil, got)))
@@ -32,7 +32,8 @@
 	})
 }
 
-// Appending to one header's values must not overwrite the next header's.
+// Guards against appending to the values of one header overwriting those of the next, which
+// share an array.
 func TestHeaderValuesDoNotOverlap(t *testing.T) {
 	got, err := parseHeader(string(appendHeader(nil, http.Header{"A": {"1"}, "B": {"2"}})))
 	require.NoError(t, err)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,9 +39,9 @@
 	require.Equal(t, "x", out)
 }
 
-// A peer restarts while its connection is idle. The caller's next request must
-// be reported as not sent, so that it may go elsewhere; a request that was
-// waiting when the peer died must be reported as lost.
+// Guards against mixing up two errors after a connection has broken. A call that
+// was pending must be reported as lost; the next call must be reported as not
+// sent, so that its request may be sent to another peer.
 func TestBrokenConnectionDistinguishesUnsentFromLostCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	waiting := make(chan error, 1)
 	go func() { waiting <- c.Call(context.Background(), "Echo.Hang", "x", new(string)) }()
 	conn := <-accepted
-	// The first byte of the call has arrived: it is in flight.
+	// Once the first byte has arrived, the call is in flight.
 	_, err = conn.Read(make([]byte, 1))
 	require.NoError(t, err)
 	l.Close()
@@ -75,9 +75,9 @@
 	require.ErrorIs(t, c.Call(ctx, "Echo.Hang", "x", new(string)), ErrLost)
 }
 
-// A caller gets bytes that are part of another caller's answer. A peer of an
-// incompatible version sends a message that cannot be decoded; the bytes left in
-// the stream would be read as the next message.
+// Guards against a caller that gets parts of another caller's answer. After
+// a message that cannot be decoded, for example from a peer of an incompatible
+// version, the rest of its bytes would be read as the next message.
 func TestUndecodableMessageClosesTheConnection(t *testing.T) {
 	client, server := net.Pipe()
 	defer client.Close()
@@ -121,8 +121,9 @@
 
 func (e *slowEcho) Say(in string, out *string) error { *out = in; return nil }
 
-// A key is run twice. A holder's vote arrives just as its time is over; the caller,
-// which took it for no vote, reads the value while it is being decoded.
+// Guards against a reply that arrives just as the call times out and is decoded into
+// the caller's value while the caller reads it. For a vote on an idempotency record that
+// would let a request run twice.
 func TestLateReplyDoesNotReachTheCaller(t *testing.T) {
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s, err := Listen("127.0.0.1:0")
@@ -137,7 +138,7 @@
 	cancel()
 	require.ErrorIs(t, <-ended, ErrLost)
 	close(e.release)
-	// Enough further answers on the one connection that the late one has come.
+	// After 100 more replies on the one connection, the late reply has been read.
 	for range 100 {
 		var next string
 		require.NoError(t, c.Call(context.Background(), "Echo.Say", "next", &next))
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -11,19 +11,20 @@
 	clients map[string]*Client
 }
 
-// NewPool returns a pool whose clients open so many connections each.
+// NewPool returns a pool of clients as NewClient returns them, each with the given number of
+// connections.
 func NewPool(connections int) *Pool {
 	return &Pool{connections: connections, clients: make(map[string]*Client)}
 }
 
-// NewRequestPool returns a pool whose clients carry requests, as NewRequestClient's do.
+// NewRequestPool returns a pool of clients as NewRequestClient returns them.
 func NewRequestPool(connections int) *Pool {
 	p := NewPool(connections)
 	p.resetOnTimeout = true
 	return p
 }
 
-// Get returns the client of an address.
+// Get returns the client for an address and creates it if there is none.
 func (p *Pool) Get(addr string) *Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/probe.go
+++ b/internal/peer/probe.go
@@ -10,24 +10,24 @@
 const (
 	// probeAfter is how long a call waits before the peer is probed. Most calls end sooner.
 	probeAfter = 250 * time.Millisecond
-	// silenceCheckInterval is how often a probed connection is checked.
+	// silenceCheckInterval is how often a probed connection is checked for received data.
 	silenceCheckInterval = 50 * time.Millisecond
-	// silentIntervals is for how many steps after a probe nothing arrives until the connection
-	// counts as silent. A peer answers a probe at once, however long its calls take.
+	// silentIntervals is the number of intervals without received data after which a probed
+	// connection counts as silent. A peer answers a probe at once, however long its calls take.
 	silentIntervals = 10
 )
 
-// probeService and methodProbe name the probe, which every server answers at once. An error
-// reply to an unknown method proves just as much.
+// probeService and methodProbe name the probe, which every Server answers at once. An error
+// reply from a server that does not know the method proves delivery as well.
 const (
 	probeService = "Peer"
 	methodProbe  = probeService + ".Probe"
 )
 
-// probeReceiver is the receiver of probes.
+// probeReceiver is the RPC receiver of probes.
 type probeReceiver struct{}
 
-// Probe answers.
+// Probe returns an empty reply.
 func (probeReceiver) Probe(_, _ *struct{}) error { return nil }
 
 // countingConn counts the reads that returned data.
@@ -45,27 +45,29 @@
 	return n, err
 }
 
-// deliveryState is what is known of whether the calls on a session arrive. The lock of managedConn
-// guards it.
+// deliveryState records whether the calls on a session have reached the peer. It is guarded by
+// managedConn.mu.
 type deliveryState struct {
-	// unconfirmed counts the calls whose arrival is not proved yet, timedOut those of them that
-	// timed out.
+	// unconfirmed counts the late or timed-out calls whose arrival is not confirmed by a probe yet;
+	// a call that is first late and then times out counts twice. timedOut counts those of them
+	// that timed out.
 	unconfirmed, timedOut int
-	// probing says that a goroutine probes until all calls are proved. It stays set on a
+	// probing says that a goroutine sends probes until all calls are confirmed. It stays set on a
 	// session that has ended.
 	probing bool
-	// silent says that nothing arrived for silentSteps since a probe; reads is the
-	// connection's count of reads by then.
+	// silent says that nothing arrived for silentIntervals during a probe; reads is the
+	// connection's read count at that time.
 	silent bool
 	reads  uint64
 }
 
-// startProbing starts to probe whether the calls on the session arrive.
+// startProbing counts a call as unconfirmed and starts to probe whether the calls on the session
+// have reached the peer.
 //
-// After a cut the kernel delivers what was written before it, and the peer would execute calls
-// that timed out long ago. A probe on the same connection shows, by its reply, that the calls
-// before it arrived. If nothing arrives at all, the connection is reset, which drops what is
-// undelivered. A peer that is only slow answers the probe.
+// After a network cut the kernel delivers data that was written before it, and the peer would
+// execute calls that timed out long ago. The reply to a probe on the same connection shows that
+// all calls before it have arrived. If nothing is received at all, the connection is reset, which
+// discards undelivered data. A peer that is only slow answers the probe.
 func (m *managedConn) startProbing(s *session, timedOut bool) {
 	if !m.resetOnTimeout {
 		return
@@ -83,7 +85,8 @@
 	}
 }
 
-// probeUntilConfirmed sends probes until one that was sent after all suspected calls is answered.
+// probeUntilConfirmed sends probes until a probe that was sent after all unconfirmed calls is
+// answered, or the connection ends.
 func (m *managedConn) probeUntilConfirmed(s *session) {
 	for {
 		before := m.deliveryOf(s)
@@ -99,8 +102,8 @@
 	return s.delivery
 }
 
-// confirm records that the calls that were suspected before a probe have arrived. It reports
-// whether all have.
+// confirm records that the calls that were unconfirmed before an answered probe have arrived. It
+// reports whether no unconfirmed call is left.
 func (m *managedConn) confirm(s *session, before deliveryState) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,10 +114,11 @@
 	return !s.delivery.probing
 }
 
-// probe reports whether the peer answered; it waits until it does or the connection ends.
+// probe sends a probe, waits for its reply or the end of the connection, and reports whether a
+// reply came.
 //
-// Silence is counted in steps of a ticker, which drops those of a suspension: after one, the
-// replies that wait unread are read before the connection counts as silent.
+// Silence is counted in ticks, not in elapsed time: a ticker drops the ticks of a suspension of
+// the process, so replies that arrived during it are read before the connection counts as silent.
 func (m *managedConn) probe(s *session) bool {
 	answered := make(chan error, 1)
 	seen, quiet := s.conn.reads.Load(), 0
@@ -142,9 +146,9 @@
 	m.closeIfSilent(s)
 }
 
-// closeIfSilent ends a silent session if a call on it timed out. Its pending calls get the error
-// of the read, which is not rpc.ErrShutdown: they may have run. Until a call times out the
-// session stays, since its calls may yet be answered. m.mu is held.
+// closeIfSilent resets the connection of a silent session if a call on it has timed out. Pending
+// calls get the read error, which is not rpc.ErrShutdown, since they may have run. Until a call
+// times out the session is kept, because its calls may still be answered. m.mu is held.
 func (m *managedConn) closeIfSilent(s *session) {
 	if !s.delivery.silent || s.delivery.timedOut == 0 || s.conn.reads.Load() != s.delivery.reads {
 		return
@@ -156,7 +160,7 @@
 	}
 }
 
-// awaitReply waits for the end of a call; it returns nil if the context ends first.
+// awaitReply waits for a call to complete. It returns nil if done is closed first.
 func (m *managedConn) awaitReply(done <-chan struct{}, s *session, w *write) *rpc.Call {
 	var early <-chan time.Time
 	if m.resetOnTimeout {
--- a/internal/peer/probe_test.go
+++ b/internal/peer/probe_test.go
@@ -21,14 +21,13 @@
 	return nil
 }
 
-// maxEndWait bounds the wait for the end of a connection that ought to be ended. It is
-// reached only where the test fails anyway.
+// maxEndWait bounds the wait for an event that must happen, such as the end of a connection. It
+// is reached only if the test fails.
 const maxEndWait = 8 * time.Second
 
-// A caller is told that its booking may have run; it looks, finds none, books again, and has
-// two. The way between two VMs is cut, and the call that carries the booking is given up at its
-// deadline. Its connection is shared and stays open, so that the system delivers the call as
-// the cut ends, and the other VM carries it out seconds after its caller has left.
+// Guards against a call that is executed seconds after its caller has got ErrLost, which leads to
+// a double booking if the caller has retried meanwhile. The path is cut, the call times out on a
+// shared connection that stays open, and the kernel delivers the call when the cut ends.
 func TestTimedOutCallIsNotExecutedAfterACut(t *testing.T) {
 	d := new(diary)
 	s, err := Listen("127.0.0.1:0")
@@ -50,15 +49,16 @@
 	require.ErrorIs(t, <-given, ErrLost, "it may have run before the cut")
 	awaitEnded(l)
 	l.Heal()
-	require.NoError(t, c.Call(t.Context(), "Diary.Say", "y", &out), "calls after the cut get through")
+	require.NoError(t, c.Call(t.Context(), "Diary.Say", "y", &out), "calls after the cut are answered")
 	c.Close()
 	l.Drain()
-	// The server ends only after the calls that it has read.
+	// Close waits for the calls that the server has read.
 	s.Close()
-	require.Zero(t, d.booked.Load(), "it was carried out after it was given up")
+	require.Zero(t, d.booked.Load(), "the call was executed after it was canceled")
 }
 
-// echoOverLink returns a client of requests, and the link that carries its connection.
+// echoOverLink returns a request client of an echo server, and the link that carries its
+// connection.
 func echoOverLink(t *testing.T) (*link.Link, *Client) {
 	s := serve(t, "127.0.0.1:0", &echo{})
 	t.Cleanup(s.Close)
@@ -69,8 +69,8 @@
 	return l, c
 }
 
-// awaitEnded waits until the sender of what the cut link holds has ended its connection, or
-// until it is clear that it does not.
+// awaitEnded waits until the sender of the data held by the cut link has ended its connection, at
+// most for maxEndWait.
 func awaitEnded(l *link.Link) {
 	ended := make(chan struct{})
 	go func() {
@@ -83,8 +83,9 @@
 	}
 }
 
-// A caller is told that its booking did not run, and it did. In a cut another caller's call on
-// the same connection is given up, and the connection ends under the booking that waits.
+// Guards against a pending call that is reported as not sent although it may have run. During a
+// cut another call on the same connection is canceled, and the connection is reset while the
+// first call is still pending.
 func TestPendingCallOnSilentConnectionIsReportedLost(t *testing.T) {
 	l, c := echoOverLink(t)
 	l.Cut()
@@ -99,8 +100,8 @@
 	require.NotErrorIs(t, err, ErrNotSent)
 }
 
-// Callers get `unknown` for requests that were going well: another caller's call to the same VM
-// takes long and is given up, and the connection that they share is ended though it is whole.
+// Guards against a working connection that is reset because one call on it was canceled: other
+// callers that share the connection would get `unknown` for requests that run normally.
 func TestCanceledCallOnWorkingConnectionDoesNotEndOthers(t *testing.T) {
 	e := &slowEcho{entered: make(chan struct{}), release: make(chan struct{})}
 	s, err := Listen("127.0.0.1:0")
@@ -109,7 +110,7 @@
 	require.NoError(t, s.Register("Echo", e))
 	go func() { _ = s.Serve() }()
 	release := sync.OnceFunc(func() { close(e.release) })
-	// The server ends only after its calls.
+	// Server.Close waits for running calls.
 	defer release()
 	c := NewRequestClient(s.Addr(), 1)
 	defer c.Close()
@@ -136,8 +137,8 @@
 	return l.current
 }
 
-// A caller gets its answer long after its deadline: the VM that its call goes to is cut off, and
-// the call waits behind another one's dial.
+// Guards against a call that waits past its deadline for another call's dial to an unreachable
+// VM.
 func TestWaitForAnotherCallsDialEndsWithTheContext(t *testing.T) {
 	c := NewRequestClient("127.0.0.1:1", 1)
 	defer c.Close()
@@ -147,10 +148,10 @@
 	require.ErrorIs(t, c.Call(ctx, "Echo.Say", "x", new(string)), ErrNotSent)
 }
 
-// A caller is told that its booking may have run, looks at once and finds none; then the cut
-// ends, and the booking is carried out while the connection is still being probed. Where the
-// silence lasted long enough before the deadline, the connection ends before the caller is told.
-// Until a call is given up it stays, since the calls on it may yet be answered in time.
+// Guards against a call that is executed shortly after its caller has got ErrLost: the cut ends
+// while the connection is still being probed. If the connection already counts as silent when the
+// call is canceled, it must be reset before Call returns. Before that it must be kept, because its
+// calls may still be answered in time.
 func TestSilentConnectionIsResetBeforeTheCallReturns(t *testing.T) {
 	l, c := echoOverLink(t)
 	first := current(c)
@@ -159,9 +160,9 @@
 	given := make(chan error, 1)
 	go func() { given <- c.Call(ctx, "Echo.Say", "y", new(string)) }()
 	require.Eventually(t, func() bool { return c.conns[0].deliveryOf(first).silent }, maxEndWait, time.Millisecond)
-	require.Same(t, first, current(c), "nobody gave up yet")
+	require.Same(t, first, current(c), "a silent connection is kept until a call on it is canceled")
 	cancel()
 	require.ErrorIs(t, <-given, ErrLost)
-	require.Nil(t, current(c), "the caller was told while its call may still arrive")
+	require.Nil(t, current(c), "Call returned while the call may still arrive")
 	l.AwaitEnded()
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,8 +1,8 @@
-// Package peer carries net/rpc between hemlockquay's own processes.
+// Package peer carries net/rpc calls between hemlockquay's own processes.
 //
-// net/rpc has no deadlines and one connection mixes all calls. Here every call
-// has a context, and a client holds several connections, so that a large answer
-// does not hold up small ones.
+// net/rpc has no deadlines and sends all calls over one connection. Here every
+// call has a context, and a client can have several connections, so that a large
+// answer does not delay all small ones.
 package peer
 
 import (
@@ -13,7 +13,7 @@
 	"sync"
 )
 
-// Server serves the registered receivers on one listener.
+// Server serves the registered RPC receivers on one listener.
 type Server struct {
 	rpc      *rpc.Server
 	listener net.Listener
@@ -24,7 +24,7 @@
 	done   sync.WaitGroup
 }
 
-// Listen opens the address and returns a server that does not accept yet.
+// Listen listens on the address and returns a server, which accepts connections once Serve runs.
 func Listen(addr string) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// Register publishes the receiver's methods under the name.
+// Register publishes the methods of the receiver under the name.
 func (s *Server) Register(name string, receiver any) error {
 	if err := s.rpc.RegisterName(name, receiver); err != nil {
 		return fmt.Errorf("register %s: %w", name, err)
@@ -66,6 +66,7 @@
 	}
 }
 
+// track adds the connection to those that Close closes. It returns false if the server is closed.
 func (s *Server) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +86,8 @@
 	delete(s.conns, conn)
 }
 
-// Close stops accepting and closes all connections. Callers drain first: a call
-// that still runs loses its answer.
+// Close stops accepting, closes all connections and waits for the calls that are
+// running. Their replies are lost, so drain the process before.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/peer/session.go
+++ b/internal/peer/session.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// writeStallTimeout is how long the writer of a session may take with one call until the
-	// connection counts as stuck.
+	// writeStallTimeout is the time for one call's write after which the writer of a session
+	// counts as stalled.
 	writeStallTimeout = 50 * time.Millisecond
-	// writeQueueLength bounds the calls that wait for the writer of a session.
+	// writeQueueLength bounds the calls that are queued for the writer of a session.
 	writeQueueLength = 64
 )
 
-// session is one connection and the number of its pending calls.
+// session is one connection with its pending calls.
 //
-// net/rpc writes a call in the goroutine that makes it, however long the peer does not read.
-// So a goroutine of the session writes, and the callers wait for it only as long as they may.
+// net/rpc writes a call in the goroutine of the caller and blocks it while the peer does not
+// read. So calls are written by a goroutine of the session, and callers wait only until their
+// contexts end.
 type session struct {
 	rpc      *rpc.Client
 	conn     *countingConn
@@ -33,11 +34,11 @@
 	once   sync.Once
 }
 
-// write is a call that is to be written.
+// write is a call that is queued for the writer of a session.
 type write struct {
 	method      string
 	args, reply any
-	// done gets the call when it has ended.
+	// done receives the call when it is complete.
 	done   chan *rpc.Call
 	queued time.Time
 	state  atomic.Int32
@@ -46,11 +47,11 @@
 // The states of a write.
 const (
 	writeQueued int32 = iota
-	// writeBegun: a part may have been written.
+	// writeBegun: the call may have been written in part.
 	writeBegun
-	// writeEnded: all of it was written, or the connection broke.
+	// writeEnded: the call was completely written, or the connection broke.
 	writeEnded
-	// writeCanceled: nothing was written, and nothing will be.
+	// writeCanceled: the call was not written and will not be.
 	writeCanceled
 )
 
@@ -58,16 +59,17 @@
 	return &write{method: method, args: args, reply: reply, done: make(chan *rpc.Call, 1), queued: time.Now()}
 }
 
-// cancel removes a call that timed out from the queue of a writer that is stuck with another
-// one. It reports whether it did: a writer that is not stuck is about to write the call.
+// cancel cancels a queued call that timed out, if it has waited for writeStallTimeout: then the
+// writer is stalled in another call. It reports whether it did. A writer that is not stalled is
+// about to write the call.
 func (w *write) cancel() bool {
 	return time.Since(w.queued) >= writeStallTimeout && w.state.CompareAndSwap(writeQueued, writeCanceled)
 }
 
-// isWritten reports whether nothing of the call is left to write.
+// isWritten reports whether the writer is done with the call.
 func (w *write) isWritten() bool { return w.state.Load() == writeEnded }
 
-// newSession begins a session on an open connection.
+// newSession starts a session on an open connection.
 func newSession(nc net.Conn) *session {
 	conn := &countingConn{Conn: nc}
 	s := &session{
@@ -78,7 +80,7 @@
 	return s
 }
 
-// writeCalls writes one call after the other until the session ends.
+// writeCalls writes the queued calls, one at a time, until the session ends.
 func (s *session) writeCalls() {
 	for {
 		select {
@@ -98,7 +100,8 @@
 	w.state.Store(writeEnded)
 }
 
-// enqueue hands a call to the writer. After an error nothing of the call was written.
+// enqueue passes a call to the writer. It returns an error if the context ends first; then
+// the call was not written.
 func (s *session) enqueue(ctx context.Context, w *write) error {
 	select {
 	case s.writes <- w:
@@ -113,7 +116,7 @@
 	}
 }
 
-// end closes the connection; calls that wait get an error.
+// end closes the connection and stops the writer. Pending calls get an error.
 func (s *session) end() {
 	s.once.Do(func() {
 		close(s.ended)
--- a/internal/peer/stalled_write_test.go
+++ b/internal/peer/stalled_write_test.go
@@ -11,9 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller with a large upload gets no answer long after its deadline, and the calls that
-// share the connection wait behind it. The other VM does not read; the call is given up, but
-// net/rpc is still writing it, and the client looks at the deadline only after that.
+// Guards against a large call that returns long after its deadline, and delays other calls on the
+// connection, because the peer does not read and net/rpc is still writing the call.
 func TestCallBeingWrittenEndsWithItsContext(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -43,7 +42,8 @@
 	require.ErrorIs(t, got, context.Canceled)
 }
 
-// Guards against calls that are held up past their deadlines by another on the same connection.
+// Guards against calls that are delayed past their deadlines by another call's write on the same
+// connection.
 func TestCallsQueuedBehindAStalledWriteEndUnsent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
@@ -70,11 +70,11 @@
 		require.ErrorIs(t, <-ended, ErrLost)
 		time.Sleep(writeStallTimeout)
 		synctest.Wait()
-		require.Nil(t, current(c), "calls after it get a connection of their own")
+		require.Nil(t, current(c), "later calls use another connection")
 	})
 }
 
-// Guards against a queued call that waits for ever after its client is closed.
+// Guards against a queued call that never returns after its client is closed.
 func TestQueuedCallsEndWhenTheClientIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		here, there := net.Pipe()
