--- a/internal/gateway/leasing/orders.go
+++ b/internal/gateway/leasing/orders.go
@@ -95,7 +95,7 @@
 // order sends one order, reports its end to the leader and returns it.
 // This VM may be suspended between the decision and the send, and be succeeded meanwhile: the
 // authority is read again right before the bytes leave, on a clock that counts suspended time.
-func (l *leader) order(ctx context.Context, line *orderLine, o lease.Order, conn upstream.Choice, timeout time.Duration) lease.Result {
+func (l *leader) order(ctx context.Context, line *orderLine, o lease.Order, conn upstream.ConnPolicy, timeout time.Duration) lease.Result {
 	sent := l.Clock.Now()
 	result, handover, err := lease.Unreached, "", errNoAuthority
 	if int64(sent) < l.orderUntil.Load() {
@@ -114,7 +114,7 @@
 
 var errNoAuthority = errors.New("authority has run out")
 
-func (l *leader) exchange(ctx context.Context, line *orderLine, o lease.Order, conn upstream.Choice, timeout time.Duration) (lease.Result, string, error) {
+func (l *leader) exchange(ctx context.Context, line *orderLine, o lease.Order, conn upstream.ConnPolicy, timeout time.Duration) (lease.Result, string, error) {
 	request, err := l.Orders.Order(o)
 	if err != nil {
 		return lease.Unreached, "", err
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -73,13 +73,13 @@
 	Body   []byte
 }
 
-// Choice says which connection an exchange may use.
-type Choice int
+// ConnPolicy says which connection an exchange may use.
+type ConnPolicy int
 
 // The choices.
 const (
 	// AnyConn takes a kept connection where there is one.
-	AnyConn Choice = iota
+	AnyConn ConnPolicy = iota
 	// NewConn always opens one.
 	NewConn
 	// KeptConn never opens one: it is for orders that must reach the process to
@@ -127,7 +127,7 @@
 // Exchange sends the request once and returns the whole answer. When the context
 // ends, the connection is reset, so that the target can stop its work. Nothing of a request
 // arrives after its exchange has returned without an answer.
-func (p *Pool) Exchange(ctx context.Context, r *Request, choice Choice) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, r *Request, choice ConnPolicy) (*Answer, error) {
 	c, err := p.take(ctx, choice)
 	if err != nil {
 		return nil, fmt.Errorf("connect to %s: %w", p.addr, errors.Join(ErrNotSent, err))
@@ -155,7 +155,7 @@
 
 // take returns the connection that was used last, so that surplus ones go idle
 // and are closed, or a new one.
-func (p *Pool) take(ctx context.Context, choice Choice) (*conn, error) {
+func (p *Pool) take(ctx context.Context, choice ConnPolicy) (*conn, error) {
 	for choice != NewConn {
 		c := p.pop()
 		if c == nil {
