--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -132,7 +132,7 @@
 		wait.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 			defer cancel()
-			lines[i].pool.Drop()
+			lines[i].pool.CloseIdle()
 			for range grantConns {
 				if lines[i].pool.Connect(ctx) != nil {
 					return
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -227,8 +227,8 @@
 	p.idle = kept
 }
 
-// Drop closes the idle connections: they lead to a process that may be gone.
-func (p *Pool) Drop() {
+// CloseIdle closes the idle connections: they lead to a process that may be gone.
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idle {
@@ -242,5 +242,5 @@
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.Drop()
+	p.CloseIdle()
 }
