--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -222,7 +222,7 @@
 	for pause.For(ctx, time.Second) {
 		g.state.mu.Lock()
 		for _, t := range g.state.targets {
-			t.pool.Sweep(time.Now())
+			t.pool.CloseExpired(time.Now())
 		}
 		g.state.mu.Unlock()
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -212,8 +212,8 @@
 	p.idle = append(p.idle, c)
 }
 
-// Sweep closes connections that have been idle for too long.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes connections that have been idle for too long.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
