--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// readBuffer holds the headers of a usual answer.
-	readBuffer = 4 << 10
-	// inlineBody is the largest body that is sent before the answer is read:
+	// readBufferSize holds the headers of a usual answer.
+	readBufferSize = 4 << 10
+	// maxInlineBody is the largest body that is sent before the answer is read:
 	// it fits the peer's receive window also where windows are small.
-	inlineBody = 8 << 10
-	// maxAnswer bounds an answer, bytes; it is held in memory whole.
-	maxAnswer = 64 << 20
-	// maxStray is how many answers of other requests are passed over before the
+	maxInlineBody = 8 << 10
+	// maxAnswerBytes bounds an answer, bytes; it is held in memory whole.
+	maxAnswerBytes = 64 << 20
+	// maxStrayAnswers is how many answers of other requests are passed over before the
 	// connection counts as broken.
-	maxStray = 3
-	// secondsParameter is the parameter of Keep-Alive that says when the target
+	maxStrayAnswers = 3
+	// timeoutParameter is the parameter of Keep-Alive that says when the target
 	// closes an idle connection, seconds.
-	secondsParameter = "timeout="
+	timeoutParameter = "timeout="
 )
 
 // conn is one connection. One request is on it at a time.
@@ -36,12 +36,12 @@
 	net       net.Conn
 	in        *bufio.Reader
 	idleUntil time.Time
-	closing   sync.Once
+	closeOnce sync.Once
 }
 
 // newConn takes over a connection from DialWithReset.
 func newConn(nc net.Conn) *conn {
-	return &conn{net: nc, in: bufio.NewReaderSize(nc, readBuffer), idleUntil: time.Now().Add(idleDefault)}
+	return &conn{net: nc, in: bufio.NewReaderSize(nc, readBufferSize), idleUntil: time.Now().Add(defaultIdleTimeout)}
 }
 
 // DialWithReset opens a connection whose end is a reset, also by the end of the process.
@@ -63,12 +63,12 @@
 
 // close ends the connection. When any call of it has returned, nothing that was sent on the
 // connection will arrive any more.
-func (c *conn) close() { c.closing.Do(func() { _ = c.net.Close() }) }
+func (c *conn) close() { c.closeOnce.Do(func() { _ = c.net.Close() }) }
 
-// quiet reports whether nothing arrived on an idle connection.
+// nothingReceived reports whether nothing arrived on an idle connection.
 // Bytes or an end that wait unread show that the target closed the connection or sent a second response:
 // the next request would be lost, or get the wrong one.
-func (c *conn) quiet() bool {
+func (c *conn) nothingReceived() bool {
 	if c.in.Buffered() > 0 {
 		return false
 	}
@@ -112,8 +112,8 @@
 // answer: a target that answers early and stops reading would block both sides.
 func (c *conn) send(r *Request) <-chan error {
 	done := make(chan error, 1)
-	head := r.head()
-	if len(r.Body) <= inlineBody {
+	head := r.renderHead()
+	if len(r.Body) <= maxInlineBody {
 		_, err := c.net.Write(append(head, r.Body...))
 		done <- err
 		return done
@@ -128,14 +128,14 @@
 	return done
 }
 
-// headRoom is the room that the line and the headers of a usual request need, bytes.
-const headRoom = 512
+// headSizeHint is the room that the line and the headers of a usual request need, bytes.
+const headSizeHint = 512
 
-// head renders the request line and the headers, with room for a body that is sent in the
+// renderHead renders the request line and the headers, with room for a body that is sent in the
 // same write.
-func (r *Request) head() []byte {
-	room := headRoom
-	if len(r.Body) <= inlineBody {
+func (r *Request) renderHead() []byte {
+	room := headSizeHint
+	if len(r.Body) <= maxInlineBody {
 		room += len(r.Body)
 	}
 	b := make([]byte, 0, room)
@@ -165,12 +165,12 @@
 // A late or second response to an earlier request may come first. The id that the target echoes identifies
 // the request that it answers.
 func (c *conn) receive(r *Request) (*Answer, bool, error) {
-	for range maxStray {
+	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(c.in, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, false, fmt.Errorf("read answer: %w", err)
 		}
-		body, err := readWhole(resp)
+		body, err := readBody(resp)
 		if err != nil {
 			return nil, false, err
 		}
@@ -180,30 +180,30 @@
 		if r.ID != "" && resp.Header.Get(r.IDHeader) != r.ID {
 			continue
 		}
-		c.idleUntil = time.Now().Add(idleFor(resp.Header))
+		c.idleUntil = time.Now().Add(idleTimeout(resp.Header))
 		return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, !resp.Close, nil
 	}
 	return nil, false, errors.New("read answer: none has the request's id")
 }
 
-// readWhole reads a body to its end. A body that is shorter than announced, and
+// readBody reads a body to its end. A body that is shorter than announced, and
 // one without a length whose connection is reset, are errors.
-func readWhole(resp *http.Response) ([]byte, error) {
+func readBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("read body: %w", err)
-	case len(body) > maxAnswer:
-		return nil, fmt.Errorf("read body: over %d bytes", maxAnswer)
+	case len(body) > maxAnswerBytes:
+		return nil, fmt.Errorf("read body: over %d bytes", maxAnswerBytes)
 	}
 	return body, nil
 }
 
-// idleFor returns how long the target keeps the connection, less our margin.
-func idleFor(h http.Header) time.Duration {
+// idleTimeout returns how long the target keeps the connection, less our margin.
+func idleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		seconds, ok := strings.CutPrefix(strings.TrimSpace(part), secondsParameter)
+		seconds, ok := strings.CutPrefix(strings.TrimSpace(part), timeoutParameter)
 		if !ok {
 			continue
 		}
@@ -212,5 +212,5 @@
 			return max(stated-idleMargin, stated/2)
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/reset_test.go
@@ -18,7 +18,7 @@
 
 // A target was cut off, and what was sent to it was given up and counted as out by then. It
 // arrived when the cut was over. After an exchange has returned, nothing of it may arrive.
-func TestWhatWasGivenUpDoesNotArriveLater(t *testing.T) {
+func TestCanceledRequestDoesNotArriveAfterACut(t *testing.T) {
 	var arrived atomic.Int32
 	l := linktest.Serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -51,7 +51,7 @@
 
 // The same of a VM whose process is killed: the system ends its connections, and must not
 // go on sending for it. What the option does at the end of a process is the system's part.
-func TestTheSystemResetsConnectionsAtTheEndOfTheProcess(t *testing.T) {
+func TestConnectionsAreResetAtTheEndOfTheProcess(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	p := NewPool(server.Listener.Addr().String(), metrics.NewCounter())
--- a/internal/upstream/slope_test.go
+++ b/internal/upstream/slope_test.go
@@ -15,7 +15,7 @@
 			r := &Request{Method: http.MethodPost, URI: "/a/b", Host: "h.example", Header: http.Header{"Id": {"r-1"}}, Body: make([]byte, size)}
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = r.head()
+				_ = r.renderHead()
 			}
 		})
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -42,9 +42,9 @@
 	// while it waits for an answer, within three seconds.
 	keepAliveEvery = time.Second
 	keepAliveCount = 2
-	// idleDefault is how long a connection is kept without use where the target
+	// defaultIdleTimeout is how long a connection is kept without use where the target
 	// does not say when it closes it.
-	idleDefault = 4 * time.Second
+	defaultIdleTimeout = 4 * time.Second
 	// idleMargin is how much earlier than the target we close an idle
 	// connection: a request that crosses the target's close is lost.
 	idleMargin = time.Second
@@ -87,8 +87,8 @@
 	KeptConn
 )
 
-// errNoConn says that no kept connection is left.
-var errNoConn = errors.New("no kept connection")
+// errNoKeptConn says that no kept connection is left.
+var errNoKeptConn = errors.New("no kept connection")
 
 // Pool keeps the connections to one target. It is safe for concurrent use.
 type Pool struct {
@@ -161,13 +161,13 @@
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.idleUntil) && c.quiet() {
+		if time.Now().Before(c.idleUntil) && c.nothingReceived() {
 			return c, nil
 		}
 		c.close()
 	}
 	if choice == KeptConn {
-		return nil, errNoConn
+		return nil, errNoKeptConn
 	}
 	return p.dial(ctx)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script serves each connection with play, which gets the connection's number.
-func script(t *testing.T, play func(n int, c net.Conn, in *bufio.Reader)) *Pool {
+// scriptedServer serves each connection with play, which gets the connection's number.
+func scriptedServer(t *testing.T, play func(n int, c net.Conn, in *bufio.Reader)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,8 +54,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func TestConnectionIsKept(t *testing.T) {
-	p := script(t, func(n int, c net.Conn, in *bufio.Reader) {
+func TestConnectionIsReused(t *testing.T) {
+	p := scriptedServer(t, func(n int, c net.Conn, in *bufio.Reader) {
 		for id := readID(t, in); id != ""; id = readID(t, in) {
 			_, _ = io.WriteString(c, answer(id, fmt.Sprint(n)))
 		}
@@ -70,8 +70,8 @@
 
 // A target sends a second answer after a whole one. The next caller on that
 // connection would get it as its own: a stranger's page with status 200.
-func TestStrayAnswerReachesNobody(t *testing.T) {
-	p := script(t, func(_ int, c net.Conn, in *bufio.Reader) {
+func TestStrayAnswerIsNotTakenForTheNextOne(t *testing.T) {
+	p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for id := readID(t, in); id != ""; id = readID(t, in) {
 			_, _ = io.WriteString(c, answer(id, "own")+answer("stranger", "theirs"))
 		}
@@ -86,8 +86,8 @@
 
 // An answer of a request that was given up arrives where the next answer is due.
 // The id distinguishes them; the right one follows and is taken.
-func TestLateAnswerIsPassedOver(t *testing.T) {
-	p := script(t, func(_ int, c net.Conn, in *bufio.Reader) {
+func TestLateAnswerIsSkipped(t *testing.T) {
+	p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		id := readID(t, in)
 		_, _ = io.WriteString(c, answer("late", "theirs")+answer(id, "own"))
 	})
@@ -98,14 +98,14 @@
 
 // A target breaks off: with a length, in chunks, or without a length by a reset.
 // The caller must not take what came for the whole.
-func TestBrokenOffAnswerIsAnError(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nabc",
 		"chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
 		"reset":  "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nabc",
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := script(t, func(_ int, c net.Conn, in *bufio.Reader) {
+			p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 				readID(t, in)
 				_, _ = io.WriteString(c, text)
 				if name == "reset" {
@@ -119,7 +119,7 @@
 }
 
 func TestAnswerWithoutLengthEndsWithTheConnection(t *testing.T) {
-	p := script(t, func(_ int, c net.Conn, in *bufio.Reader) {
+	p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		readID(t, in)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nabc")
 	})
@@ -130,10 +130,10 @@
 
 // A target answers before it has read a long body and keeps the connection. The
 // next request's bytes would be taken for the rest of the body.
-func TestConnectionWithUnsentBodyIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
-	p := script(t, func(_ int, c net.Conn, in *bufio.Reader) {
+	p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -151,11 +151,11 @@
 	require.EqualValues(t, 2, p.dials.Count())
 }
 
-// unused is an address below those that systems give out, where nobody listens.
-const unused = "127.0.0.1:1"
+// unusedAddr is an address below those that systems give out, where nobody listens.
+const unusedAddr = "127.0.0.1:1"
 
-func TestRefusedConnectionIsNotSent(t *testing.T) {
-	_, err := NewPool(unused, metrics.NewCounter()).Exchange(context.Background(), request("1"), AnyConn)
+func TestRefusedConnectionIsReportedAsNotSent(t *testing.T) {
+	_, err := NewPool(unusedAddr, metrics.NewCounter()).Exchange(context.Background(), request("1"), AnyConn)
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
@@ -163,7 +163,7 @@
 // which is how the target learns to stop.
 func TestCancelClosesTheConnection(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
-	p := script(t, func(_ int, _ net.Conn, in *bufio.Reader) {
+	p := scriptedServer(t, func(_ int, _ net.Conn, in *bufio.Reader) {
 		readID(t, in)
 		close(arrived)
 		_, _ = in.ReadByte()
