--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// readBufferSize holds the headers of a usual answer.
+	// readBufferSize is large enough for the headers of a typical answer.
 	readBufferSize = 4 << 10
-	// maxInlineBody is the largest body that is sent before the answer is read:
-	// it fits the peer's receive window also where windows are small.
+	// maxInlineBody is the largest body that is sent before the answer is read.
+	// It fits into the peer's receive window even if that is small.
 	maxInlineBody = 8 << 10
-	// maxAnswerBytes bounds an answer, bytes; it is held in memory whole.
+	// maxAnswerBytes bounds the body of an answer, which is held in memory as a whole.
 	maxAnswerBytes = 64 << 20
-	// maxStrayAnswers is how many answers of other requests are passed over before the
-	// connection counts as broken.
-	maxStrayAnswers = 3
-	// timeoutParameter is the parameter of Keep-Alive that says when the target
-	// closes an idle connection, seconds.
+	// maxAnswersPerRequest bounds the answers, interim ones included, that are read for one
+	// request. If none of them is its own answer, the connection counts as broken.
+	maxAnswersPerRequest = 3
+	// timeoutParameter is the parameter of the Keep-Alive header that announces after
+	// how many seconds the target closes an idle connection.
 	timeoutParameter = "timeout="
 )
 
-// conn is one connection. One request is on it at a time.
+// conn is one connection. It carries one request at a time.
 type conn struct {
 	net       net.Conn
 	in        *bufio.Reader
@@ -39,15 +39,16 @@
 	closeOnce sync.Once
 }
 
-// newConn takes over a connection from DialWithReset.
+// newConn returns a conn for a connection that was opened by DialWithReset.
 func newConn(nc net.Conn) *conn {
 	return &conn{net: nc, in: bufio.NewReaderSize(nc, readBufferSize), idleUntil: time.Now().Add(defaultIdleTimeout)}
 }
 
-// DialWithReset opens a connection whose end is a reset, also by the end of the process.
-// When its Close has returned, nothing that was sent on it will arrive any more.
-// The system goes on sending what was written to a closed connection: a grant or request that timed out
-// would arrive when the target can be reached again. A reset drops what has not arrived.
+// DialWithReset opens a connection that is ended by a reset, both by Close and at the end of the
+// process. After Close has returned, nothing that was sent on it arrives any more.
+//
+// By default the kernel keeps sending data that was written before Close, so a grant or request
+// that timed out could arrive once the target is reachable again. A reset discards it.
 func DialWithReset(ctx context.Context, d *net.Dialer, network, addr string) (net.Conn, error) {
 	nc, err := d.DialContext(ctx, network, addr)
 	if err != nil {
@@ -55,19 +56,19 @@
 	}
 	if tcp, ok := nc.(*net.TCPConn); ok {
 		if err := tcp.SetLinger(0); err != nil {
-			return nil, fmt.Errorf("have the connection reset at its end: %w", errors.Join(err, nc.Close()))
+			return nil, fmt.Errorf("set SO_LINGER to 0: %w", errors.Join(err, nc.Close()))
 		}
 	}
 	return nc, nil
 }
 
-// close ends the connection. When any call of it has returned, nothing that was sent on the
-// connection will arrive any more.
+// close resets the connection. It is safe for concurrent use. When any call has returned, nothing
+// that was sent on the connection arrives any more.
 func (c *conn) close() { c.closeOnce.Do(func() { _ = c.net.Close() }) }
 
-// nothingReceived reports whether nothing arrived on an idle connection.
-// Bytes or an end that wait unread show that the target closed the connection or sent a second response:
-// the next request would be lost, or get the wrong one.
+// nothingReceived reports whether nothing has arrived on an idle connection. Unread bytes, or an
+// end of the stream, show that the target has sent a second answer or closed the connection. The
+// next request would get the wrong answer or be lost.
 func (c *conn) nothingReceived() bool {
 	if c.in.Buffered() > 0 {
 		return false
@@ -90,15 +91,15 @@
 	return err == nil && clean
 }
 
-// exchange returns the answer to r and whether the connection may be used again.
+// exchange sends r and returns its answer, and whether the connection may be reused.
 func (c *conn) exchange(r *Request) (*Answer, bool, error) {
 	sent := c.send(r)
 	a, keep, err := c.receive(r)
 	if err != nil {
 		return nil, false, fmt.Errorf("%w: %w", ErrLost, err)
 	}
-	// A target may answer before it has read a long body, and read on: the next request's bytes would be
-	// taken for the rest of it.
+	// A target may answer before it has read a long body and then continue to read it. On a reused
+	// connection it would read the next request as the rest of that body.
 	select {
 	case err := <-sent:
 		keep = keep && err == nil
@@ -108,8 +109,9 @@
 	return a, keep && c.in.Buffered() == 0, nil
 }
 
-// send writes the request. A long body is written beside the reading of the
-// answer: a target that answers early and stops reading would block both sides.
+// send writes the request. A long body is written concurrently with reading the
+// answer; otherwise a target that answers early and stops reading would block
+// both sides.
 func (c *conn) send(r *Request) <-chan error {
 	done := make(chan error, 1)
 	head := r.renderHead()
@@ -128,11 +130,11 @@
 	return done
 }
 
-// headSizeHint is the room that the line and the headers of a usual request need, bytes.
+// headSizeHint is the size of the request line and the headers of a typical request, in bytes.
 const headSizeHint = 512
 
-// renderHead renders the request line and the headers, with room for a body that is sent in the
-// same write.
+// renderHead returns the request line and the headers, with capacity for the body if that is sent
+// in the same write.
 func (r *Request) renderHead() []byte {
 	room := headSizeHint
 	if len(r.Body) <= maxInlineBody {
@@ -161,11 +163,12 @@
 	return append(b, "\r\n"...)
 }
 
-// receive reads answers until the one to r.
-// A late or second response to an earlier request may come first. The id that the target echoes identifies
-// the request that it answers.
+// receive reads answers until that to r, and reports whether the target keeps the connection open.
+//
+// A late or second answer to an earlier request may come first. The request id that the target
+// echoes shows to which request an answer belongs.
 func (c *conn) receive(r *Request) (*Answer, bool, error) {
-	for range maxStrayAnswers {
+	for range maxAnswersPerRequest {
 		resp, err := http.ReadResponse(c.in, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, false, fmt.Errorf("read answer: %w", err)
@@ -183,11 +186,11 @@
 		c.idleUntil = time.Now().Add(idleTimeout(resp.Header))
 		return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: body}, !resp.Close, nil
 	}
-	return nil, false, errors.New("read answer: none has the request's id")
+	return nil, false, fmt.Errorf("read answer: none of %d answers has the request's id", maxAnswersPerRequest)
 }
 
-// readBody reads a body to its end. A body that is shorter than announced, and
-// one without a length whose connection is reset, are errors.
+// readBody reads a body to its end. A body that is shorter than its announced
+// length is an error, and so is one without a length if the connection is reset.
 func readBody(resp *http.Response) ([]byte, error) {
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
@@ -200,7 +203,8 @@
 	return body, nil
 }
 
-// idleTimeout returns how long the target keeps the connection, less our margin.
+// idleTimeout returns how long to keep the connection idle: the time announced by
+// the target less idleMargin, but at least half of it.
 func idleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		seconds, ok := strings.CutPrefix(strings.TrimSpace(part), timeoutParameter)
--- a/internal/upstream/reset_test.go
+++ b/internal/upstream/reset_test.go
@@ -16,8 +16,8 @@
 	"hemlockquay/internal/standin/link/linktest"
 )
 
-// A target was cut off, and what was sent to it was given up and counted as out by then. It
-// arrived when the cut was over. After an exchange has returned, nothing of it may arrive.
+// Guards against a request that arrives at a target after its exchange has returned an error: the
+// path to the target is cut, the request is canceled, and the kernel delivers it when the cut ends.
 func TestCanceledRequestDoesNotArriveAfterACut(t *testing.T) {
 	var arrived atomic.Int32
 	l := linktest.Serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -49,8 +49,9 @@
 	require.Zero(t, arrived.Load())
 }
 
-// The same of a VM whose process is killed: the system ends its connections, and must not
-// go on sending for it. What the option does at the end of a process is the system's part.
+// Guards against the same for a VM whose process is killed: the kernel closes its connections and
+// must not continue to send. The test checks only that SO_LINGER is set to 0, which makes the kernel
+// reset them.
 func TestConnectionsAreResetAtTheEndOfTheProcess(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,9 +1,10 @@
-// Package upstream sends requests to targets over kept HTTP/1.1 connections.
+// Package upstream sends requests to targets over persistent HTTP/1.1 connections.
 //
-// It exists because the caller must know exactly what reached the target. The
-// usual client sends some requests again by itself, hides whether a connection
-// was new, and reads no more than one answer: a request that must run once could
-// run twice, and a stray answer could reach the wrong caller.
+// It replaces the client of net/http because the caller must know exactly what
+// reached the target. The client of net/http retries some requests by itself,
+// hides whether a connection was new, and reads no more than one answer: a request
+// that must run once could run twice, and a stray answer could reach the wrong
+// caller.
 package upstream
 
 import (
@@ -22,51 +23,52 @@
 
 // Errors of an exchange.
 var (
-	// ErrNotSent says that no byte of the request left.
+	// ErrNotSent says that no byte of the request was sent.
 	ErrNotSent = errors.New("not sent")
-	// ErrLost says that the request may have reached the target and no whole
+	// ErrLost says that the request may have reached the target, but no complete
 	// answer came.
 	ErrLost = errors.New("answer lost")
 )
 
-// Figures of a connection.
+// Timeouts and limits of a connection.
 const (
-	// dialTimeout bounds a new connection. Data centres of a region are about
-	// 1 ms apart; a lost SYN is sent again only after a second, so waiting
-	// longer than this rarely helps where another target can serve.
+	// dialTimeout bounds a dial. Data centres of a region are about 1 ms apart,
+	// and a lost SYN is retransmitted only after a second, so waiting longer
+	// rarely helps where another target can serve.
 	dialTimeout = 200 * time.Millisecond
-	// unackedTimeout breaks a connection on which sent bytes are not
-	// acknowledged: a cut or a peer without power. Five retransmissions fit.
+	// unackedTimeout is the time after which a connection fails if sent bytes are
+	// not acknowledged, because the path is cut or the peer has lost power. It
+	// allows for five retransmissions.
 	unackedTimeout = time.Second
-	// keepAliveEvery and keepAliveCount find a connection that went silent
-	// while it waits for an answer, within three seconds.
+	// keepAliveEvery and keepAliveCount detect within three seconds that the peer
+	// is gone while an answer is awaited.
 	keepAliveEvery = time.Second
 	keepAliveCount = 2
-	// defaultIdleTimeout is how long a connection is kept without use where the target
-	// does not say when it closes it.
+	// defaultIdleTimeout is how long an idle connection is kept if the target does
+	// not announce when it closes it.
 	defaultIdleTimeout = 4 * time.Second
-	// idleMargin is how much earlier than the target we close an idle
-	// connection: a request that crosses the target's close is lost.
+	// idleMargin is how much earlier than the target this side closes an idle
+	// connection. A request that is sent while the target closes is lost.
 	idleMargin = time.Second
 )
 
-// Request is one request as it goes to a target.
+// Request is a request as it is sent to a target.
 type Request struct {
 	Method string
 	// URI is the request target, byte for byte as the caller sent it.
 	URI  string
 	Host string
-	// Header holds all headers but Host and Content-Length.
+	// Header holds all headers except Host and Content-Length.
 	Header http.Header
 	Body   []byte
-	// ID is the request id that the answer must carry; empty where the caller
+	// ID is the request id that the answer must carry, or empty if the caller
 	// sent none.
 	ID string
-	// IDHeader names the header of the id.
+	// IDHeader is the name of the header that carries the id.
 	IDHeader string
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -76,13 +78,13 @@
 // ConnPolicy says which connection an exchange may use.
 type ConnPolicy int
 
-// The choices.
+// The policies.
 const (
-	// AnyConn takes a kept connection where there is one.
+	// AnyConn uses a kept connection if there is one and dials otherwise.
 	AnyConn ConnPolicy = iota
-	// NewConn always opens one.
+	// NewConn always dials.
 	NewConn
-	// KeptConn never opens one: it is for orders that must reach the process to
+	// KeptConn never dials. It is for orders that must reach the same process to
 	// which the connection was opened.
 	KeptConn
 )
@@ -100,14 +102,14 @@
 	closed bool
 }
 
-// NewPool returns a pool without connections. dials counts those that it opens.
+// NewPool returns an empty pool. dials counts its dials.
 func NewPool(addr string, dials metrics.Counter) *Pool { return &Pool{addr: addr, dials: dials} }
 
 // Addr returns the target's address.
 func (p *Pool) Addr() string { return p.addr }
 
-// Dialer returns the dialer for connections that must not hang on a peer that
-// fell silent: sent bytes and idle waits both end in seconds.
+// Dialer returns a dialer for connections that fail within seconds if the peer no
+// longer responds, both while sending and while waiting for an answer.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
@@ -124,9 +126,9 @@
 	}
 }
 
-// Exchange sends the request once and returns the whole answer. When the context
-// ends, the connection is reset, so that the target can stop its work. Nothing of a request
-// arrives after its exchange has returned without an answer.
+// Exchange sends the request once and returns the complete answer. When the context
+// ends, the connection is reset, so that the target can stop its work. After Exchange
+// has returned an error, no part of the request arrives at the target any more.
 func (p *Pool) Exchange(ctx context.Context, r *Request, choice ConnPolicy) (*Answer, error) {
 	c, err := p.take(ctx, choice)
 	if err != nil {
@@ -153,8 +155,8 @@
 	return answer, nil
 }
 
-// take returns the connection that was used last, so that surplus ones go idle
-// and are closed, or a new one.
+// take returns an idle connection or a new one. It prefers the most recently used
+// one, so that surplus connections exceed their idle time and are closed.
 func (p *Pool) take(ctx context.Context, choice ConnPolicy) (*conn, error) {
 	for choice != NewConn {
 		c := p.pop()
@@ -172,7 +174,7 @@
 	return p.dial(ctx)
 }
 
-// Connect opens a connection and keeps it for an exchange.
+// Connect opens a connection and adds it to the pool.
 func (p *Pool) Connect(ctx context.Context) error {
 	c, err := p.dial(ctx)
 	if err != nil {
@@ -191,6 +193,7 @@
 	return newConn(nc), nil
 }
 
+// pop removes the most recently used connection from the pool and returns it, or nil if there is none.
 func (p *Pool) pop() *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -212,7 +215,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// CloseExpired closes connections that have been idle for too long.
+// CloseExpired closes the connections whose idle time has ended.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,7 +230,8 @@
 	p.idle = kept
 }
 
-// CloseIdle closes the idle connections: they lead to a process that may be gone.
+// CloseIdle closes the idle connections. It is used when the process that they lead to may have
+// ended.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -237,7 +241,7 @@
 	p.idle = nil
 }
 
-// Close closes the idle connections; those in use are closed after their answer.
+// Close closes the idle connections. Those in use are closed after their exchange.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,7 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scriptedServer serves each connection with play, which gets the connection's number.
+// scriptedServer starts a server that handles each connection by play, which gets the number of the
+// connection, and returns a pool for it.
 func scriptedServer(t *testing.T, play func(n int, c net.Conn, in *bufio.Reader)) *Pool {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,8 +69,8 @@
 	require.EqualValues(t, 1, p.dials.Count())
 }
 
-// A target sends a second answer after a whole one. The next caller on that
-// connection would get it as its own: a stranger's page with status 200.
+// Guards against a second answer, sent by a target after a complete one, that is
+// returned to the next caller on the connection as its own.
 func TestStrayAnswerIsNotTakenForTheNextOne(t *testing.T) {
 	p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for id := readID(t, in); id != ""; id = readID(t, in) {
@@ -81,11 +82,11 @@
 		require.NoError(t, err)
 		require.Equal(t, "own", string(a.Body))
 	}
-	require.EqualValues(t, 5, p.dials.Count(), "a connection with stray bytes is not used again")
+	require.EqualValues(t, 5, p.dials.Count(), "a connection with unread bytes is not reused")
 }
 
-// An answer of a request that was given up arrives where the next answer is due.
-// The id distinguishes them; the right one follows and is taken.
+// Guards against the late answer to a canceled request being taken for the answer
+// to the next one. The id distinguishes them.
 func TestLateAnswerIsSkipped(t *testing.T) {
 	p := scriptedServer(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		id := readID(t, in)
@@ -96,8 +97,8 @@
 	require.Equal(t, "own", string(a.Body))
 }
 
-// A target breaks off: with a length, in chunks, or without a length by a reset.
-// The caller must not take what came for the whole.
+// Guards against a truncated answer that is taken for a complete one: with
+// a length, in chunks, or without a length on a connection that is reset.
 func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nabc",
@@ -128,8 +129,8 @@
 	require.Equal(t, "abc", string(a.Body))
 }
 
-// A target answers before it has read a long body and keeps the connection. The
-// next request's bytes would be taken for the rest of the body.
+// Guards against a target that answers before it has read a long body, keeps the
+// connection, and reads the next request as the rest of that body.
 func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
@@ -151,7 +152,8 @@
 	require.EqualValues(t, 2, p.dials.Count())
 }
 
-// unusedAddr is an address below those that systems give out, where nobody listens.
+// unusedAddr is an address on which nothing listens; its port is below the
+// ephemeral ports.
 const unusedAddr = "127.0.0.1:1"
 
 func TestRefusedConnectionIsReportedAsNotSent(t *testing.T) {
@@ -159,8 +161,8 @@
 	require.ErrorIs(t, err, ErrNotSent)
 }
 
-// A caller leaves while its request runs. The connection to the target is closed,
-// which is how the target learns to stop.
+// Guards against a target that continues to work on a request after its caller has
+// left. The target notices by the closed connection.
 func TestCancelClosesTheConnection(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	p := scriptedServer(t, func(_ int, _ net.Conn, in *bufio.Reader) {
