--- a/internal/route/spread.go
+++ b/internal/route/rotation.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// Spread deals requests to the services of a route in the ratio of their
+// Rotation deals requests to the services of a route in the ratio of their
 // weights. It is safe for concurrent use.
 // A random choice strays by several percent within seconds. Smooth weighted rotation keeps every part
 // within one request of its share.
-type Spread struct {
+type Rotation struct {
 	mu      sync.Mutex
 	splits  []Split
 	credits []float64
@@ -14,8 +14,8 @@
 }
 
 // NewSpread returns a rotation over the splits. Weights of zero get nothing.
-func NewSpread(splits []Split) *Spread {
-	s := &Spread{splits: splits, credits: make([]float64, len(splits))}
+func NewSpread(splits []Split) *Rotation {
+	s := &Rotation{splits: splits, credits: make([]float64, len(splits))}
 	for _, p := range splits {
 		s.total += p.Weight
 	}
@@ -23,7 +23,7 @@
 }
 
 // Next returns the service of the next request.
-func (s *Spread) Next() string {
+func (s *Rotation) Next() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := 0
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -94,7 +94,7 @@
 
 type entry struct {
 	route  *Route
-	spread *Spread
+	spread *Rotation
 }
 
 // NewTable indexes the configuration. Weighted routes that were in the previous
@@ -111,7 +111,7 @@
 	return t
 }
 
-func spreadOf(r *Route, previous *Table) *Spread {
+func spreadOf(r *Route, previous *Table) *Rotation {
 	if previous != nil {
 		for _, e := range previous.hosts[r.Host] {
 			if e.route.Prefix == r.Prefix && slices.Equal(e.route.Splits, r.Splits) {
@@ -127,7 +127,7 @@
 
 // Find returns the route with the longest prefix that begins the path, and its
 // rotation over services. It returns nil where no route matches.
-func (t *Table) Find(host, path string) (*Route, *Spread) {
+func (t *Table) Find(host, path string) (*Route, *Rotation) {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, e := range t.hosts[name] {
 		if strings.HasPrefix(path, e.route.Prefix) {
