--- a/internal/route/rotation.go
+++ b/internal/route/rotation.go
@@ -13,8 +13,8 @@
 	total   float64
 }
 
-// NewSpread returns a rotation over the splits. Weights of zero get nothing.
-func NewSpread(splits []Split) *Rotation {
+// NewRotation returns a rotation over the splits. Weights of zero get nothing.
+func NewRotation(splits []Split) *Rotation {
 	s := &Rotation{splits: splits, credits: make([]float64, len(splits))}
 	for _, p := range splits {
 		s.total += p.Weight
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -119,7 +119,7 @@
 			}
 		}
 	}
-	return NewSpread(r.Splits)
+	return NewRotation(r.Splits)
 }
 
 // Config returns what the table was made of.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -39,7 +39,7 @@
 			splits[i] = Split{Service: string(rune('a' + i)), Weight: float64(w)}
 			total += w
 		}
-		s, got := NewSpread(splits), make(map[string]int)
+		s, got := NewRotation(splits), make(map[string]int)
 		n := rapid.IntRange(1, 500).Draw(t, "requests")
 		for range n {
 			got[s.Next()]++
