--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -93,8 +93,8 @@
 }
 
 type entry struct {
-	route  *Route
-	spread *Rotation
+	route    *Route
+	rotation *Rotation
 }
 
 // NewTable indexes the configuration. Weighted routes that were in the previous
@@ -103,7 +103,7 @@
 	t := &Table{config: c, hosts: make(map[string][]*entry)}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.hosts[r.Host] = append(t.hosts[r.Host], &entry{route: r, spread: spreadOf(r, previous)})
+		t.hosts[r.Host] = append(t.hosts[r.Host], &entry{route: r, rotation: rotationFor(r, previous)})
 	}
 	for _, list := range t.hosts {
 		slices.SortFunc(list, func(a, b *entry) int { return len(b.route.Prefix) - len(a.route.Prefix) })
@@ -111,11 +111,11 @@
 	return t
 }
 
-func spreadOf(r *Route, previous *Table) *Rotation {
+func rotationFor(r *Route, previous *Table) *Rotation {
 	if previous != nil {
 		for _, e := range previous.hosts[r.Host] {
 			if e.route.Prefix == r.Prefix && slices.Equal(e.route.Splits, r.Splits) {
-				return e.spread
+				return e.rotation
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, e := range t.hosts[name] {
 		if strings.HasPrefix(path, e.route.Prefix) {
-			return e.route, e.spread
+			return e.route, e.rotation
 		}
 	}
 	return nil, nil
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,10 +9,10 @@
 	_ "hemlockquay/internal/fixedseed"
 )
 
-func table(routes ...Route) *Table { return NewTable(&Config{Version: 1, Routes: routes}, nil) }
+func newTestTable(routes ...Route) *Table { return NewTable(&Config{Version: 1, Routes: routes}, nil) }
 
 func TestLongestPrefixWins(t *testing.T) {
-	tab := table(
+	tab := newTestTable(
 		Route{Name: "short", Host: "a.example", Prefix: "/x/"},
 		Route{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		Route{Name: "other", Host: "b.example", Prefix: "/"},
@@ -30,7 +30,7 @@
 	require.Nil(t, r)
 }
 
-func TestSpreadKeepsEveryShareWithinOneRequest(t *testing.T) {
+func TestRotationKeepsSharesWithinOneRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
 		weights[0]++
@@ -53,7 +53,7 @@
 
 // A change of one route must not reset the rotation of the others: with a change
 // each 0.3 s and few requests between, the first service would get all of them.
-func TestSpreadSurvivesChangesOfOtherRoutes(t *testing.T) {
+func TestRotationIsKeptAcrossConfigurations(t *testing.T) {
 	splits := []Split{{"a", 1}, {"b", 1}}
 	c := &Config{Routes: []Route{{Host: "h", Prefix: "/", Splits: splits}}}
 	got := make(map[string]int)
