--- a/internal/route/rotation.go
+++ b/internal/route/rotation.go
@@ -2,10 +2,11 @@
 
 import "sync"
 
-// Rotation deals requests to the services of a route in the ratio of their
-// weights. It is safe for concurrent use.
-// A random choice strays by several percent within seconds. Smooth weighted rotation keeps every part
-// within one request of its share.
+// Rotation distributes requests over the services of a route in proportion to
+// their weights, by smooth weighted round-robin. It is safe for concurrent use.
+//
+// It keeps each service within about one request of its share, while a random choice
+// deviates by several percent over a few seconds.
 type Rotation struct {
 	mu      sync.Mutex
 	splits  []Split
@@ -13,7 +14,7 @@
 	total   float64
 }
 
-// NewRotation returns a rotation over the splits. Weights of zero get nothing.
+// NewRotation returns a rotation over the splits. Splits of weight 0 get no requests.
 func NewRotation(splits []Split) *Rotation {
 	s := &Rotation{splits: splits, credits: make([]float64, len(splits))}
 	for _, p := range splits {
@@ -22,7 +23,7 @@
 	return s
 }
 
-// Next returns the service of the next request.
+// Next returns the service for the next request.
 func (s *Rotation) Next() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the routes that operators write and finds the one of a
-// request. It has no network and no clock.
+// Package route holds the routes that operators configure and finds the route of
+// a request. It uses neither network nor clock.
 package route
 
 import (
@@ -8,77 +8,77 @@
 	"time"
 )
 
-// Config is one version of the operators' configuration, whole.
+// Config is one complete version of the operators' configuration.
 type Config struct {
-	// Version rises with every change, in uneven steps.
+	// Version increases with every change, not necessarily by one.
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Unread lists what of the configuration was not understood.
+	// Unread lists the values of the configuration that were not understood.
 	Unread []Unread
 }
 
-// Unread is a value of the configuration that was not understood, and how it is taken.
-// A value that this program does not know must not leave all VMs without routes: what is known stays in
-// force, and the strictest reading holds for the rest.
+// Unread is a value of the configuration that was not understood, and the value that is used in its
+// place. An unknown value must not leave all VMs without routes: what is understood is applied, and
+// the rest is interpreted in the strictest way.
 type Unread struct {
-	// Part names the route, service or limits.
+	// Part is the name of the route or service, or says that it is the limits.
 	Part string
-	// Field is the field's name in the operators' object, empty for the whole part.
+	// Field is the field's name in the operators' object, or empty for the whole part.
 	Field string
-	// Value is what stands there.
+	// Value is the value in the operators' object.
 	Value string
-	// TakenAs is the reading that is in force.
+	// TakenAs is the interpretation that is in force.
 	TakenAs string
 }
 
-// Route says where the requests of one host and path prefix go, and what they
-// may cost.
+// Route says to which services the requests of one host and path prefix go, and
+// with which limits.
 type Route struct {
 	Name string
 	// Host is the host of the request, without a port.
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix; it begins and ends with a slash.
 	Prefix string
-	// Idempotent requests may run more than once. All others run at most once.
+	// Idempotent says that requests may run more than once. Otherwise each runs at most once.
 	Idempotent bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout bounds the time until a caller gets an answer.
 	Timeout time.Duration
-	// Objective is the time within which an answer has its full value.
+	// Objective is the latency objective of an answer.
 	Objective time.Duration
-	// Priority is the rank, 0 the highest.
+	// Priority is the priority of the requests; 0 is the highest.
 	Priority int
-	// MaxTargets bounds the targets that one request may be sent to.
+	// MaxTargets bounds the number of targets that one request may be sent to.
 	MaxTargets int
-	// Splits are the services that share the requests; one at least.
+	// Splits are the services that share the requests, at least one.
 	Splits []Split
-	// Unusable says why the route's requests cannot be served, empty for a route that
-	// was understood. They are refused as not run, and may be retried.
+	// Unusable says why requests of the route cannot be served, and is empty for a usable route.
+	// Such requests are refused as not run, so that callers may retry them.
 	Unusable string
 }
 
-// Split is one service's part of a route.
+// Split is the share of one service in a route.
 type Split struct {
 	Service string
 	Weight  float64
 }
 
-// Service is what the configuration says of a service.
+// Service is the configuration of a service.
 type Service struct {
 	Name string
 	// Keyed says that each key has one owning target, which must hold a lease.
 	Keyed bool
-	// HealthPath answers 200 while a target is well.
+	// HealthPath is the path that a healthy target answers with status 200.
 	HealthPath string
-	// MaxConns bounds the connections to one target, over all callers.
+	// MaxConns bounds the connections to one target, for all callers together.
 	MaxConns int
-	// ColdMove is how long keys are slow at a new owner that gets them without
-	// the state of the last one.
+	// ColdMove is how long requests for keys are slow at a new owner that gets the
+	// keys without the state of the previous one.
 	ColdMove time.Duration
 }
 
-// Limits bound what a caller may send. A zero leaves the default.
+// Limits bound what a caller may send. Zero stands for the default.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -86,7 +86,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Table finds routes. It is immutable.
+// Table is an index of the routes of a configuration. The set of routes is immutable.
 type Table struct {
 	config *Config
 	hosts  map[string][]*entry
@@ -97,8 +97,8 @@
 	rotation *Rotation
 }
 
-// NewTable indexes the configuration. Weighted routes that were in the previous
-// table with the same splits keep their place in the rotation.
+// NewTable returns a table of the configuration's routes. A route that was in the
+// previous table with the same splits continues its rotation.
 func NewTable(c *Config, previous *Table) *Table {
 	t := &Table{config: c, hosts: make(map[string][]*entry)}
 	for i := range c.Routes {
@@ -111,6 +111,8 @@
 	return t
 }
 
+// rotationFor returns the rotation of the same host, prefix and splits in the previous table, or
+// a new one.
 func rotationFor(r *Route, previous *Table) *Rotation {
 	if previous != nil {
 		for _, e := range previous.hosts[r.Host] {
@@ -122,11 +124,11 @@
 	return NewRotation(r.Splits)
 }
 
-// Config returns what the table was made of.
+// Config returns the configuration that the table was built from.
 func (t *Table) Config() *Config { return t.config }
 
-// Find returns the route with the longest prefix that begins the path, and its
-// rotation over services. It returns nil where no route matches.
+// Find returns the route with the longest prefix of the path, and the rotation
+// over its services. It returns nil if no route matches.
 func (t *Table) Find(host, path string) (*Route, *Rotation) {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, e := range t.hosts[name] {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -23,7 +23,7 @@
 		require.Equal(t, want, r.Name, path)
 	}
 	r, _ := tab.Find("A.example:8080", "/x/y/")
-	require.Equal(t, "long", r.Name, "host names have no case, and a port is no part of them")
+	require.Equal(t, "long", r.Name, "hosts are compared without case and port")
 	r, _ = tab.Find("a.example", "/xy/")
 	require.Nil(t, r)
 	r, _ = tab.Find("c.example", "/x/")
@@ -51,8 +51,9 @@
 	})
 }
 
-// A change of one route must not reset the rotation of the others: with a change
-// each 0.3 s and few requests between, the first service would get all of them.
+// Guards against a change of the configuration that resets the rotations of unchanged
+// routes: with a change every 0.3 s and few requests in between, the first service of
+// a route would get all of them.
 func TestRotationIsKeptAcrossConfigurations(t *testing.T) {
 	splits := []Split{{"a", 1}, {"b", 1}}
 	c := &Config{Routes: []Route{{Host: "h", Prefix: "/", Splits: splits}}}
