--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -45,9 +45,9 @@
 // targets that live write theirs again within about two seconds.
 const lapseGrace = 2 * time.Second
 
-// Members is the list of targets with the times that decide who is still one. It
+// TargetSet is the list of targets with the times that decide who is still one. It
 // belongs to one goroutine.
-type Members struct {
+type TargetSet struct {
 	revision uint64
 	entries  map[string]Target
 	// missing holds the targets that were removed around an outage and may be back.
@@ -76,15 +76,15 @@
 const maxRemoved = 4096
 
 // NewMembers returns an empty list.
-func NewMembers() *Members {
-	return &Members{entries: make(map[string]Target), missing: make(map[string]absence), removed: make(map[string]uint64)}
+func NewMembers() *TargetSet {
+	return &TargetSet{entries: make(map[string]Target), missing: make(map[string]absence), removed: make(map[string]uint64)}
 }
 
 // StoreLost notes that the store does not answer.
-func (m *Members) StoreLost() { m.down = true }
+func (m *TargetSet) StoreLost() { m.down = true }
 
 // StoreBack notes an answer of the store.
-func (m *Members) StoreBack(now time.Duration) {
+func (m *TargetSet) StoreBack(now time.Duration) {
 	if m.down {
 		m.down = false
 		m.graceEnds = now + lapseGrace
@@ -92,7 +92,7 @@
 }
 
 // Replace applies a whole list.
-func (m *Members) Replace(t Targets, now time.Duration) {
+func (m *TargetSet) Replace(t Targets, now time.Duration) {
 	if t.Revision < m.revision {
 		return
 	}
@@ -113,14 +113,14 @@
 }
 
 // Put applies a new or changed entry.
-func (m *Members) Put(t Target, revision uint64) {
+func (m *TargetSet) Put(t Target, revision uint64) {
 	if revision > m.revision {
 		m.revision = revision
 	}
 	m.put(t)
 }
 
-func (m *Members) put(t Target) {
+func (m *TargetSet) put(t Target) {
 	if old, ok := m.entries[t.ID]; ok && old.Revision > t.Revision {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // Remove records that an entry is gone.
-func (m *Members) Remove(id string, revision uint64, now time.Duration) {
+func (m *TargetSet) Remove(id string, revision uint64, now time.Duration) {
 	if revision > m.revision {
 		m.revision = revision
 	}
@@ -143,7 +143,7 @@
 // remove drops a target, or keeps it for a while after an outage.
 // Entries of live targets expire while the store is down and are written again after its return.
 // Draining targets are not kept.
-func (m *Members) remove(id string, revision uint64, now time.Duration) {
+func (m *TargetSet) remove(id string, revision uint64, now time.Duration) {
 	t, ok := m.entries[id]
 	if ok && t.Revision > revision {
 		return
@@ -160,7 +160,7 @@
 // drop removes an entry and remembers by which revision it was removed.
 //
 // Another VM may keep the entry for a while after an outage and send it with a later list.
-func (m *Members) drop(id string, revision uint64) {
+func (m *TargetSet) drop(id string, revision uint64) {
 	delete(m.entries, id)
 	delete(m.missing, id)
 	m.removed[id] = max(m.removed[id], revision)
@@ -170,7 +170,7 @@
 }
 
 // forgetOldest forgets the removal with the lowest revision.
-func (m *Members) forgetOldest() {
+func (m *TargetSet) forgetOldest() {
 	oldest := ""
 	for id, revision := range m.removed {
 		if oldest == "" || revision < m.removed[oldest] {
@@ -182,7 +182,7 @@
 }
 
 // Expire drops targets whose grace is over and reports whether there were any.
-func (m *Members) Expire(now time.Duration) bool {
+func (m *TargetSet) Expire(now time.Duration) bool {
 	changed := false
 	for id, a := range m.missing {
 		if now >= a.until && !m.down {
@@ -194,10 +194,10 @@
 }
 
 // Waiting reports whether some targets are in their grace.
-func (m *Members) Waiting() bool { return len(m.missing) > 0 }
+func (m *TargetSet) Waiting() bool { return len(m.missing) > 0 }
 
 // Snapshot returns the targets in order of their ids.
-func (m *Members) Snapshot() Targets {
+func (m *TargetSet) Snapshot() Targets {
 	list := slices.Collect(maps.Values(m.entries))
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	return Targets{Revision: m.revision, List: list}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func ids(m *Members) []string {
+func ids(m *TargetSet) []string {
 	var out []string
 	for _, t := range m.Snapshot().List {
 		out = append(out, t.ID)
@@ -57,7 +57,7 @@
 func TestEntriesThatOneVMKeepsAfterItsOutageDoNotComeBackAtOthers(t *testing.T) {
 	a := Target{ID: "a", Revision: 3}
 	others, slow := NewMembers(), NewMembers()
-	for _, m := range []*Members{others, slow} {
+	for _, m := range []*TargetSet{others, slow} {
 		m.Replace(Targets{Revision: 5, List: []Target{a}}, 0)
 	}
 	slow.StoreLost()
--- a/internal/catalog/changes.go
+++ b/internal/catalog/changes.go
@@ -22,7 +22,7 @@
 
 // ChangesSince returns what changed after a revision of the store; false if some of it is
 // not known any more, so that only the whole list will do.
-func (m *Members) ChangesSince(revision uint64) (Changes, bool) {
+func (m *TargetSet) ChangesSince(revision uint64) (Changes, bool) {
 	if m.completeSince == 0 || revision < m.completeSince || revision > m.revision {
 		return Changes{}, false
 	}
@@ -43,7 +43,7 @@
 }
 
 // Apply applies what changed after the revision at hand, or an earlier one.
-func (m *Members) Apply(c Changes, now time.Duration) {
+func (m *TargetSet) Apply(c Changes, now time.Duration) {
 	for _, t := range c.Changed {
 		m.put(t)
 	}
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -164,13 +164,13 @@
 // applyTargets applies the changes, or the whole list.
 func (g *Gateway) applyTargets(vm string, r *VersionReply) error {
 	if r.Changes != nil {
-		g.state.changeTargets(vm, func(m *catalog.Members, now time.Duration) { m.Apply(*r.Changes, now) })
+		g.state.changeTargets(vm, func(m *catalog.TargetSet, now time.Duration) { m.Apply(*r.Changes, now) })
 	} else {
 		var t catalog.Targets
 		if err := packed.Decode(r.Data, &t); err != nil {
 			return err
 		}
-		g.state.changeTargets(vm, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
+		g.state.changeTargets(vm, func(m *catalog.TargetSet, now time.Duration) { m.Replace(t, now) })
 	}
 	g.listed.Store(true)
 	g.checkReady()
--- a/internal/gateway/fetch_test.go
+++ b/internal/gateway/fetch_test.go
@@ -85,7 +85,7 @@
 	b.mesh.Add(a.self)
 	eventually(t, same)
 
-	a.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+	a.state.changeTargets(sourceStore, func(m *catalog.TargetSet, now time.Duration) {
 		m.Remove("t", 6, now)
 		m.Put(catalog.Target{ID: "v", Service: "s", Revision: 7}, 7)
 	})
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -36,7 +36,7 @@
 	// turn rises with each choice of a target.
 	turn int
 	// members decide which targets exist.
-	members *catalog.Members
+	members *catalog.TargetSet
 	// configuredAt is when the configuration last changed.
 	configuredAt time.Duration
 	// changed is closed and replaced when routing or view change.
@@ -148,7 +148,7 @@
 }
 
 // changeTargets applies a change to the list of targets and puts it in force.
-func (s *routingState) changeTargets(source string, change func(m *catalog.Members, now time.Duration)) {
+func (s *routingState) changeTargets(source string, change func(m *catalog.TargetSet, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.members, s.clock.Now())
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -42,7 +42,7 @@
 	for i := range targets {
 		targets[i].Revision = revision
 	}
-	s.changeTargets("test", func(m *catalog.Members, now time.Duration) {
+	s.changeTargets("test", func(m *catalog.TargetSet, now time.Duration) {
 		m.Replace(catalog.Targets{Revision: revision, List: targets}, now)
 	})
 }
--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -31,7 +31,7 @@
 		// Another VM has to watch in place of this one.
 		g.mesh.Announce()
 	}
-	g.state.changeMembersQuietly(func(m *catalog.Members, now time.Duration) {
+	g.state.changeMembersQuietly(func(m *catalog.TargetSet, now time.Duration) {
 		if up {
 			m.StoreBack(now)
 		} else {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -121,7 +121,7 @@
 }
 
 // changeMembersQuietly applies what changes no target by itself.
-func (s *routingState) changeMembersQuietly(change func(m *catalog.Members, now time.Duration)) {
+func (s *routingState) changeMembersQuietly(change func(m *catalog.TargetSet, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.members, s.clock.Now())
@@ -138,11 +138,11 @@
 				t.List = append(t.List, e)
 			}
 		}
-		g.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
+		g.state.changeTargets(sourceStore, func(m *catalog.TargetSet, now time.Duration) { m.Replace(t, now) })
 		g.listed.Store(true)
 		g.checkReady()
 	}, func(c platform.Changes) {
-		g.state.changeTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+		g.state.changeTargets(sourceStore, func(m *catalog.TargetSet, now time.Duration) {
 			for _, ev := range c.Events {
 				g.applyTarget(m, ev, now)
 			}
@@ -150,7 +150,7 @@
 	})
 }
 
-func (g *Gateway) applyTarget(m *catalog.Members, ev platform.Event, now time.Duration) {
+func (g *Gateway) applyTarget(m *catalog.TargetSet, ev platform.Event, now time.Duration) {
 	if ev.Type == platform.EventDelete {
 		m.Remove(ev.Object.Name, ev.Revision, now)
 		return
