--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -75,8 +75,8 @@
 // fleet, and only those of the last minutes are met again.
 const maxRemoved = 4096
 
-// NewMembers returns an empty list.
-func NewMembers() *TargetSet {
+// NewTargetSet returns an empty list.
+func NewTargetSet() *TargetSet {
 	return &TargetSet{entries: make(map[string]Target), missing: make(map[string]absence), removed: make(map[string]uint64)}
 }
 
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -18,7 +18,7 @@
 // The store is away for seconds and the entries of all targets lapse. When it is
 // back its list is empty. Callers would be refused although every target runs.
 func TestLapsedEntriesAreKeptForAWhileAfterAnOutage(t *testing.T) {
-	m := NewMembers()
+	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a"}, {ID: "b"}, {ID: "c", Draining: true}}}, 0)
 	m.StoreLost()
 	m.StoreBack(10 * time.Second)
@@ -31,7 +31,7 @@
 }
 
 func TestRemovalWithoutOutageCountsAtOnce(t *testing.T) {
-	m := NewMembers()
+	m := NewTargetSet()
 	m.Put(Target{ID: "a", Revision: 1}, 1)
 	m.Remove("a", 2, time.Second)
 	require.Empty(t, ids(m))
@@ -39,7 +39,7 @@
 
 // A list that was asked for before a change must not undo the change.
 func TestOlderNewsChangeNothing(t *testing.T) {
-	m := NewMembers()
+	m := NewTargetSet()
 	m.Put(Target{ID: "a", Draining: true, Revision: 7}, 7)
 	m.Replace(Targets{Revision: 6, List: []Target{{ID: "a", Revision: 6}}}, 0)
 	require.True(t, m.Snapshot().List[0].Draining)
@@ -56,7 +56,7 @@
 // as known again, with the revision of its old entry and that VM as the source.
 func TestEntriesThatOneVMKeepsAfterItsOutageDoNotComeBackAtOthers(t *testing.T) {
 	a := Target{ID: "a", Revision: 3}
-	others, slow := NewMembers(), NewMembers()
+	others, slow := NewTargetSet(), NewTargetSet()
 	for _, m := range []*TargetSet{others, slow} {
 		m.Replace(Targets{Revision: 5, List: []Target{a}}, 0)
 	}
@@ -70,7 +70,7 @@
 
 // Guards against a removed target that an older entry puts in use again.
 func TestRemovedTargetComesBackOnlyWithALaterEntry(t *testing.T) {
-	m := NewMembers()
+	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a", Revision: 3}}}, 0)
 	m.Remove("a", 7, 0)
 	m.Replace(Targets{Revision: 8, List: []Target{{ID: "a", Revision: 3}}}, 0)
@@ -84,7 +84,7 @@
 
 // Guards against the same for a target that this VM never listed.
 func TestRemovalOfAnUnknownTargetIsRemembered(t *testing.T) {
-	m := NewMembers()
+	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5}, 0)
 	m.Remove("a", 7, time.Second)
 	m.Replace(Targets{Revision: 9, List: []Target{{ID: "a", Revision: 3}}}, time.Second)
--- a/internal/catalog/changes_test.go
+++ b/internal/catalog/changes_test.go
@@ -13,7 +13,7 @@
 // Guards against a VM that follows by changes and ends up with another list.
 func TestChangesLeadToTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source, follower := NewMembers(), NewMembers()
+		source, follower := NewTargetSet(), NewTargetSet()
 		first := Targets{Revision: 10, List: []Target{{ID: "t0", Revision: 3}, {ID: "t1", Revision: 9}}}
 		source.Replace(first, 0)
 		follower.Replace(first, 0)
@@ -39,7 +39,7 @@
 
 // Guards against a list that keeps a target because its removal was forgotten.
 func TestChangesThatAreNotAllKnownAreNotGiven(t *testing.T) {
-	m := NewMembers()
+	m := NewTargetSet()
 	_, ok := m.ChangesSince(0)
 	require.False(t, ok, "no list yet")
 	m.Replace(Targets{Revision: 10}, 0)
--- a/internal/catalog/slope_test.go
+++ b/internal/catalog/slope_test.go
@@ -9,7 +9,7 @@
 func BenchmarkSlopeChangesSince(b *testing.B) {
 	for _, n := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			m := NewMembers()
+			m := NewTargetSet()
 			t := Targets{Revision: 1}
 			for i := range n {
 				t.List = append(t.List, Target{ID: fmt.Sprint(i), Revision: 1})
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -89,7 +89,7 @@
 func newRoutingState(clock boottime.Clock, logger *log.Logger, registry metrics.Registry, near string, limit repeats.Limit) *routingState {
 	s := &routingState{
 		clock: clock, log: logger, registry: registry, near: near, limit: limit, fleet: onlyVM,
-		members: catalog.NewMembers(), changed: make(chan struct{}), announce: func() {},
+		members: catalog.NewTargetSet(), changed: make(chan struct{}), announce: func() {},
 		targets: make(map[string]*targetState), byHash: make(map[uint32]*targetState),
 		inUse: make(map[*targetState]struct{}), budgets: make(map[string]*repeats.Budget),
 		durations: make(map[string]*duration.Table), warmupCost: make(map[string]float64), urgency: make(map[string]*urgency.Meter),
