--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -80,8 +80,8 @@
 	return &TargetSet{entries: make(map[string]Target), missing: make(map[string]absence), removed: make(map[string]uint64)}
 }
 
-// StoreLost notes that the store does not answer.
-func (m *TargetSet) StoreLost() { m.down = true }
+// MarkStoreDown notes that the store does not answer.
+func (m *TargetSet) MarkStoreDown() { m.down = true }
 
 // StoreBack notes an answer of the store.
 func (m *TargetSet) StoreBack(now time.Duration) {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -20,7 +20,7 @@
 func TestLapsedEntriesAreKeptForAWhileAfterAnOutage(t *testing.T) {
 	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a"}, {ID: "b"}, {ID: "c", Draining: true}}}, 0)
-	m.StoreLost()
+	m.MarkStoreDown()
 	m.StoreBack(10 * time.Second)
 	m.Replace(Targets{Revision: 9}, 10*time.Second)
 	require.Equal(t, []string{"a", "b"}, ids(m), "a target that was leaving stays out")
@@ -60,7 +60,7 @@
 	for _, m := range []*TargetSet{others, slow} {
 		m.Replace(Targets{Revision: 5, List: []Target{a}}, 0)
 	}
-	slow.StoreLost()
+	slow.MarkStoreDown()
 	others.Remove("a", 7, time.Second)
 	slow.StoreBack(2 * time.Second)
 	slow.Replace(Targets{Revision: 9}, 2*time.Second)
--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -35,7 +35,7 @@
 		if up {
 			m.StoreBack(now)
 		} else {
-			m.StoreLost()
+			m.MarkStoreDown()
 		}
 	})
 }
