--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -83,8 +83,8 @@
 // MarkStoreDown notes that the store does not answer.
 func (m *TargetSet) MarkStoreDown() { m.down = true }
 
-// StoreBack notes an answer of the store.
-func (m *TargetSet) StoreBack(now time.Duration) {
+// MarkStoreUp notes an answer of the store.
+func (m *TargetSet) MarkStoreUp(now time.Duration) {
 	if m.down {
 		m.down = false
 		m.graceEnds = now + lapseGrace
--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -33,7 +33,7 @@
 	}
 	g.state.changeMembersQuietly(func(m *catalog.TargetSet, now time.Duration) {
 		if up {
-			m.StoreBack(now)
+			m.MarkStoreUp(now)
 		} else {
 			m.MarkStoreDown()
 		}
