--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -193,8 +193,8 @@
 	return changed
 }
 
-// Waiting reports whether some targets are in their grace.
-func (m *TargetSet) Waiting() bool { return len(m.missing) > 0 }
+// HasDeferredRemovals reports whether some targets are in their grace.
+func (m *TargetSet) HasDeferredRemovals() bool { return len(m.missing) > 0 }
 
 // Snapshot returns the targets in order of their ids.
 func (m *TargetSet) Snapshot() Targets {
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -209,7 +209,7 @@
 	const every = 100 * time.Millisecond
 	for pause.For(ctx, every) {
 		g.state.mu.Lock()
-		if g.state.members.Waiting() && g.state.members.Expire(g.clock.Now()) {
+		if g.state.members.HasDeferredRemovals() && g.state.members.Expire(g.clock.Now()) {
 			g.state.publishLocked("still missing after an outage")
 		}
 		g.state.mu.Unlock()
