--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -26,8 +26,8 @@
 	// Born is the start of its process, Unix milliseconds. An id may be used again
 	// with a later one.
 	Born int64 `msgpack:"b"`
-	// Cold is how much longer it was to be slow when it wrote its entry.
-	Cold time.Duration `msgpack:"c"`
+	// WarmupLeft is how much longer it was to be slow when it wrote its entry.
+	WarmupLeft time.Duration `msgpack:"c"`
 	// Revision is the store's revision of the entry.
 	Revision uint64 `msgpack:"r"`
 }
