--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -41,53 +41,53 @@
 	List     []Target
 }
 
-// lapseGrace is how long after the store's return an entry may be missing:
+// removalGrace is how long after the store's return an entry may be missing:
 // targets that live write theirs again within about two seconds.
-const lapseGrace = 2 * time.Second
+const removalGrace = 2 * time.Second
 
 // TargetSet is the list of targets with the times that decide who is still one. It
 // belongs to one goroutine.
 type TargetSet struct {
 	revision uint64
 	entries  map[string]Target
-	// missing holds the targets that were removed around an outage and may be back.
-	missing map[string]absence
-	// removed holds the store's revision by which an entry was removed. An entry that is
+	// deferred holds the targets that were removed around an outage and may be back.
+	deferred map[string]deferredRemoval
+	// tombstones holds the store's revision by which an entry was tombstones. An entry that is
 	// not later is out of date, however late the list that names it.
-	removed map[string]uint64
+	tombstones map[string]uint64
 	// completeSince is the revision after which no removal was forgotten; 0 before the
 	// first list.
 	completeSince uint64
-	down          bool
-	// graceEnds is until when removals are taken for lapses of an outage.
-	graceEnds time.Duration
+	storeDown     bool
+	// graceUntil is until when removals are taken for lapses of an outage.
+	graceUntil time.Duration
 }
 
-// absence is the removal of an entry that is kept for a while.
-type absence struct {
-	// until is when the target counts as gone.
-	until time.Duration
+// deferredRemoval is the removal of an entry that is kept for a while.
+type deferredRemoval struct {
+	// dueAt is when the target counts as gone.
+	dueAt time.Duration
 	// revision is the store's revision by which the entry was removed.
 	revision uint64
 }
 
-// maxRemoved bounds the removals that are remembered: several times the targets of a large
+// maxTombstones bounds the removals that are remembered: several times the targets of a large
 // fleet, and only those of the last minutes are met again.
-const maxRemoved = 4096
+const maxTombstones = 4096
 
 // NewTargetSet returns an empty list.
 func NewTargetSet() *TargetSet {
-	return &TargetSet{entries: make(map[string]Target), missing: make(map[string]absence), removed: make(map[string]uint64)}
+	return &TargetSet{entries: make(map[string]Target), deferred: make(map[string]deferredRemoval), tombstones: make(map[string]uint64)}
 }
 
 // MarkStoreDown notes that the store does not answer.
-func (m *TargetSet) MarkStoreDown() { m.down = true }
+func (m *TargetSet) MarkStoreDown() { m.storeDown = true }
 
 // MarkStoreUp notes an answer of the store.
 func (m *TargetSet) MarkStoreUp(now time.Duration) {
-	if m.down {
-		m.down = false
-		m.graceEnds = now + lapseGrace
+	if m.storeDown {
+		m.storeDown = false
+		m.graceUntil = now + removalGrace
 	}
 }
 
@@ -124,12 +124,12 @@
 	if old, ok := m.entries[t.ID]; ok && old.Revision > t.Revision {
 		return
 	}
-	if removed, ok := m.removed[t.ID]; ok && t.Revision <= removed {
+	if removed, ok := m.tombstones[t.ID]; ok && t.Revision <= removed {
 		return
 	}
 	m.entries[t.ID] = t
-	delete(m.missing, t.ID)
-	delete(m.removed, t.ID)
+	delete(m.deferred, t.ID)
+	delete(m.tombstones, t.ID)
 }
 
 // Remove records that an entry is gone.
@@ -148,12 +148,12 @@
 	if ok && t.Revision > revision {
 		return
 	}
-	if !ok || now >= m.graceEnds || t.Draining {
+	if !ok || now >= m.graceUntil || t.Draining {
 		m.drop(id, revision)
 		return
 	}
-	if _, waits := m.missing[id]; !waits {
-		m.missing[id] = absence{until: m.graceEnds, revision: revision}
+	if _, waits := m.deferred[id]; !waits {
+		m.deferred[id] = deferredRemoval{dueAt: m.graceUntil, revision: revision}
 	}
 }
 
@@ -162,30 +162,30 @@
 // Another VM may keep the entry for a while after an outage and send it with a later list.
 func (m *TargetSet) drop(id string, revision uint64) {
 	delete(m.entries, id)
-	delete(m.missing, id)
-	m.removed[id] = max(m.removed[id], revision)
-	if len(m.removed) > maxRemoved {
-		m.forgetOldest()
+	delete(m.deferred, id)
+	m.tombstones[id] = max(m.tombstones[id], revision)
+	if len(m.tombstones) > maxTombstones {
+		m.dropOldestTombstone()
 	}
 }
 
-// forgetOldest forgets the removal with the lowest revision.
-func (m *TargetSet) forgetOldest() {
+// dropOldestTombstone forgets the removal with the lowest revision.
+func (m *TargetSet) dropOldestTombstone() {
 	oldest := ""
-	for id, revision := range m.removed {
-		if oldest == "" || revision < m.removed[oldest] {
+	for id, revision := range m.tombstones {
+		if oldest == "" || revision < m.tombstones[oldest] {
 			oldest = id
 		}
 	}
-	m.completeSince = max(m.completeSince, m.removed[oldest])
-	delete(m.removed, oldest)
+	m.completeSince = max(m.completeSince, m.tombstones[oldest])
+	delete(m.tombstones, oldest)
 }
 
 // Expire drops targets whose grace is over and reports whether there were any.
 func (m *TargetSet) Expire(now time.Duration) bool {
 	changed := false
-	for id, a := range m.missing {
-		if now >= a.until && !m.down {
+	for id, a := range m.deferred {
+		if now >= a.dueAt && !m.storeDown {
 			m.drop(id, a.revision)
 			changed = true
 		}
@@ -194,7 +194,7 @@
 }
 
 // HasDeferredRemovals reports whether some targets are in their grace.
-func (m *TargetSet) HasDeferredRemovals() bool { return len(m.missing) > 0 }
+func (m *TargetSet) HasDeferredRemovals() bool { return len(m.deferred) > 0 }
 
 // Snapshot returns the targets in order of their ids.
 func (m *TargetSet) Snapshot() Targets {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -17,7 +17,7 @@
 
 // The store is away for seconds and the entries of all targets lapse. When it is
 // back its list is empty. Callers would be refused although every target runs.
-func TestLapsedEntriesAreKeptForAWhileAfterAnOutage(t *testing.T) {
+func TestMissingEntriesAreKeptForAGracePeriodAfterAnOutage(t *testing.T) {
 	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a"}, {ID: "b"}, {ID: "c", Draining: true}}}, 0)
 	m.MarkStoreDown()
@@ -26,11 +26,11 @@
 	require.Equal(t, []string{"a", "b"}, ids(m), "a target that was leaving stays out")
 	m.Put(Target{ID: "a", Revision: 10}, 10)
 	require.False(t, m.Expire(11*time.Second))
-	require.True(t, m.Expire(10*time.Second+lapseGrace))
+	require.True(t, m.Expire(10*time.Second+removalGrace))
 	require.Equal(t, []string{"a"}, ids(m), "an entry that is still missing is gone")
 }
 
-func TestRemovalWithoutOutageCountsAtOnce(t *testing.T) {
+func TestRemovalWithoutOutageIsImmediate(t *testing.T) {
 	m := NewTargetSet()
 	m.Put(Target{ID: "a", Revision: 1}, 1)
 	m.Remove("a", 2, time.Second)
@@ -38,7 +38,7 @@
 }
 
 // A list that was asked for before a change must not undo the change.
-func TestOlderNewsChangeNothing(t *testing.T) {
+func TestOlderEntriesAreIgnored(t *testing.T) {
 	m := NewTargetSet()
 	m.Put(Target{ID: "a", Draining: true, Revision: 7}, 7)
 	m.Replace(Targets{Revision: 6, List: []Target{{ID: "a", Revision: 6}}}, 0)
@@ -54,7 +54,7 @@
 //
 // Evidence: within half a second after the slow VM regained the store, nine VMs logged the target
 // as known again, with the revision of its old entry and that VM as the source.
-func TestEntriesThatOneVMKeepsAfterItsOutageDoNotComeBackAtOthers(t *testing.T) {
+func TestEntriesKeptByOneVMAfterItsOutageDoNotReappearOnOthers(t *testing.T) {
 	a := Target{ID: "a", Revision: 3}
 	others, slow := NewTargetSet(), NewTargetSet()
 	for _, m := range []*TargetSet{others, slow} {
@@ -69,7 +69,7 @@
 }
 
 // Guards against a removed target that an older entry puts in use again.
-func TestRemovedTargetComesBackOnlyWithALaterEntry(t *testing.T) {
+func TestRemovedTargetReappearsOnlyWithALaterEntry(t *testing.T) {
 	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a", Revision: 3}}}, 0)
 	m.Remove("a", 7, 0)
--- a/internal/catalog/changes.go
+++ b/internal/catalog/changes.go
@@ -32,7 +32,7 @@
 			c.Changed = append(c.Changed, t)
 		}
 	}
-	for id, removed := range m.removed {
+	for id, removed := range m.tombstones {
 		if removed > revision {
 			c.Removed = append(c.Removed, Removal{ID: id, Revision: removed})
 		}
--- a/internal/catalog/changes_test.go
+++ b/internal/catalog/changes_test.go
@@ -38,7 +38,7 @@
 }
 
 // Guards against a list that keeps a target because its removal was forgotten.
-func TestChangesThatAreNotAllKnownAreNotGiven(t *testing.T) {
+func TestIncompleteChangesAreNotReturned(t *testing.T) {
 	m := NewTargetSet()
 	_, ok := m.ChangesSince(0)
 	require.False(t, ok, "no list yet")
@@ -47,12 +47,12 @@
 	require.False(t, ok, "before the first list")
 	_, ok = m.ChangesSince(11)
 	require.False(t, ok, "later than the list")
-	for i := range maxRemoved + 1 {
+	for i := range maxTombstones + 1 {
 		m.Remove(fmt.Sprint(i), uint64(11+i), 0)
 	}
 	_, ok = m.ChangesSince(10)
 	require.False(t, ok, "a removal was forgotten")
 	c, ok := m.ChangesSince(11)
 	require.True(t, ok)
-	require.Len(t, c.Removed, maxRemoved)
+	require.Len(t, c.Removed, maxTombstones)
 }
