--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what a VM believes of the operators' configuration and
-// of the targets, and decides which updates change that. It has no network or clock.
+// Package catalog holds a VM's view of the operators' configuration and of the
+// targets, and decides which updates to apply. It uses neither network nor clock.
 package catalog
 
 import (
@@ -13,26 +13,26 @@
 	"hemlockquay/internal/route"
 )
 
-// Target is one server as the platform lists it.
+// Target is a server as listed by the platform.
 type Target struct {
 	ID         string `msgpack:"i"`
 	Service    string `msgpack:"s"`
 	Addr       string `msgpack:"a"`
 	DataCentre string `msgpack:"d"`
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int `msgpack:"n"`
 	// Draining targets take no new requests.
 	Draining bool `msgpack:"g"`
-	// Born is the start of its process, Unix milliseconds. An id may be used again
-	// with a later one.
+	// Born is the start time of its process in Unix milliseconds. A later process
+	// may have the same id.
 	Born int64 `msgpack:"b"`
-	// WarmupLeft is how much longer it was to be slow when it wrote its entry.
+	// WarmupLeft is the remaining warm-up time at the moment when it wrote its entry.
 	WarmupLeft time.Duration `msgpack:"c"`
 	// Revision is the store's revision of the entry.
 	Revision uint64 `msgpack:"r"`
 }
 
-// Hash is a target's id, short, for what VMs report to each other of targets.
+// Hash returns a short hash of a target's id, by which VMs name targets in heartbeats.
 func Hash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // Targets is a list of targets at a revision of the store.
@@ -41,49 +41,53 @@
 	List     []Target
 }
 
-// removalGrace is how long after the store's return an entry may be missing:
-// targets that live write theirs again within about two seconds.
+// removalGrace is how long after the store is back a missing entry is kept.
+// Running targets write their entries again within about two seconds.
 const removalGrace = 2 * time.Second
 
-// TargetSet is the list of targets with the times that decide who is still one. It
-// belongs to one goroutine.
+// TargetSet is the set of known targets. It orders updates by the store's revisions, and
+// defers removals that are likely a result of a store outage. It is not safe for
+// concurrent use.
 type TargetSet struct {
 	revision uint64
 	entries  map[string]Target
-	// deferred holds the targets that were removed around an outage and may be back.
+	// deferred holds the removals, by target id, that followed an outage and may be undone.
 	deferred map[string]deferredRemoval
-	// tombstones holds the store's revision by which an entry was tombstones. An entry that is
-	// not later is out of date, however late the list that names it.
+	// tombstones holds the store's revision of each removal, by target id. An entry whose revision
+	// is not higher is outdated, even if a later list contains it.
 	tombstones map[string]uint64
-	// completeSince is the revision after which no removal was forgotten; 0 before the
+	// completeSince is the revision after which no tombstone was dropped; 0 before the
 	// first list.
 	completeSince uint64
 	storeDown     bool
-	// graceUntil is until when removals are taken for lapses of an outage.
+	// graceUntil is the time until which removals are attributed to an outage and deferred.
 	graceUntil time.Duration
 }
 
-// deferredRemoval is the removal of an entry that is kept for a while.
+// deferredRemoval is a removal that is not applied yet.
 type deferredRemoval struct {
-	// dueAt is when the target counts as gone.
+	// dueAt is when the removal is applied.
 	dueAt time.Duration
-	// revision is the store's revision by which the entry was removed.
+	// revision is the store's revision of the removal.
 	revision uint64
 }
 
-// maxTombstones bounds the removals that are remembered: several times the targets of a large
-// fleet, and only those of the last minutes are met again.
+// maxTombstones bounds the tombstones. It is several times the number of targets of a large fleet,
+// and only entries removed in the last minutes can occur in a list again.
 const maxTombstones = 4096
 
-// NewTargetSet returns an empty list.
+// NewTargetSet returns an empty set.
 func NewTargetSet() *TargetSet {
-	return &TargetSet{entries: make(map[string]Target), deferred: make(map[string]deferredRemoval), tombstones: make(map[string]uint64)}
+	return &TargetSet{
+		entries: make(map[string]Target), deferred: make(map[string]deferredRemoval),
+		tombstones: make(map[string]uint64),
+	}
 }
 
-// MarkStoreDown notes that the store does not answer.
+// MarkStoreDown records that the store does not answer.
 func (m *TargetSet) MarkStoreDown() { m.storeDown = true }
 
-// MarkStoreUp notes an answer of the store.
+// MarkStoreUp records an answer of the store. After an outage it starts the grace period.
 func (m *TargetSet) MarkStoreUp(now time.Duration) {
 	if m.storeDown {
 		m.storeDown = false
@@ -91,7 +95,7 @@
 	}
 }
 
-// Replace applies a whole list.
+// Replace applies a complete list. A list older than the set's revision is ignored.
 func (m *TargetSet) Replace(t Targets, now time.Duration) {
 	if t.Revision < m.revision {
 		return
@@ -120,6 +124,7 @@
 	m.put(t)
 }
 
+// put applies an entry unless the set has a later entry or removal of the target.
 func (m *TargetSet) put(t Target) {
 	if old, ok := m.entries[t.ID]; ok && old.Revision > t.Revision {
 		return
@@ -132,7 +137,7 @@
 	delete(m.tombstones, t.ID)
 }
 
-// Remove records that an entry is gone.
+// Remove applies the removal of an entry from the store.
 func (m *TargetSet) Remove(id string, revision uint64, now time.Duration) {
 	if revision > m.revision {
 		m.revision = revision
@@ -140,9 +145,9 @@
 	m.remove(id, revision, now)
 }
 
-// remove drops a target, or keeps it for a while after an outage.
-// Entries of live targets expire while the store is down and are written again after its return.
-// Draining targets are not kept.
+// remove drops a target, or defers its removal during the grace period after an outage. Entries of
+// running targets expire while the store is down and are written again when it is back. Removals
+// of draining targets are not deferred.
 func (m *TargetSet) remove(id string, revision uint64, now time.Duration) {
 	t, ok := m.entries[id]
 	if ok && t.Revision > revision {
@@ -157,9 +162,8 @@
 	}
 }
 
-// drop removes an entry and remembers by which revision it was removed.
-//
-// Another VM may keep the entry for a while after an outage and send it with a later list.
+// drop removes an entry and keeps a tombstone with the revision of the removal: another VM may have
+// deferred the removal after an outage and send the entry in a later list.
 func (m *TargetSet) drop(id string, revision uint64) {
 	delete(m.entries, id)
 	delete(m.deferred, id)
@@ -169,7 +173,7 @@
 	}
 }
 
-// dropOldestTombstone forgets the removal with the lowest revision.
+// dropOldestTombstone drops the tombstone with the lowest revision.
 func (m *TargetSet) dropOldestTombstone() {
 	oldest := ""
 	for id, revision := range m.tombstones {
@@ -181,7 +185,8 @@
 	delete(m.tombstones, oldest)
 }
 
-// Expire drops targets whose grace is over and reports whether there were any.
+// Expire applies the deferred removals that are due and reports whether there were any. None is
+// applied while the store is down.
 func (m *TargetSet) Expire(now time.Duration) bool {
 	changed := false
 	for id, a := range m.deferred {
@@ -193,27 +198,27 @@
 	return changed
 }
 
-// HasDeferredRemovals reports whether some targets are in their grace.
+// HasDeferredRemovals reports whether any removal is deferred.
 func (m *TargetSet) HasDeferredRemovals() bool { return len(m.deferred) > 0 }
 
-// Snapshot returns the targets in order of their ids.
+// Snapshot returns the targets, sorted by id, and the revision of the set.
 func (m *TargetSet) Snapshot() Targets {
 	list := slices.Collect(maps.Values(m.entries))
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	return Targets{Revision: m.revision, List: list}
 }
 
-// View is what requests are decided on. It is immutable.
+// View is the state by which requests are routed. It is immutable.
 type View struct {
 	// Routes is nil until a configuration is known.
 	Routes  *route.Table
 	Targets Targets
-	// ByService holds the targets that take requests.
+	// ByService holds the targets that are not draining.
 	ByService map[string][]*Target
 	ByID      map[string]*Target
 }
 
-// NewView indexes the parts.
+// NewView returns a view of the routes and targets, with indexes of the targets.
 func NewView(routes *route.Table, t Targets) *View {
 	v := &View{Routes: routes, Targets: t, ByService: make(map[string][]*Target), ByID: make(map[string]*Target, len(t.List))}
 	for i := range t.List {
@@ -226,7 +231,7 @@
 	return v
 }
 
-// ConfigVersion returns the version in force, 0 for none.
+// ConfigVersion returns the version of the configuration in force, or 0 if there is none.
 func (v *View) ConfigVersion() uint64 {
 	if v.Routes == nil {
 		return 0
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -15,19 +15,20 @@
 	return out
 }
 
-// The store is away for seconds and the entries of all targets lapse. When it is
-// back its list is empty. Callers would be refused although every target runs.
+// Guards against requests that are refused although all targets run: the entries
+// of all targets expire during an outage of the store, and its list is empty when
+// it is back.
 func TestMissingEntriesAreKeptForAGracePeriodAfterAnOutage(t *testing.T) {
 	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a"}, {ID: "b"}, {ID: "c", Draining: true}}}, 0)
 	m.MarkStoreDown()
 	m.MarkStoreUp(10 * time.Second)
 	m.Replace(Targets{Revision: 9}, 10*time.Second)
-	require.Equal(t, []string{"a", "b"}, ids(m), "a target that was leaving stays out")
+	require.Equal(t, []string{"a", "b"}, ids(m), "a draining target is removed at once")
 	m.Put(Target{ID: "a", Revision: 10}, 10)
 	require.False(t, m.Expire(11*time.Second))
 	require.True(t, m.Expire(10*time.Second+removalGrace))
-	require.Equal(t, []string{"a"}, ids(m), "an entry that is still missing is gone")
+	require.Equal(t, []string{"a"}, ids(m), "an entry still missing after the grace period is removed")
 }
 
 func TestRemovalWithoutOutageIsImmediate(t *testing.T) {
@@ -37,7 +38,7 @@
 	require.Empty(t, ids(m))
 }
 
-// A list that was asked for before a change must not undo the change.
+// Guards against a list that was requested before a change and undoes it.
 func TestOlderEntriesAreIgnored(t *testing.T) {
 	m := NewTargetSet()
 	m.Put(Target{ID: "a", Draining: true, Revision: 7}, 7)
@@ -47,13 +48,10 @@
 	require.True(t, m.Snapshot().List[0].Draining)
 }
 
-// Callers got answers of a target that had left two seconds before. All VMs had dropped it at
-// once, but for a slow one that was without the store. When that one had the store again, its
-// list no longer named the target; it kept it, as it keeps what may have lapsed in an outage,
-// and sent it with the later list to the others, who applied it again.
-//
-// Evidence: within half a second after the slow VM regained the store, nine VMs logged the target
-// as known again, with the revision of its old entry and that VM as the source.
+// Guards against requests to a target that has left, two seconds after all VMs but one had dropped
+// it. That VM was without the store; when it reached it again, it deferred the removal as one that
+// may result from the outage, and sent the old entry in a later list to the others. Within half
+// a second nine VMs had added the target again, with the revision of its old entry.
 func TestEntriesKeptByOneVMAfterItsOutageDoNotReappearOnOthers(t *testing.T) {
 	a := Target{ID: "a", Revision: 3}
 	others, slow := NewTargetSet(), NewTargetSet()
@@ -68,7 +66,7 @@
 	require.Empty(t, ids(others))
 }
 
-// Guards against a removed target that an older entry puts in use again.
+// Guards against a removed target that is used again because of an older entry.
 func TestRemovedTargetReappearsOnlyWithALaterEntry(t *testing.T) {
 	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5, List: []Target{{ID: "a", Revision: 3}}}, 0)
@@ -79,10 +77,10 @@
 	m.Put(Target{ID: "a", Revision: 9}, 9)
 	require.Equal(t, []string{"a"}, ids(m))
 	m.Remove("a", 8, 0)
-	require.Equal(t, []string{"a"}, ids(m), "the removal is older than the entry")
+	require.Equal(t, []string{"a"}, ids(m), "a removal older than the entry is ignored")
 }
 
-// Guards against the same for a target that this VM never listed.
+// Guards against the same for a target that was not in the set when it was removed.
 func TestRemovalOfAnUnknownTargetIsRemembered(t *testing.T) {
 	m := NewTargetSet()
 	m.Replace(Targets{Revision: 5}, 0)
--- a/internal/catalog/changes.go
+++ b/internal/catalog/changes.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Removal is an entry that was removed.
+// Removal is the removal of a target's entry.
 type Removal struct {
 	ID string `msgpack:"i"`
-	// Revision is the store's revision by which it was removed.
+	// Revision is the store's revision of the removal.
 	Revision uint64 `msgpack:"r"`
 }
 
-// Changes lead from a list of targets to a later one.
+// Changes is the difference between a list of targets and a later one.
 type Changes struct {
 	Revision uint64    `msgpack:"r"`
 	Changed  []Target  `msgpack:"c"`
 	Removed  []Removal `msgpack:"d"`
 }
 
-// ChangesSince returns what changed after a revision of the store; false if some of it is
-// not known any more, so that only the whole list will do.
+// ChangesSince returns the changes after a revision of the store. It returns false if they are not
+// completely known, so that the caller needs the complete list.
 func (m *TargetSet) ChangesSince(revision uint64) (Changes, bool) {
 	if m.completeSince == 0 || revision < m.completeSince || revision > m.revision {
 		return Changes{}, false
@@ -42,7 +42,7 @@
 	return c, true
 }
 
-// Apply applies what changed after the revision at hand, or an earlier one.
+// Apply applies changes since the revision of this set or an earlier one.
 func (m *TargetSet) Apply(c Changes, now time.Duration) {
 	for _, t := range c.Changed {
 		m.put(t)
--- a/internal/catalog/changes_test.go
+++ b/internal/catalog/changes_test.go
@@ -10,7 +10,7 @@
 	_ "hemlockquay/internal/fixedseed"
 )
 
-// Guards against a VM that follows by changes and ends up with another list.
+// Guards against a VM that applies changes and arrives at a different list than their source.
 func TestChangesLeadToTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source, follower := NewTargetSet(), NewTargetSet()
@@ -37,7 +37,7 @@
 	})
 }
 
-// Guards against a list that keeps a target because its removal was forgotten.
+// Guards against a VM that keeps a removed target because the tombstone was dropped at the source.
 func TestIncompleteChangesAreNotReturned(t *testing.T) {
 	m := NewTargetSet()
 	_, ok := m.ChangesSince(0)
@@ -51,7 +51,7 @@
 		m.Remove(fmt.Sprint(i), uint64(11+i), 0)
 	}
 	_, ok = m.ChangesSince(10)
-	require.False(t, ok, "a removal was forgotten")
+	require.False(t, ok, "a tombstone was dropped")
 	c, ok := m.ChangesSince(11)
 	require.True(t, ok)
 	require.Len(t, c.Removed, maxTombstones)
--- a/internal/catalog/slope_test.go
+++ b/internal/catalog/slope_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkSlopeChangesSince is finding one changed target, by targets.
+// BenchmarkSlopeChangesSince measures ChangesSince with one changed target, by the number of targets.
 func BenchmarkSlopeChangesSince(b *testing.B) {
 	for _, n := range []int{100, 400, 1600} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
