--- a/internal/mesh/exchange.go
+++ b/internal/mesh/exchange.go
@@ -87,6 +87,7 @@
 	return now - r.lastHeard
 }
 
+// forget removes a VM unless a new incarnation has replaced it.
 func (m *Mesh) forget(r *remote) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -14,8 +14,8 @@
 	LinkMbps uint32 `msgpack:"l"`
 }
 
-// LinkClass returns the order of magnitude of the link's speed, in powers of two. Links of the
-// same class differ by less than a factor of two.
+// LinkClass returns the binary order of magnitude of the link's speed. Links of the same class
+// differ by less than a factor of two.
 func (m Member) LinkClass() int { return bits.Len32(m.LinkMbps) }
 
 const (
@@ -84,8 +84,8 @@
 	return b
 }
 
-// withDetailsOf returns the heartbeat, if it is brief with the leases, loads and crashes of the
-// last one.
+// withDetailsOf returns the heartbeat. If it is brief, its leases, loads and crashes are those of
+// the last one.
 func (b Heartbeat) withDetailsOf(last Heartbeat) Heartbeat {
 	if b.Brief {
 		b.Leases, b.Loads, b.Crashes = last.Leases, last.Loads, last.Crashes
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -28,8 +28,9 @@
 	// overdueFactor is the number of periods without a heartbeat after which the VM of a pair
 	// that normally only answers makes the call itself.
 	overdueFactor = 1.6
-	// periodPerVM is added to the period for each VM beyond smallFleetSize, so that a VM
-	// exchanges about 40 heartbeats a second with VMs that are not its neighbours.
+	// periodPerVM, multiplied by the number of VMs beyond smallFleetSize, is the period in a
+	// larger fleet, so that a VM exchanges about 40 heartbeats a second with VMs that are not its
+	// neighbours.
 	periodPerVM    = 24 * time.Millisecond
 	smallFleetSize = 6
 	// callTimeout bounds one heartbeat exchange or small call.
@@ -43,8 +44,8 @@
 	// forgetAfter is the time without a heartbeat after which a lost VM is removed and no longer
 	// called. If it returns, it calls by itself.
 	forgetAfter = time.Minute
-	// pauseThreshold is the gap between two checks of this VM from which it was paused itself,
-	// and the age of the other VMs' heartbeats proves nothing.
+	// pauseThreshold is the gap between two checks above which this VM itself counts as paused in
+	// between. Then the age of the other VMs' heartbeats says nothing about them.
 	pauseThreshold = 500 * time.Millisecond
 )
 
@@ -192,8 +193,9 @@
 	return r != nil && r.member.Incarnation == incarnation && m.liveLocked(r, m.clock.Now())
 }
 
-// LastHeard returns when the last heartbeat of this incarnation of a VM arrived, on the mesh's
-// clock. It returns false if the incarnation is not known.
+// LastHeard returns when the last heartbeat of this incarnation of a VM arrived, or the incarnation
+// was added if none has arrived yet, on the mesh's clock. It returns false if the incarnation is
+// not known.
 func (m *Mesh) LastHeard(vm string, incarnation uint64) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -86,8 +86,8 @@
 	delete(s.conns, conn)
 }
 
-// Close stops accepting, closes all connections and waits for the calls that are
-// running. Their replies are lost, so drain the process before.
+// Close stops accepting, closes all connections and waits for running calls. Their
+// replies are lost, so the process should be drained first.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
