--- a/internal/peer/probe.go
+++ b/internal/peer/probe.go
@@ -121,7 +121,7 @@
 // the process, so replies that arrived during it are read before the connection counts as silent.
 func (m *managedConn) probe(s *session) bool {
 	answered := make(chan error, 1)
-	seen, quiet := s.conn.reads.Load(), 0
+	seen, silentTicks := s.conn.reads.Load(), 0
 	go func() { answered <- s.rpc.Call(methodProbe, &struct{}{}, &struct{}{}) }()
 	step := time.NewTicker(silenceCheckInterval)
 	defer step.Stop()
@@ -130,11 +130,11 @@
 		case err := <-answered:
 			return !isConnError(err)
 		case <-step.C:
-			quiet++
+			silentTicks++
 			if now := s.conn.reads.Load(); now != seen {
-				seen, quiet = now, 0
+				seen, silentTicks = now, 0
 			}
-			m.recordSilence(s, quiet >= silentIntervals, seen)
+			m.recordSilence(s, silentTicks >= silentIntervals, seen)
 		}
 	}
 }
--- a/internal/upstream/reset_test.go
+++ b/internal/upstream/reset_test.go
@@ -33,16 +33,16 @@
 
 	l.Cut()
 	ctx, cancel := context.WithCancel(t.Context())
-	sent := make(chan error)
+	exchangeErr := make(chan error)
 	go func() {
 		r := request("2")
 		r.Method = http.MethodPost
 		_, err := p.Exchange(ctx, r, KeptConn)
-		sent <- err
+		exchangeErr <- err
 	}()
 	l.AwaitHeld()
 	cancel()
-	require.ErrorIs(t, <-sent, ErrLost)
+	require.ErrorIs(t, <-exchangeErr, ErrLost)
 	l.AwaitEnded()
 	l.Heal()
 	l.Drain()
