--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds what a VM believes of the operators' configuration and
-// of the targets, and decides which updates change that. It has no network or clock.
+// Package catalog holds a VM's view of the operators' configuration and of the
+// targets, and decides which updates to apply. It uses neither network nor clock.
 package catalog
 
 import (
@@ -13,26 +13,26 @@
 	"hemlockquay/internal/route"
 )
 
-// Target is one server as the platform lists it.
+// Target is a server as listed by the platform.
 type Target struct {
 	ID         string `msgpack:"i"`
 	Service    string `msgpack:"s"`
 	Addr       string `msgpack:"a"`
 	DataCentre string `msgpack:"d"`
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots int `msgpack:"n"`
 	// Draining targets take no new requests.
 	Draining bool `msgpack:"g"`
-	// Born is the start of its process, Unix milliseconds. An id may be used again
-	// with a later one.
+	// Born is the start time of its process in Unix milliseconds. A later process
+	// may have the same id.
 	Born int64 `msgpack:"b"`
-	// Cold is how much longer it was to be slow when it wrote its entry.
-	Cold time.Duration `msgpack:"c"`
+	// WarmupLeft is the remaining warm-up time at the moment when it wrote its entry.
+	WarmupLeft time.Duration `msgpack:"c"`
 	// Revision is the store's revision of the entry.
 	Revision uint64 `msgpack:"r"`
 }
 
-// Hash is a target's id, short, for what VMs report to each other of targets.
+// Hash returns a short hash of a target's id, by which VMs name targets in heartbeats.
 func Hash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 // Targets is a list of targets at a revision of the store.
@@ -41,58 +41,62 @@
 	List     []Target
 }
 
-// lapseGrace is how long after the store's return an entry may be missing:
-// targets that live write theirs again within about two seconds.
-const lapseGrace = 2 * time.Second
+// removalGrace is how long after the store is back a missing entry is kept.
+// Running targets write their entries again within about two seconds.
+const removalGrace = 2 * time.Second
 
-// Members is the list of targets with the times that decide who is still one. It
-// belongs to one goroutine.
-type Members struct {
+// TargetSet is the set of known targets. It orders updates by the store's revisions, and
+// defers removals that are likely a result of a store outage. It is not safe for
+// concurrent use.
+type TargetSet struct {
 	revision uint64
 	entries  map[string]Target
-	// missing holds the targets that were removed around an outage and may be back.
-	missing map[string]absence
-	// removed holds the store's revision by which an entry was removed. An entry that is
-	// not later is out of date, however late the list that names it.
-	removed map[string]uint64
-	// completeSince is the revision after which no removal was forgotten; 0 before the
+	// deferred holds the removals, by target id, that followed an outage and may be undone.
+	deferred map[string]deferredRemoval
+	// tombstones holds the store's revision of each removal, by target id. An entry whose revision
+	// is not higher is outdated, even if a later list contains it.
+	tombstones map[string]uint64
+	// completeSince is the revision after which no tombstone was dropped; 0 before the
 	// first list.
 	completeSince uint64
-	down          bool
-	// graceEnds is until when removals are taken for lapses of an outage.
-	graceEnds time.Duration
+	storeDown     bool
+	// graceUntil is the time until which removals are attributed to an outage and deferred.
+	graceUntil time.Duration
 }
 
-// absence is the removal of an entry that is kept for a while.
-type absence struct {
-	// until is when the target counts as gone.
-	until time.Duration
-	// revision is the store's revision by which the entry was removed.
+// deferredRemoval is a removal that is not applied yet.
+type deferredRemoval struct {
+	// dueAt is when the removal is applied.
+	dueAt time.Duration
+	// revision is the store's revision of the removal.
 	revision uint64
 }
 
-// maxRemoved bounds the removals that are remembered: several times the targets of a large
-// fleet, and only those of the last minutes are met again.
-const maxRemoved = 4096
+// maxTombstones bounds the tombstones. It is several times the number of targets of a large fleet,
+// and only entries removed in the last minutes can occur in a list again.
+const maxTombstones = 4096
 
-// NewMembers returns an empty list.
-func NewMembers() *Members {
-	return &Members{entries: make(map[string]Target), missing: make(map[string]absence), removed: make(map[string]uint64)}
+// NewTargetSet returns an empty set.
+func NewTargetSet() *TargetSet {
+	return &TargetSet{
+		entries: make(map[string]Target), deferred: make(map[string]deferredRemoval),
+		tombstones: make(map[string]uint64),
+	}
 }
 
-// StoreLost notes that the store does not answer.
-func (m *Members) StoreLost() { m.down = true }
+// MarkStoreDown records that the store does not answer.
+func (m *TargetSet) MarkStoreDown() { m.storeDown = true }
 
-// StoreBack notes an answer of the store.
-func (m *Members) StoreBack(now time.Duration) {
-	if m.down {
-		m.down = false
-		m.graceEnds = now + lapseGrace
+// MarkStoreUp records an answer of the store. After an outage it starts the grace period.
+func (m *TargetSet) MarkStoreUp(now time.Duration) {
+	if m.storeDown {
+		m.storeDown = false
+		m.graceUntil = now + removalGrace
 	}
 }
 
-// Replace applies a whole list.
-func (m *Members) Replace(t Targets, now time.Duration) {
+// Replace applies a complete list. A list older than the set's revision is ignored.
+func (m *TargetSet) Replace(t Targets, now time.Duration) {
 	if t.Revision < m.revision {
 		return
 	}
@@ -113,79 +117,80 @@
 }
 
 // Put applies a new or changed entry.
-func (m *Members) Put(t Target, revision uint64) {
+func (m *TargetSet) Put(t Target, revision uint64) {
 	if revision > m.revision {
 		m.revision = revision
 	}
 	m.put(t)
 }
 
-func (m *Members) put(t Target) {
+// put applies an entry unless the set has a later entry or removal of the target.
+func (m *TargetSet) put(t Target) {
 	if old, ok := m.entries[t.ID]; ok && old.Revision > t.Revision {
 		return
 	}
-	if removed, ok := m.removed[t.ID]; ok && t.Revision <= removed {
+	if removed, ok := m.tombstones[t.ID]; ok && t.Revision <= removed {
 		return
 	}
 	m.entries[t.ID] = t
-	delete(m.missing, t.ID)
-	delete(m.removed, t.ID)
+	delete(m.deferred, t.ID)
+	delete(m.tombstones, t.ID)
 }
 
-// Remove records that an entry is gone.
-func (m *Members) Remove(id string, revision uint64, now time.Duration) {
+// Remove applies the removal of an entry from the store.
+func (m *TargetSet) Remove(id string, revision uint64, now time.Duration) {
 	if revision > m.revision {
 		m.revision = revision
 	}
 	m.remove(id, revision, now)
 }
 
-// remove drops a target, or keeps it for a while after an outage.
-// Entries of live targets expire while the store is down and are written again after its return.
-// Draining targets are not kept.
-func (m *Members) remove(id string, revision uint64, now time.Duration) {
+// remove drops a target, or defers its removal during the grace period after an outage. Entries of
+// running targets expire while the store is down and are written again when it is back. Removals
+// of draining targets are not deferred.
+func (m *TargetSet) remove(id string, revision uint64, now time.Duration) {
 	t, ok := m.entries[id]
 	if ok && t.Revision > revision {
 		return
 	}
-	if !ok || now >= m.graceEnds || t.Draining {
+	if !ok || now >= m.graceUntil || t.Draining {
 		m.drop(id, revision)
 		return
 	}
-	if _, waits := m.missing[id]; !waits {
-		m.missing[id] = absence{until: m.graceEnds, revision: revision}
+	if _, waits := m.deferred[id]; !waits {
+		m.deferred[id] = deferredRemoval{dueAt: m.graceUntil, revision: revision}
 	}
 }
 
-// drop removes an entry and remembers by which revision it was removed.
-//
-// Another VM may keep the entry for a while after an outage and send it with a later list.
-func (m *Members) drop(id string, revision uint64) {
+// drop removes an entry and keeps a tombstone with the revision of the removal: another VM may have
+// deferred the removal after an outage and send the entry in a later list.
+func (m *TargetSet) drop(id string, revision uint64) {
 	delete(m.entries, id)
-	delete(m.missing, id)
-	m.removed[id] = max(m.removed[id], revision)
-	if len(m.removed) > maxRemoved {
-		m.forgetOldest()
+	delete(m.deferred, id)
+	m.tombstones[id] = max(m.tombstones[id], revision)
+	if len(m.tombstones) > maxTombstones {
+		m.dropOldestTombstone()
 	}
 }
 
-// forgetOldest forgets the removal with the lowest revision.
-func (m *Members) forgetOldest() {
+// dropOldestTombstone drops the tombstone with the lowest revision.
+func (m *TargetSet) dropOldestTombstone() {
 	oldest := ""
-	for id, revision := range m.removed {
-		if oldest == "" || revision < m.removed[oldest] {
+	for id, revision := range m.tombstones {
+		if oldest == "" || revision < m.tombstones[oldest] {
 			oldest = id
 		}
 	}
-	m.completeSince = max(m.completeSince, m.removed[oldest])
-	delete(m.removed, oldest)
+	m.completeSince = max(m.completeSince, m.tombstones[oldest])
+	delete(m.tombstones, oldest)
 }
 
-// Expire drops targets whose grace is over and reports whether there were any.
-func (m *Members) Expire(now time.Duration) bool {
+// Expire applies the deferred removals that are due and reports whether there were any. None is
+// applied while the store is down.
+func (m *TargetSet) Expire(now time.Duration) bool {
 	changed := false
-	for id, a := range m.missing {
-		if now >= a.until && !m.down {
+	for id, a := range m.deferred {
+		if now >= a.dueAt && !m.storeDown {
 			m.drop(id, a.revision)
 			changed = true
 		}
@@ -193,27 +198,27 @@
 	return changed
 }
 
-// Waiting reports whether some targets are in their grace.
-func (m *Members) Waiting() bool { return len(m.missing) > 0 }
+// HasDeferredRemovals reports whether any removal is deferred.
+func (m *TargetSet) HasDeferredRemovals() bool { return len(m.deferred) > 0 }
 
-// Snapshot returns the targets in order of their ids.
-func (m *Members) Snapshot() Targets {
+// Snapshot returns the targets, sorted by id, and the revision of the set.
+func (m *TargetSet) Snapshot() Targets {
 	list := slices.Collect(maps.Values(m.entries))
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	return Targets{Revision: m.revision, List: list}
 }
 
-// View is what requests are decided on. It is immutable.
+// View is the state by which requests are routed. It is immutable.
 type View struct {
 	// Routes is nil until a configuration is known.
 	Routes  *route.Table
 	Targets Targets
-	// ByService holds the targets that take requests.
+	// ByService holds the targets that are not draining.
 	ByService map[string][]*Target
 	ByID      map[string]*Target
 }
 
-// NewView indexes the parts.
+// NewView returns a view of the routes and targets, with indexes of the targets.
 func NewView(routes *route.Table, t Targets) *View {
 	v := &View{Routes: routes, Targets: t, ByService: make(map[string][]*Target), ByID: make(map[string]*Target, len(t.List))}
 	for i := range t.List {
@@ -226,7 +231,7 @@
 	return v
 }
 
-// ConfigVersion returns the version in force, 0 for none.
+// ConfigVersion returns the version of the configuration in force, or 0 if there is none.
 func (v *View) ConfigVersion() uint64 {
 	if v.Routes == nil {
 		return 0
--- a/internal/catalog/changes_test.go
+++ b/internal/catalog/changes_test.go
@@ -10,10 +10,10 @@
 	_ "hemlockquay/internal/fixedseed"
 )
 
-// Guards against a VM that follows by changes and ends up with another list.
+// Guards against a VM that applies changes and arrives at a different list than their source.
 func TestChangesLeadToTheSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source, follower := NewMembers(), NewMembers()
+		source, follower := NewTargetSet(), NewTargetSet()
 		first := Targets{Revision: 10, List: []Target{{ID: "t0", Revision: 3}, {ID: "t1", Revision: 9}}}
 		source.Replace(first, 0)
 		follower.Replace(first, 0)
@@ -37,9 +37,9 @@
 	})
 }
 
-// Guards against a list that keeps a target because its removal was forgotten.
-func TestChangesThatAreNotAllKnownAreNotGiven(t *testing.T) {
-	m := NewMembers()
+// Guards against a VM that keeps a removed target because the tombstone was dropped at the source.
+func TestIncompleteChangesAreNotReturned(t *testing.T) {
+	m := NewTargetSet()
 	_, ok := m.ChangesSince(0)
 	require.False(t, ok, "no list yet")
 	m.Replace(Targets{Revision: 10}, 0)
@@ -47,12 +47,12 @@
 	require.False(t, ok, "before the first list")
 	_, ok = m.ChangesSince(11)
 	require.False(t, ok, "later than the list")
-	for i := range maxRemoved + 1 {
+	for i := range maxTombstones + 1 {
 		m.Remove(fmt.Sprint(i), uint64(11+i), 0)
 	}
 	_, ok = m.ChangesSince(10)
-	require.False(t, ok, "a removal was forgotten")
+	require.False(t, ok, "a tombstone was dropped")
 	c, ok := m.ChangesSince(11)
 	require.True(t, ok)
-	require.Len(t, c.Removed, maxRemoved)
+	require.Len(t, c.Removed, maxTombstones)
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -35,7 +35,7 @@
 	// lastFailure says why the last delivered attempt failed. If its target did not hold the key,
 	// misdirectedBy is the version of the leases that was used.
 	lastFailure   repeatCause
-	misdirectedBy mesh.LeaseMark
+	misdirectedBy mesh.LeaseVersion
 	// failedResponse is the last response with a server error. The caller gets it if no later
 	// attempt succeeds.
 	failedResponse *upstream.Answer
--- a/internal/gateway/fetch.go
+++ b/internal/gateway/fetch.go
@@ -164,13 +164,13 @@
 // applyFetchedTargets applies the changes to the list of targets, or the whole list.
 func (g *Gateway) applyFetchedTargets(vm string, r *FetchReply) error {
 	if r.Changes != nil {
-		g.state.updateTargets(vm, func(m *catalog.Members, now time.Duration) { m.Apply(*r.Changes, now) })
+		g.state.updateTargets(vm, func(m *catalog.TargetSet, now time.Duration) { m.Apply(*r.Changes, now) })
 	} else {
 		var t catalog.Targets
 		if err := packed.Decode(r.Data, &t); err != nil {
 			return err
 		}
-		g.state.updateTargets(vm, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
+		g.state.updateTargets(vm, func(m *catalog.TargetSet, now time.Duration) { m.Replace(t, now) })
 	}
 	g.listed.Store(true)
 	g.reportReady()
--- a/internal/gateway/fetch_test.go
+++ b/internal/gateway/fetch_test.go
@@ -64,7 +64,7 @@
 	a, b := newPeerGateway(t, "a", 0), newPeerGateway(t, "b", 0)
 	want := largeConfig(7, 1560)
 	a.state.setConfig(want, sourceStore)
-	b.mesh.Meet(a.self)
+	b.mesh.Add(a.self)
 	eventually(t, func() bool { return b.configVersion() == 7 })
 	require.Equal(t, want, b.state.view.Load().Routes.Config())
 }
@@ -82,10 +82,10 @@
 		return assert.ObjectsAreEqual(a.state.view.Load().Targets, b.state.view.Load().Targets)
 	}
 	a.state.setTargets(5, catalog.Target{ID: "t", Service: "s"}, catalog.Target{ID: "u", Service: "s"})
-	b.mesh.Meet(a.self)
+	b.mesh.Add(a.self)
 	eventually(t, same)
 
-	a.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+	a.state.updateTargets(sourceStore, func(m *catalog.TargetSet, now time.Duration) {
 		m.Remove("t", 6, now)
 		m.Put(catalog.Target{ID: "v", Service: "s", Revision: 7}, 7)
 	})
@@ -123,7 +123,7 @@
 	for _, name := range []string{"b", "c", "d", "e"} {
 		g := newPeerGateway(t, name, 0)
 		for _, other := range gateways {
-			g.mesh.Meet(other.self)
+			g.mesh.Add(other.self)
 		}
 		eventually(t, func() bool { return g.configVersion() == 7 })
 		gateways[0].transfers.limiter.SetLimit(0)
@@ -157,7 +157,7 @@
 		return err
 	})
 	<-begun
-	b.mesh.Meet(a.self)
+	b.mesh.Add(a.self)
 	require.NoError(t, <-ended)
 	require.EqualValues(t, 7, b.configVersion())
 }
--- a/internal/gateway/hotkey_test.go
+++ b/internal/gateway/hotkey_test.go
@@ -25,7 +25,7 @@
 	s.leases.Set(hot)
 	sent := func(key uint16) (n int) {
 		for range 1000 {
-			if a, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseMark{}, time.Second); a != nil {
+			if a, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, key, mesh.LeaseVersion{}, time.Second); a != nil {
 				s.finish(a, resultSucceeded)
 				n++
 			} else {
--- a/internal/gateway/leaseexpiry.go
+++ b/internal/gateway/leaseexpiry.go
@@ -37,7 +37,7 @@
 		return ""
 	}
 	r := g.state.leases.Get(service)
-	if r == nil || g.mesh.Lives(r.Holder, r.Incarnation) {
+	if r == nil || g.mesh.IsLive(r.Holder, r.Incarnation) {
 		return ""
 	}
 	renewedAt := g.state.leases.ChangedAt(service)
--- a/internal/gateway/leasing/candidate.go
+++ b/internal/gateway/leasing/candidate.go
@@ -149,7 +149,7 @@
 		return -1, false
 	}
 	r := c.Leases.Get(c.service)
-	if r != nil && r.Holder != c.Self.VM && c.Mesh.Lives(r.Holder, r.Incarnation) && !c.isolated(r.Holder) {
+	if r != nil && r.Holder != c.Self.VM && c.Mesh.IsLive(r.Holder, r.Incarnation) && !c.isolated(r.Holder) {
 		c.storeStableSince = 0
 		return -1, true
 	}
@@ -160,7 +160,7 @@
 	}
 	rank = c.LocalState.SuccessionRank(c.service)
 	if leaving {
-		rank += min(c.Mesh.Staying(), closeMonitors)
+		rank += min(c.Mesh.NonLeavingPeers(), closeMonitors)
 	}
 	if int64(now) < c.demotedUntil.Load() {
 		// All others come first. If all have resigned, one of them must still take over.
@@ -174,7 +174,7 @@
 // or fail.
 func (c *candidate) isolated(holder string) bool {
 	now := c.Clock.Now()
-	if !c.LocalState.StoreUp() || c.Mesh.ReachesStoreIndirectly(holder) {
+	if !c.LocalState.StoreUp() || c.Mesh.ReachesStoreByAnyPath(holder) {
 		c.isolatedSince = 0
 		return false
 	}
@@ -194,7 +194,7 @@
 // succeed a live grantor. A VM that made no call during an outage considers the store up throughout;
 // when the outage ends, the grantor needs a moment to reach the store again.
 func (c *candidate) storeStable(old lease.Record) bool {
-	if old.Resigned || old.Holder == c.Self.VM || !c.Mesh.Lives(old.Holder, old.Incarnation) {
+	if old.Resigned || old.Holder == c.Self.VM || !c.Mesh.IsLive(old.Holder, old.Incarnation) {
 		return true
 	}
 	now := c.Clock.Now()
@@ -278,7 +278,7 @@
 // hasLiveGrantor reports whether the record names a live grantor that is not isolated. If so, it
 // publishes the record on this VM, since no heartbeat has named the grantor yet.
 func (c *candidate) hasLiveGrantor(r lease.Record) bool {
-	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.Lives(r.Holder, r.Incarnation) || c.isolated(r.Holder) {
+	if r.Resigned || r.Holder == c.Self.VM || !c.Mesh.IsLive(r.Holder, r.Incarnation) || c.isolated(r.Holder) {
 		return false
 	}
 	old := c.Leases.Get(c.service)
--- a/internal/gateway/leasing/incarnations.go
+++ b/internal/gateway/leasing/incarnations.go
@@ -136,7 +136,7 @@
 		wait.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 			defer cancel()
-			senders[i].pool.Drop()
+			senders[i].pool.CloseIdle()
 			for range grantConnections {
 				if senders[i].pool.Connect(ctx) != nil {
 					return
--- a/internal/gateway/leasing/leader.go
+++ b/internal/gateway/leasing/leader.go
@@ -159,7 +159,7 @@
 // shouldHandOver reports whether this VM is leaving and another one should be the grantor: one that
 // stays, or any other once this VM's process is about to exit.
 func (l *leader) shouldHandOver() bool {
-	return l.LocalState.Leaving() && (l.Mesh.Staying() > 0 || l.LocalState.TimeUntilExit() < finalResignWindow)
+	return l.LocalState.Leaving() && (l.Mesh.NonLeavingPeers() > 0 || l.LocalState.TimeUntilExit() < finalResignWindow)
 }
 
 // mostOwnersSilent reports whether so many owners leave orders unanswered that the fault is probably
--- a/internal/gateway/leasing/leasing.go
+++ b/internal/gateway/leasing/leasing.go
@@ -57,14 +57,14 @@
 
 // Mesh is the part of the mesh of VMs that a Manager uses.
 type Mesh interface {
-	// Lives reports whether the given incarnation of a VM is alive.
-	Lives(vm string, incarnation uint64) bool
+	// IsLive reports whether the given incarnation of a VM is alive.
+	IsLive(vm string, incarnation uint64) bool
 	// LastHeard returns when the given incarnation of a VM was last heard from. known is false if
 	// that is not known.
 	LastHeard(vm string, incarnation uint64) (at time.Duration, known bool)
-	// ReachesStoreIndirectly reports whether a VM reaches the store, directly or through another
+	// ReachesStoreByAnyPath reports whether a VM reaches the store, directly or through another
 	// VM.
-	ReachesStoreIndirectly(vm string) bool
+	ReachesStoreByAnyPath(vm string) bool
 	// StoreRelays returns the VMs through which the store can be called.
 	StoreRelays() []mesh.Member
 	// Monitor makes this VM closely monitor the VM that has a duty. An empty name ends the
@@ -76,8 +76,8 @@
 	Replaced(vm, addr string, incarnation uint64) bool
 	// Size is the number of live VMs, including this one.
 	Size() int
-	// Staying is the number of other live VMs that were not asked to end.
-	Staying() int
+	// NonLeavingPeers is the number of other live VMs that were not asked to end.
+	NonLeavingPeers() int
 	// Others returns the other live VMs.
 	Others() []string
 	// Call calls a method of another VM.
--- a/internal/gateway/leasing/orders.go
+++ b/internal/gateway/leasing/orders.go
@@ -97,7 +97,7 @@
 //
 // This VM may be suspended between the decision and the send, and be succeeded meanwhile. The deadline
 // of its authority is therefore checked right before the send, on a clock that counts suspended time.
-func (l *leader) sendOrder(ctx context.Context, sender *orderSender, o lease.Order, conn upstream.Choice, timeout time.Duration) lease.Result {
+func (l *leader) sendOrder(ctx context.Context, sender *orderSender, o lease.Order, conn upstream.ConnPolicy, timeout time.Duration) lease.Result {
 	sent := l.Clock.Now()
 	result, handover, err := lease.Unreached, "", errAuthorityExpired
 	if int64(sent) < l.orderDeadline.Load() {
@@ -116,7 +116,7 @@
 
 var errAuthorityExpired = errors.New("the authority to send orders has expired")
 
-func (l *leader) exchange(ctx context.Context, sender *orderSender, o lease.Order, conn upstream.Choice, timeout time.Duration) (lease.Result, string, error) {
+func (l *leader) exchange(ctx context.Context, sender *orderSender, o lease.Order, conn upstream.ConnPolicy, timeout time.Duration) (lease.Result, string, error) {
 	request, err := l.OrderCodec.Order(o)
 	if err != nil {
 		return lease.Unreached, "", err
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -62,7 +62,7 @@
 
 // isStale reports whether the leases known here are older than mark and must be fetched. Within an
 // epoch they must have been older for staleFetchDelay.
-func (g *Gateway) isStale(mark mesh.LeaseMark) bool {
+func (g *Gateway) isStale(mark mesh.LeaseVersion) bool {
 	r := g.state.leases.Get(mark.Service)
 	if r == nil || mark.Epoch > r.Epoch {
 		return true
@@ -174,7 +174,7 @@
 			continue
 		}
 		for _, m := range members {
-			g.mesh.Meet(m)
+			g.mesh.Add(m)
 		}
 		g.joined.Store(true)
 	}
@@ -196,7 +196,7 @@
 			g.log.Warn().Str("step", "join").Str("vm", o.Name).Err(err).Msg("ignored VM object that could not be decoded")
 			continue
 		}
-		g.mesh.Meet(m)
+		g.mesh.Add(m)
 	}
 	g.joined.Store(true)
 	return nil
--- a/internal/gateway/peers_test.go
+++ b/internal/gateway/peers_test.go
@@ -32,7 +32,7 @@
 	clock := newManualClock(time.Hour)
 	g := newTestGateway(clock)
 	defer g.mesh.Close()
-	mark := mesh.LeaseMark{Service: "s", Epoch: 3, Seq: 2}
+	mark := mesh.LeaseVersion{Service: "s", Epoch: 3, Seq: 2}
 	require.True(t, g.isStale(mark), "unknown leases are fetched at once")
 	g.state.leases.Set(testRouting(1, 0))
 	require.False(t, g.isStale(mark))
--- a/internal/gateway/published/published.go
+++ b/internal/gateway/published/published.go
@@ -138,10 +138,10 @@
 }
 
 // Versions returns the versions of all leases.
-func (l *Leases) Versions() []mesh.LeaseMark {
-	var out []mesh.LeaseMark
+func (l *Leases) Versions() []mesh.LeaseVersion {
+	var out []mesh.LeaseVersion
 	for _, r := range l.All() {
-		out = append(out, mesh.LeaseMark{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq})
+		out = append(out, mesh.LeaseVersion{Service: r.Service, Epoch: r.Epoch, Seq: r.Seq})
 	}
 	return out
 }
--- a/internal/gateway/repeats_test.go
+++ b/internal/gateway/repeats_test.go
@@ -25,7 +25,7 @@
 	require.EqualValues(t, 1, count("keyed", causeRefused))
 	require.EqualValues(t, 1, b.repeatCount("keyed"))
 
-	c := &call{service: "keyed", lastFailure: causeMisdirected, misdirectedBy: mesh.LeaseMark{Service: "keyed", Epoch: 1, Seq: 1}}
+	c := &call{service: "keyed", lastFailure: causeMisdirected, misdirectedBy: mesh.LeaseVersion{Service: "keyed", Epoch: 1, Seq: 1}}
 	require.Equal(t, causeMisdirected, b.repeatCauseOf(c))
 	b.state.setOwner("keyed", 1, 2, "k", lease.Served)
 	require.Equal(t, causeMoved, b.repeatCauseOf(c))
--- a/internal/gateway/selection.go
+++ b/internal/gateway/selection.go
@@ -28,7 +28,7 @@
 	// cold reports whether the key is cold at its owner.
 	cold bool
 	// leases is the version of the leases that named the owner.
-	leases mesh.LeaseMark
+	leases mesh.LeaseVersion
 	// vmsUsing is the number of VMs that sent requests to the target at the time of the
 	// reservation.
 	vmsUsing int
@@ -82,7 +82,7 @@
 // reserveOwner reserves the target that owns the key. The leases must be later than misdirected,
 // the version by which the request was misdirected before. On a refusal, it also returns the
 // inputs of the decision.
-func (s *routingState) reserveOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseMark, timeLeft time.Duration) (*attempt, refusal, string) {
+func (s *routingState) reserveOwner(service string, rt *route.Route, key uint16, misdirected mesh.LeaseVersion, timeLeft time.Duration) (*attempt, refusal, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.leases.Get(service)
@@ -116,7 +116,7 @@
 	if a == nil {
 		return nil, reason, t.describeLoad()
 	}
-	a.cold, a.leases = cold, mesh.LeaseMark{Service: service, Epoch: r.Epoch, Seq: r.Seq}
+	a.cold, a.leases = cold, mesh.LeaseVersion{Service: service, Epoch: r.Epoch, Seq: r.Seq}
 	return a, reason, ""
 }
 
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -38,7 +38,7 @@
 	// search.
 	startIndex int
 	// membership tracks which targets exist.
-	membership *catalog.Members
+	membership *catalog.TargetSet
 	// configChangedAt is when the configuration last changed.
 	configChangedAt time.Duration
 	// changed is closed and replaced when the leases or view change.
@@ -94,7 +94,7 @@
 func newRoutingState(clock boottime.Clock, logger *log.Logger, registry metrics.Registry, dataCentre string, repeatLimit repeats.Limit) *routingState {
 	s := &routingState{
 		clock: clock, log: logger, registry: registry, dataCentre: dataCentre, repeatLimit: repeatLimit, fleet: onlyVM,
-		membership: catalog.NewMembers(), changed: make(chan struct{}), announce: func() {},
+		membership: catalog.NewTargetSet(), changed: make(chan struct{}), announce: func() {},
 		targets: make(map[string]*targetState), byHash: make(map[uint32]*targetState),
 		inUse: make(map[*targetState]struct{}), budgets: make(map[string]*repeats.Budget),
 		durations: make(map[string]*duration.Table), warmupCost: make(map[string]float64), urgency: make(map[string]*urgency.Meter),
@@ -153,7 +153,7 @@
 }
 
 // updateTargets changes the list of targets and publishes the new list.
-func (s *routingState) updateTargets(source string, change func(m *catalog.Members, now time.Duration)) {
+func (s *routingState) updateTargets(source string, change func(m *catalog.TargetSet, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.membership, s.clock.Now())
--- a/internal/gateway/state_test.go
+++ b/internal/gateway/state_test.go
@@ -42,7 +42,7 @@
 	for i := range targets {
 		targets[i].Revision = revision
 	}
-	s.updateTargets("test", func(m *catalog.Members, now time.Duration) {
+	s.updateTargets("test", func(m *catalog.TargetSet, now time.Duration) {
 		m.Replace(catalog.Targets{Revision: revision, List: targets}, now)
 	})
 }
@@ -62,12 +62,12 @@
 	target.Draining = true
 	s.setTargets(2, target)
 
-	a, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	a, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, notRefused, reason, "a draining owner serves the key until it has another owner")
 	s.finish(a, resultAbandoned)
 
 	clock.advance(drainingOwnerGrace + time.Millisecond)
-	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedLost, reason)
 }
 
@@ -75,13 +75,13 @@
 	s := newTestState(newManualClock(0))
 	s.setTargets(1, catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2})
 	s.setOwner("s", 1, 2, "t", lease.Moving)
-	_, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedMoving, reason)
 	s.setOwner("s", 1, 1, "t", lease.Served)
-	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedMoving, reason, "older leases are ignored")
 	s.setOwner("s", 2, 1, "t", lease.Served)
-	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, notRefused, reason)
 }
 
@@ -106,19 +106,19 @@
 	target := catalog.Target{ID: "t", Service: "s", Addr: "127.0.0.1:1", Slots: 2, Born: 1}
 	s.setTargets(1, target)
 	s.setOwner("s", 1, 1, "t", lease.Served)
-	a, _, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	a, _, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	resp := &upstream.Answer{Status: http.StatusMisdirectedRequest, Header: http.Header{"Instance": {"other"}}}
 	h := fakeAdapter{}.Headers()
 	require.True(t, h.fromOtherTarget(resp, "t"))
 	require.False(t, h.fromOtherTarget(resp, "other"), "a target that only does not hold the key is not another target")
 	s.markDisplaced(a)
-	_, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, reason, _ := s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, refusedLost, reason)
 	_, reason = s.reserveFromPool("s", &route.Route{}, nil, time.Second, 0)
 	require.Equal(t, refusedFull, reason)
 	target.Born = 2
 	s.setTargets(2, target)
-	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseMark{}, time.Second)
+	_, reason, _ = s.reserveOwner("s", &route.Route{Name: "r"}, 7, mesh.LeaseVersion{}, time.Second)
 	require.Equal(t, notRefused, reason, "the new incarnation gets requests")
 }
 
--- a/internal/gateway/storestate.go
+++ b/internal/gateway/storestate.go
@@ -32,11 +32,11 @@
 		// this one.
 		g.mesh.Announce()
 	}
-	g.state.updateMembership(func(m *catalog.Members, now time.Duration) {
+	g.state.updateMembership(func(m *catalog.TargetSet, now time.Duration) {
 		if up {
-			m.StoreBack(now)
+			m.MarkStoreUp(now)
 		} else {
-			m.StoreLost()
+			m.MarkStoreDown()
 		}
 	})
 }
@@ -66,5 +66,5 @@
 // leaseStore returns the store for lease records. While this VM does not reach the store, other
 // VMs relay its calls.
 func (g *Gateway) leaseStore() *storerelay.Store {
-	return &storerelay.Store{Direct: g.store, Up: g.storeUp.Load, Mesh: g.mesh, Answered: g.recordRelayedResponse}
+	return &storerelay.Store{Direct: g.store, Up: g.storeUp.Load, Mesh: g.mesh, OnRelayAnswer: g.recordRelayedResponse}
 }
--- a/internal/gateway/watch.go
+++ b/internal/gateway/watch.go
@@ -78,7 +78,7 @@
 // place returns this VM's place, from 0, in the order of preference for a duty among the live VMs
 // for which fit returns true. VMs with much faster links come first, because on a link of 10
 // Mbit/s the renewals of hundreds of ranges compete with requests.
-func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Place(duty, fit) }
+func (g *Gateway) place(duty string, fit func(vm string) bool) int { return g.mesh.Rank(duty, fit) }
 
 // successionPlace returns this VM's place in the succession of a service's grantor. VMs that do
 // not reach the store have a place too: they can be grantors through a relay, and while no VM
@@ -86,7 +86,7 @@
 // shutting down has a place among those that are.
 func (g *Gateway) successionPlace(service string) int {
 	if g.leaving.Load() {
-		return g.mesh.PlaceAmongLeaving(service)
+		return g.mesh.RankAmongLeaving(service)
 	}
 	return g.place(service, func(string) bool { return true })
 }
@@ -121,7 +121,7 @@
 }
 
 // updateMembership changes the membership in a way that does not change the list of targets.
-func (s *routingState) updateMembership(change func(m *catalog.Members, now time.Duration)) {
+func (s *routingState) updateMembership(change func(m *catalog.TargetSet, now time.Duration)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s.membership, s.clock.Now())
@@ -138,11 +138,11 @@
 				t.List = append(t.List, target)
 			}
 		}
-		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) { m.Replace(t, now) })
+		g.state.updateTargets(sourceStore, func(m *catalog.TargetSet, now time.Duration) { m.Replace(t, now) })
 		g.listed.Store(true)
 		g.reportReady()
 	}, func(c platform.Changes) {
-		g.state.updateTargets(sourceStore, func(m *catalog.Members, now time.Duration) {
+		g.state.updateTargets(sourceStore, func(m *catalog.TargetSet, now time.Duration) {
 			for _, ev := range c.Events {
 				g.applyTarget(m, ev, now)
 			}
@@ -150,7 +150,7 @@
 	})
 }
 
-func (g *Gateway) applyTarget(m *catalog.Members, ev platform.Event, now time.Duration) {
+func (g *Gateway) applyTarget(m *catalog.TargetSet, ev platform.Event, now time.Duration) {
 	if ev.Type == platform.EventDelete {
 		m.Remove(ev.Object.Name, ev.Revision, now)
 		return
@@ -209,7 +209,7 @@
 	const interval = 100 * time.Millisecond
 	for pause.For(ctx, interval) {
 		g.state.mu.Lock()
-		if g.state.membership.Waiting() && g.state.membership.Expire(g.clock.Now()) {
+		if g.state.membership.HasDeferredRemovals() && g.state.membership.Expire(g.clock.Now()) {
 			g.state.publishLocked("still missing after an outage")
 		}
 		g.state.mu.Unlock()
--- a/internal/gateway/watch_test.go
+++ b/internal/gateway/watch_test.go
@@ -56,7 +56,7 @@
 				g.receiveHeartbeat(mesh.Heartbeat{From: mesh.Member{VM: fmt.Sprintf("vm-%d", j), Addr: "127.0.0.1:1", Incarnation: 1}, Leaving: j < 5})
 			}
 		}
-		require.Equal(t, 3, g.mesh.Staying())
+		require.Equal(t, 3, g.mesh.NonLeavingPeers())
 		places[g.successionPlace("s")] = true
 	}
 	require.Len(t, places, 5)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,9 +1,9 @@
-// Package mesh joins the VMs of the system: which ones live, what each one believes of
-// the store, and what it has running at the targets.
+// Package mesh tracks the VMs of the system by heartbeats: which VMs are live, whether each one
+// reaches the store, and how many requests it has in flight at each target.
 //
-// Each VM exchanges heartbeats with each other one, with its neighbours several times a second
-// and with the rest the more rarely the larger the fleet is. A heartbeat is small and holds only
-// versions; a VM that sees a newer one fetches it.
+// Each pair of VMs exchanges heartbeats: neighbours several times a second, other pairs at a
+// period that grows with the fleet. A heartbeat is small: it carries versions of configuration,
+// targets and leases rather than their contents. A VM that sees a newer version fetches it.
 package mesh
 
 import (
@@ -23,33 +23,35 @@
 // Periods of the mesh.
 const (
 	// basePeriod is the time between two exchanges of a pair of VMs in a small
-	// fleet. One of the two calls; the reply carries as much as the call.
+	// fleet. Only one of the two calls; the reply carries the other's heartbeat.
 	basePeriod = 150 * time.Millisecond
-	// overdue is after how many periods without a heartbeat the other one calls.
-	overdue = 1.6
-	// periodPerVM makes the period grow with the fleet beyond smallFleet, so that a VM
-	// exchanges about 40 heartbeats a second with VMs that are no neighbours.
-	periodPerVM = 24 * time.Millisecond
-	smallFleet  = 6
-	// callTimeout bounds one exchange.
+	// overdueFactor is the number of periods without a heartbeat after which the VM of a pair
+	// that normally only answers makes the call itself.
+	overdueFactor = 1.6
+	// periodPerVM, multiplied by the number of VMs beyond smallFleetSize, is the period in a
+	// larger fleet, so that a VM exchanges about 40 heartbeats a second with VMs that are not its
+	// neighbours.
+	periodPerVM    = 24 * time.Millisecond
+	smallFleetSize = 6
+	// callTimeout bounds one heartbeat exchange or small call.
 	callTimeout = 400 * time.Millisecond
-	// transferTimeout bounds a transfer: a megabyte over a link of 10 Mbit/s.
+	// transferTimeout bounds a transfer. It suffices for 1 MB over a link of 10 Mbit/s.
 	transferTimeout = time.Second
-	// silentPeriods is after how many periods without a heartbeat a VM counts as
-	// failed; silentLeast is the least, since a short pause is no failure.
-	silentPeriods = 2.6
-	silentLeast   = 750 * time.Millisecond
-	// forgetAfter is when a lost VM is not called any more. One that returns
-	// calls by itself.
+	// failureTimeoutPeriods is the number of periods without a heartbeat after which a VM counts
+	// as failed. minFailureTimeout is the lower bound, so that a short pause is not a failure.
+	failureTimeoutPeriods = 2.6
+	minFailureTimeout     = 750 * time.Millisecond
+	// forgetAfter is the time without a heartbeat after which a lost VM is removed and no longer
+	// called. If it returns, it calls by itself.
 	forgetAfter = time.Minute
-	// stallAfter is a gap between two steps of our own from which we were
-	// paused and know nothing of the others.
-	stallAfter = 500 * time.Millisecond
+	// pauseThreshold is the gap between two checks above which this VM itself counts as paused in
+	// between. Then the age of the other VMs' heartbeats says nothing about them.
+	pauseThreshold = 500 * time.Millisecond
 )
 
-// Local is what the mesh asks of its VM.
+// Local is implemented by the daemon that the mesh runs in.
 type Local interface {
-	// Heartbeat returns the state to send.
+	// Heartbeat returns the heartbeat to send.
 	Heartbeat() Heartbeat
 	// OnHeartbeat is called with each heartbeat of a live VM. It must not block.
 	OnHeartbeat(Heartbeat)
@@ -63,15 +65,15 @@
 	transfers *peer.Client
 	lastHeard time.Duration
 	heartbeat Heartbeat
-	// past is an earlier life of the VM that reported crashes, or nil.
-	past *pastLife
-	// counted are the loads of the heartbeat that are in the sums.
-	counted  []Load
-	cancel   context.CancelFunc
-	announce chan struct{}
+	// previous is the last earlier incarnation of the VM that reported crashes, or nil.
+	previous *previousIncarnation
+	// countedLoads are the VM's loads that are included in Mesh.loads.
+	countedLoads  []Load
+	cancel        context.CancelFunc
+	announcements chan struct{}
 }
 
-// Mesh is the VM's view of the others. It is safe for concurrent use.
+// Mesh is this VM's view of the other VMs. It is safe for concurrent use.
 type Mesh struct {
 	self  Member
 	local Local
@@ -84,38 +86,39 @@
 
 	mu      sync.Mutex
 	remotes map[string]*remote
-	// monitored holds the VMs that are monitored closely, by duty.
+	// monitored holds the closely monitored VM of each duty.
 	monitored map[string]string
-	// neighbours are the VMs that use some of the same targets as this one.
+	// neighbours are the VMs that share targets with this one.
 	neighbours map[string]bool
 	loads      loadSums
-	// blindUntil is until when no VM counts as failed: this one was paused
-	// itself.
-	blindUntil time.Duration
-	lastStep   time.Duration
+	// detectionResumesAt is the time before which no VM counts as failed, because this VM was
+	// paused itself.
+	detectionResumesAt time.Duration
+	lastCheck          time.Duration
 }
 
-// New returns a mesh that knows nobody.
+// New returns a mesh that knows only this VM.
 func New(self Member, clock boottime.Clock, logger *log.Logger) *Mesh {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Mesh{self: self, clock: clock, log: logger, ctx: ctx, cancel: cancel, remotes: make(map[string]*remote), monitored: make(map[string]string), loads: newLoadSums(), lastStep: clock.Now()}
+	return &Mesh{self: self, clock: clock, log: logger, ctx: ctx, cancel: cancel, remotes: make(map[string]*remote), monitored: make(map[string]string), loads: newLoadSums(), lastCheck: clock.Now()}
 }
 
-// Start begins to answer with local's state.
+// Start sets the source of this VM's heartbeats and the receiver of the others'. Call it before
+// heartbeats are exchanged.
 func (m *Mesh) Start(local Local) { m.local = local }
 
-// Close ends all exchanges.
+// Close stops all exchanges and waits for their end.
 func (m *Mesh) Close() {
-	// No exchange may begin while the others are awaited.
+	// Cancelling under the lock ensures that Add starts no exchange during Wait.
 	m.mu.Lock()
 	m.cancel()
 	m.mu.Unlock()
 	m.wait.Wait()
 }
 
-// Meet adds a VM, or a new life of one.
-func (m *Mesh) Meet(who Member) {
-	if who.VM == m.self.VM || who.VM == "" || who.Addr == "" {
+// Add adds a VM, or replaces a known VM by a new incarnation.
+func (m *Mesh) Add(member Member) {
+	if member.VM == m.self.VM || member.VM == "" || member.Addr == "" {
 		return
 	}
 	m.mu.Lock()
@@ -123,8 +126,8 @@
 	if m.ctx.Err() != nil {
 		return
 	}
-	old := m.remotes[who.VM]
-	if old != nil && !m.newerLocked(old, who) {
+	old := m.remotes[member.VM]
+	if old != nil && !m.supersedesLocked(old, member) {
 		return
 	}
 	if old != nil {
@@ -132,40 +135,39 @@
 		m.loads.replace(old, nil)
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
-	r := &remote{member: who, client: peer.NewClient(who.Addr, 1), transfers: peer.NewClient(who.Addr, 1), lastHeard: m.clock.Now(), cancel: cancel, announce: make(chan struct{}, 1)}
+	r := &remote{member: member, client: peer.NewClient(member.Addr, 1), transfers: peer.NewClient(member.Addr, 1), lastHeard: m.clock.Now(), cancel: cancel, announcements: make(chan struct{}, 1)}
 	if old != nil {
-		r.past = old.ended()
+		r.previous = old.asPrevious()
 	}
-	m.remotes[who.VM] = r
-	m.log.Info().Str("step", "mesh").Str("peer", who.VM).Str("addr", who.Addr).Uint64("incarnation", who.Incarnation).Msg("peer known")
+	m.remotes[member.VM] = r
+	m.log.Info().Str("step", "mesh").Str("peer", member.VM).Str("addr", member.Addr).Uint64("incarnation", member.Incarnation).Msg("peer added")
 	m.wait.Add(1)
 	go m.exchange(ctx, r)
 }
 
-// newerLocked reports whether who is another life than the one that is known. It
-// needs m.mu.
-// The incarnation of a VM whose time of day has jumped back is lower than before. A process that is
-// silent has ended in any case.
-func (m *Mesh) newerLocked(old *remote, who Member) bool {
-	if who.Incarnation == old.member.Incarnation {
+// supersedesLocked reports whether member is a later incarnation than the known one. The caller
+// holds m.mu.
+//
+// If the VM's wall clock stepped back, the later incarnation has the lower number. So any other
+// incarnation is accepted once the known one has exceeded the failure timeout.
+func (m *Mesh) supersedesLocked(old *remote, member Member) bool {
+	if member.Incarnation == old.member.Incarnation {
 		return false
 	}
-	return who.Incarnation > old.member.Incarnation || m.clock.Now()-old.lastHeard > m.silenceLocked()
+	return member.Incarnation > old.member.Incarnation || m.clock.Now()-old.lastHeard > m.failureTimeoutLocked()
 }
 
-// Live returns the VMs that sent heartbeats lately, this one included, in order of
-// their names. Those that leave are left out.
+// Live returns the live VMs that are not leaving, this one included, sorted by name.
 func (m *Mesh) Live() []Member {
-	out := m.live()
+	out := m.liveUnsorted()
 	slices.SortFunc(out, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
 	return out
 }
 
-// live returns the same in no order.
-func (m *Mesh) live() []Member { return append(m.liveOthers(false), m.self) }
+// liveUnsorted is Live without the sorting.
+func (m *Mesh) liveUnsorted() []Member { return append(m.liveOthers(false), m.self) }
 
-// liveOthers returns the other VMs that sent heartbeats lately: those that leave, or those
-// that do not.
+// liveOthers returns the other live VMs that are leaving, or those that are not.
 func (m *Mesh) liveOthers(leaving bool) []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,9 +181,9 @@
 	return out
 }
 
-// Lives reports whether this life of a VM sent heartbeats lately. One that leaves does its
-// duties until it reports that they have ended.
-func (m *Mesh) Lives(vm string, incarnation uint64) bool {
+// IsLive reports whether this incarnation of a VM is live. A leaving VM counts as live, since it
+// keeps its duties until it reports their end.
+func (m *Mesh) IsLive(vm string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if vm == m.self.VM {
@@ -191,8 +193,9 @@
 	return r != nil && r.member.Incarnation == incarnation && m.liveLocked(r, m.clock.Now())
 }
 
-// LastHeard returns when the last heartbeat of this life of a VM arrived, on the mesh's clock;
-// false if it is not known.
+// LastHeard returns when the last heartbeat of this incarnation of a VM arrived, or the incarnation
+// was added if none has arrived yet, on the mesh's clock. It returns false if the incarnation is
+// not known.
 func (m *Mesh) LastHeard(vm string, incarnation uint64) (time.Duration, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,8 +206,8 @@
 	return r.lastHeard, true
 }
 
-// Replaced reports whether a process of a VM has ended: a later one runs at its
-// address.
+// Replaced reports whether a process of a VM is known to have ended, because a later incarnation
+// runs at the same address.
 func (m *Mesh) Replaced(vm, addr string, incarnation uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -219,33 +222,38 @@
 	return now.Addr == addr && now.Incarnation > incarnation
 }
 
-// liveLocked needs m.mu.
-// After a suspension of this VM all others seem silent. It waits until they had time to call.
+// liveLocked reports whether a heartbeat arrived within the failure timeout. The caller holds
+// m.mu.
+//
+// After a pause of this VM the heartbeats of all others are old. None counts as failed until it
+// has had time to call again.
 func (m *Mesh) liveLocked(r *remote, now time.Duration) bool {
-	m.stepLocked(now)
-	return now < m.blindUntil || now-r.lastHeard < m.silenceOfLocked(r, now)
+	m.checkPauseLocked(now)
+	return now < m.detectionResumesAt || now-r.lastHeard < m.failureTimeoutOfLocked(r, now)
 }
 
-func (m *Mesh) stepLocked(now time.Duration) {
-	if now-m.lastStep > stallAfter {
-		m.blindUntil = now + m.silenceLocked()
+// checkPauseLocked suspends failure detection if this VM was paused since the last check.
+func (m *Mesh) checkPauseLocked(now time.Duration) {
+	if now-m.lastCheck > pauseThreshold {
+		m.detectionResumesAt = now + m.failureTimeoutLocked()
 	}
-	m.lastStep = now
+	m.lastCheck = now
 }
 
-// Announce sends a brief heartbeat to all VMs at once: this VM has a newer version of something.
+// Announce sends a brief heartbeat to all VMs without waiting for the period, to tell them that
+// this VM has a newer version of something.
 func (m *Mesh) Announce() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.remotes {
 		select {
-		case r.announce <- struct{}{}:
+		case r.announcements <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Size returns how many VMs are known, lost ones included.
+// Size returns the number of known VMs, including lost ones and this one.
 func (m *Mesh) Size() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -261,8 +269,8 @@
 	return callWithin(ctx, callTimeout, r.client, method, args, reply)
 }
 
-// Transfer calls one VM with a message or a reply that may be large, on a connection of its
-// own.
+// Transfer calls one VM with a message or a reply that may be large, on a connection separate
+// from heartbeats.
 func (m *Mesh) Transfer(ctx context.Context, vm, method string, args, reply any) error {
 	r := m.remote(vm)
 	if r == nil {
@@ -283,7 +291,7 @@
 	return m.remotes[vm]
 }
 
-// Others returns the names of all other VMs that are not lost.
+// Others returns the names of all other live VMs, including leaving ones.
 func (m *Mesh) Others() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -297,7 +305,7 @@
 	return out
 }
 
-// Members returns this VM and all that it knows.
+// Members returns this VM and all known VMs, including lost ones.
 func (m *Mesh) Members() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -308,7 +316,7 @@
 	return out
 }
 
-// Heartbeat exchanges heartbeats.
+// Heartbeat receives the caller's heartbeat and replies with this VM's, brief if the caller's is.
 func (s Service) Heartbeat(in *Heartbeat, out *Heartbeat) error {
 	s.Mesh.receive(*in)
 	*out = s.Mesh.local.Heartbeat()
@@ -318,7 +326,7 @@
 	return nil
 }
 
-// Join asks the VM at addr for all that it knows, and makes itself known.
+// Join makes self known to the VM at addr and returns all VMs that it knows.
 func Join(ctx context.Context, addr string, self Member) ([]Member, error) {
 	client := peer.NewClient(addr, 1)
 	defer client.Close()
--- a/internal/mesh/period.go
+++ b/internal/mesh/period.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// silenceLocked returns for how long a VM may be silent until it counts as failed.
-func (m *Mesh) silenceLocked() time.Duration {
-	return max(silentLeast, time.Duration(silentPeriods*float64(m.periodLocked())))
+// failureTimeoutLocked returns the time without a heartbeat after which a VM counts as failed. The
+// caller holds m.mu.
+func (m *Mesh) failureTimeoutLocked() time.Duration {
+	return max(minFailureTimeout, time.Duration(failureTimeoutPeriods*float64(m.periodLocked())))
 }
 
 func (m *Mesh) periodLocked() time.Duration {
-	return max(basePeriod, time.Duration(len(m.remotes)-smallFleet)*periodPerVM)
+	return max(basePeriod, time.Duration(len(m.remotes)-smallFleetSize)*periodPerVM)
 }
 
 // Period returns the time between two heartbeats of a pair of VMs.
@@ -18,23 +19,23 @@
 	return m.periodLocked()
 }
 
-// SetNeighbours has this VM exchange heartbeats more often with the VMs that use some of the
-// same targets: their loads decide where its requests go.
+// SetNeighbours sets the VMs that share targets with this one. Heartbeats with them are more
+// frequent, because this VM chooses targets by their loads.
 func (m *Mesh) SetNeighbours(vms map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.neighbours = vms
 }
 
-// periodOf returns the period of heartbeats with one VM, and whether that is monitored closely.
+// periodOf returns the period of heartbeats with one VM, and whether that VM is closely monitored.
 func (m *Mesh) periodOf(r *remote) (period time.Duration, monitored bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.monitoredLocked(r.member.VM):
-		return closePeriod, true
+		return maxClosePeriod, true
 	case m.neighbours[r.member.VM]:
-		return min(closePeriod, m.periodLocked()), false
+		return min(maxClosePeriod, m.periodLocked()), false
 	}
 	return m.periodLocked(), false
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,10 +9,10 @@
 	_ "hemlockquay/internal/fixedseed"
 )
 
-func table(routes ...Route) *Table { return NewTable(&Config{Version: 1, Routes: routes}, nil) }
+func newTestTable(routes ...Route) *Table { return NewTable(&Config{Version: 1, Routes: routes}, nil) }
 
 func TestLongestPrefixWins(t *testing.T) {
-	tab := table(
+	tab := newTestTable(
 		Route{Name: "short", Host: "a.example", Prefix: "/x/"},
 		Route{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		Route{Name: "other", Host: "b.example", Prefix: "/"},
@@ -23,14 +23,14 @@
 		require.Equal(t, want, r.Name, path)
 	}
 	r, _ := tab.Find("A.example:8080", "/x/y/")
-	require.Equal(t, "long", r.Name, "host names have no case, and a port is no part of them")
+	require.Equal(t, "long", r.Name, "hosts are compared without case and port")
 	r, _ = tab.Find("a.example", "/xy/")
 	require.Nil(t, r)
 	r, _ = tab.Find("c.example", "/x/")
 	require.Nil(t, r)
 }
 
-func TestSpreadKeepsEveryShareWithinOneRequest(t *testing.T) {
+func TestRotationKeepsSharesWithinOneRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
 		weights[0]++
@@ -39,7 +39,7 @@
 			splits[i] = Split{Service: string(rune('a' + i)), Weight: float64(w)}
 			total += w
 		}
-		s, got := NewSpread(splits), make(map[string]int)
+		s, got := NewRotation(splits), make(map[string]int)
 		n := rapid.IntRange(1, 500).Draw(t, "requests")
 		for range n {
 			got[s.Next()]++
@@ -51,9 +51,10 @@
 	})
 }
 
-// A change of one route must not reset the rotation of the others: with a change
-// each 0.3 s and few requests between, the first service would get all of them.
-func TestSpreadSurvivesChangesOfOtherRoutes(t *testing.T) {
+// Guards against a change of the configuration that resets the rotations of unchanged
+// routes: with a change every 0.3 s and few requests in between, the first service of
+// a route would get all of them.
+func TestRotationIsKeptAcrossConfigurations(t *testing.T) {
 	splits := []Split{{"a", 1}, {"b", 1}}
 	c := &Config{Routes: []Route{{Host: "h", Prefix: "/", Splits: splits}}}
 	got := make(map[string]int)
--- a/internal/upstream/held_test.go
+++ b/internal/upstream/reset_test.go
@@ -16,9 +16,9 @@
 	"hemlockquay/internal/standin/link/linktest"
 )
 
-// A target was cut off, and what was sent to it was given up and counted as out by then. It
-// arrived when the cut was over. After an exchange has returned, nothing of it may arrive.
-func TestWhatWasGivenUpDoesNotArriveLater(t *testing.T) {
+// Guards against a request that arrives at a target after its exchange has returned an error: the
+// path to the target is cut, the request is canceled, and the kernel delivers it when the cut ends.
+func TestCanceledRequestDoesNotArriveAfterACut(t *testing.T) {
 	var arrived atomic.Int32
 	l := linktest.Serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
@@ -33,25 +33,26 @@
 
 	l.Cut()
 	ctx, cancel := context.WithCancel(t.Context())
-	sent := make(chan error)
+	exchangeErr := make(chan error)
 	go func() {
 		r := request("2")
 		r.Method = http.MethodPost
 		_, err := p.Exchange(ctx, r, KeptConn)
-		sent <- err
+		exchangeErr <- err
 	}()
 	l.AwaitHeld()
 	cancel()
-	require.ErrorIs(t, <-sent, ErrLost)
+	require.ErrorIs(t, <-exchangeErr, ErrLost)
 	l.AwaitEnded()
 	l.Heal()
 	l.Drain()
 	require.Zero(t, arrived.Load())
 }
 
-// The same of a VM whose process is killed: the system ends its connections, and must not
-// go on sending for it. What the option does at the end of a process is the system's part.
-func TestTheSystemResetsConnectionsAtTheEndOfTheProcess(t *testing.T) {
+// Guards against the same for a VM whose process is killed: the kernel closes its connections and
+// must not continue to send. The test checks only that SO_LINGER is set to 0, which makes the kernel
+// reset them.
+func TestConnectionsAreResetAtTheEndOfTheProcess(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	p := NewPool(server.Listener.Addr().String(), metrics.NewCounter())
