--- a/internal/entry/active.go
+++ b/internal/entry/active.go
@@ -20,12 +20,12 @@
 // time in which another entry had that share, and both admit too much.
 
 // activate has the account looked at from now on.
-func (a *admitter) activate(account shares.Account, l *ledger) { a.active[account] = l }
+func (a *admitter) activate(account shares.Account, l *accountLimiter) { a.active[account] = l }
 
-// activateNamed activates accounts that another entry asks or lends for. They must
+// activateKnown activates accounts that another entry asks or lends for. They must
 // have been refreshed before the book changes: the book may have forgotten them, and
 // with them how long their requests take.
-func (a *admitter) activateNamed(account shares.Account, now time.Duration) {
+func (a *admitter) activateKnown(account shares.Account, now time.Duration) {
 	if l := a.accounts[account]; l != nil && a.active[account] == nil {
 		a.activate(account, l)
 		a.refresh(account, l, now)
@@ -37,41 +37,41 @@
 	for account, l := range a.active {
 		a.refresh(account, l, now)
 	}
-	if base := a.book.Base(now); base != a.base {
+	if base := a.ledger.Base(now); base != a.base {
 		a.base = base
 		for account, l := range a.accounts {
-			a.refreshQuiet(account, l, now)
+			a.refreshAny(account, l, now)
 		}
 	}
 }
 
-// refreshQuiet refreshes an account that may not be active.
-func (a *admitter) refreshQuiet(account shares.Account, l *ledger, now time.Duration) {
+// refreshAny refreshes an account that may not be active.
+func (a *admitter) refreshAny(account shares.Account, l *accountLimiter, now time.Duration) {
 	a.refresh(account, l, now)
 	if a.active[account] == nil {
-		a.book.Forget(account)
+		a.ledger.Forget(account)
 	}
 }
 
-// rest lets accounts without use or loans be. They were refreshed just before.
-func (a *admitter) rest(now time.Duration) {
+// deactivateIdle lets accounts without use or loans be. They were refreshed just before.
+func (a *admitter) deactivateIdle(now time.Duration) {
 	for account, l := range a.active {
-		if !l.busy(now) && !a.book.HasLoans(account) {
+		if !l.inUse(now) && !a.ledger.HasLoans(account) {
 			delete(a.active, account)
-			a.book.Forget(account)
+			a.ledger.Forget(account)
 		}
 	}
 }
 
-// busy reports whether the ledger's use of its share may change by itself.
-func (l *ledger) busy(now time.Duration) bool {
-	return l.offered > 0 || l.demand > 0 || l.gate.InFlight() > 0 || l.refusedAt != 0 || l.seen != 0 && now-l.seen < reserveFor
+// inUse reports whether the ledger's use of its share may change by itself.
+func (l *accountLimiter) inUse(now time.Duration) bool {
+	return l.offered > 0 || l.demandPerSecond > 0 || l.gate.InFlight() > 0 || l.lastRefusal != 0 || l.lastRequest != 0 && now-l.lastRequest < reserveDuration
 }
 
-// open keeps a ledger for each account of the contracts in force, once for each
+// updateAccounts keeps a ledger for each account of the contracts in force, once for each
 // revision. Buckets start empty: one that began with a customer's first request
 // would refuse it.
-func (a *admitter) open(v *view.View, now time.Duration) {
+func (a *admitter) updateAccounts(v *view.View, now time.Duration) {
 	if v.Revision != 0 && v.Revision == a.revision {
 		return
 	}
@@ -85,9 +85,9 @@
 			}
 			account := shares.Account{Customer: c.Customer, Service: s.Name}
 			known[account] = true
-			l := a.ledger(account, now)
+			l := a.limiterFor(account, now)
 			a.setLimits(l, s, allowance)
-			a.refreshQuiet(account, l, now)
+			a.refreshAny(account, l, now)
 		}
 	}
 	for account, l := range a.accounts {
--- a/internal/entry/active_test.go
+++ b/internal/entry/active_test.go
@@ -11,12 +11,12 @@
 	"hemlockquay/internal/wire"
 )
 
-// gossip carries one ask and, unless it is lost, its answer.
-func (e *entries) gossip(from, to *admitter, lost bool) {
+// exchangeBetween carries one ask and, unless it is lost, its answer.
+func (e *testEntries) exchangeBetween(from, to *admitter, answerLost bool) {
 	e.seq++
-	ask, asked := from.ask(to.vm, e.seq)
-	if answer := to.receive(ask); !lost {
-		from.take(ask, answer, asked)
+	ask, asked := from.newAsk(to.vm, e.seq)
+	if answer := to.handleAsk(ask); !answerLost {
+		from.handleAnswer(ask, answer, asked)
 	}
 }
 
@@ -24,16 +24,16 @@
 // messages are lost, renewals are late and a VM joins. A gate that was not notified of a
 // share lent away while nobody called would admit on it, beside its borrower: over all
 // entries the customer would pass its contract.
-func TestQuietAccountsKeepTheContract(t *testing.T) {
+func TestInactiveAccountsDoNotExceedTheContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newEntriesBeside(t, 4, narrators, 2)
-		late := e.all[3]
-		all, listed := e.all, e.view.Listed
-		e.all, e.view.Listed = all[:3], listed[:3]
-		e.offer(2*time.Second, idle(3)...)
+		e := newEntriesWithIdleContracts(t, 4, testAllowance, 2)
+		joining := e.admitters[3]
+		all, listed := e.admitters, e.view.Listed
+		e.admitters, e.view.Listed = all[:3], listed[:3]
+		e.offerLoad(2*time.Second, noLoad(3)...)
 		var admitted []time.Duration
 		for range rapid.IntRange(20, 150).Draw(t, "steps") {
-			a := e.all[rapid.IntRange(0, len(e.all)-1).Draw(t, "entry")]
+			a := e.admitters[rapid.IntRange(0, len(e.admitters)-1).Draw(t, "entry")]
 			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0, 1, 2:
 				for range rapid.IntRange(1, 60).Draw(t, "offered") {
@@ -43,17 +43,17 @@
 					}
 				}
 			case 3, 4, 5:
-				if peer := e.all[rapid.IntRange(0, len(e.all)-1).Draw(t, "peer")]; peer != a {
-					e.gossip(a, peer, rapid.Bool().Draw(t, "lost"))
+				if peer := e.admitters[rapid.IntRange(0, len(e.admitters)-1).Draw(t, "peer")]; peer != a {
+					e.exchangeBetween(a, peer, rapid.Bool().Draw(t, "lost"))
 				}
 			case 6, 7:
-				a.period(e.view)
+				a.endPeriod(e.view)
 			case 8:
 				e.clock.now += time.Duration(rapid.IntRange(1, 20000).Draw(t, "ms")) * time.Millisecond
 			case 9:
 				e.clock.now += time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond
-				if len(e.all) == 3 && rapid.IntRange(0, 9).Draw(t, "joins") == 0 {
-					e.all, e.view.Listed = append(e.all[:3:3], late), append([]wire.Place{}, listed...)
+				if len(e.admitters) == 3 && rapid.IntRange(0, 9).Draw(t, "joins") == 0 {
+					e.admitters, e.view.Listed = append(e.admitters[:3:3], joining), append([]wire.Place{}, listed...)
 				}
 			}
 		}
--- a/internal/entry/admit_test.go
+++ b/internal/entry/admit_test.go
@@ -17,35 +17,35 @@
 	"hemlockquay/internal/wire"
 )
 
-// testClock is a clock that tests set.
-type testClock struct{ now time.Duration }
-
-func (c *testClock) Now() time.Duration { return c.now }
-
-// entries are admitters that talk without a network.
-type entries struct {
-	clock *testClock
-	all   []*admitter
-	view  *view.View
-	req   *parsedRequest
-	seq   uint64
+// fakeClock is a clock that tests set.
+type fakeClock struct{ now time.Duration }
+
+func (c *fakeClock) Now() time.Duration { return c.now }
+
+// testEntries are admitters that talk without a network.
+type testEntries struct {
+	clock     *fakeClock
+	admitters []*admitter
+	view      *view.View
+	req       *parsedRequest
+	seq       uint64
 }
 
 const tokenField = `"tokenSHA256": "0000000000000000000000000000000000000000000000000000000000000000"`
 
-func newEntries(t testing.TB, n int, allowance string) *entries {
-	return newEntriesBeside(t, n, allowance, 0)
+func newEntries(t testing.TB, n int, allowance string) *testEntries {
+	return newEntriesWithIdleContracts(t, n, allowance, 0)
 }
 
-// newEntriesBeside has so many more contracts, whose customers send nothing.
-func newEntriesBeside(t require.TestingT, n int, allowance string, quiet int) *entries {
-	e := &entries{clock: &testClock{now: time.Hour}}
+// newEntriesWithIdleContracts has so many more contracts, whose customers send nothing.
+func newEntriesWithIdleContracts(t require.TestingT, n int, allowance string, idleContracts int) *testEntries {
+	e := &testEntries{clock: &fakeClock{now: time.Hour}}
 	objects := []platform.Object{
 		{Kind: model.KindService, Name: "booth", Spec: []byte(`{"name": "booth", "slots": 2, "connections": 10, "deadline": "2s",
 			"targets": [{"name": "booth-1", "addr": "127.0.0.1:1", "dataCentre": "a"}]}`)},
 		{Kind: model.KindContract, Name: "narrators", Spec: []byte(`{"customer": "narrators", ` + tokenField + `, "services": [` + allowance + `]}`)},
 	}
-	for i := range quiet {
+	for i := range idleContracts {
 		name := fmt.Sprintf("quiet%d", i)
 		spec := fmt.Sprintf(`{"customer": %q, "tokenSHA256": "%064x", "services": [%s]}`, name, i+1, allowance)
 		objects = append(objects, platform.Object{Kind: model.KindContract, Name: name, Spec: []byte(spec)})
@@ -58,36 +58,36 @@
 	for i := range n {
 		name := fmt.Sprintf("vm%d", i+1)
 		e.view.Listed = append(e.view.Listed, wire.Place{VM: name})
-		e.all = append(e.all, newAdmitter(name, 1, 0, e.clock, journal.New(name, processName, 16), metrics.NewRegistry()))
+		e.admitters = append(e.admitters, newAdmitter(name, 1, 0, e.clock, journal.New(name, processName, 16), metrics.NewRegistry()))
 	}
 	return e
 }
 
 // renew runs one renewal of all entries.
-func (e *entries) renew() {
-	for _, a := range e.all {
-		a.period(e.view)
-		for _, other := range e.all {
+func (e *testEntries) renew() {
+	for _, a := range e.admitters {
+		a.endPeriod(e.view)
+		for _, other := range e.admitters {
 			if other == a {
 				continue
 			}
 			e.seq++
-			ask, asked := a.ask(other.vm, e.seq)
-			a.take(ask, other.receive(ask), asked)
+			ask, asked := a.newAsk(other.vm, e.seq)
+			a.handleAnswer(ask, other.handleAsk(ask), asked)
 		}
 	}
 }
 
-// offer sends so many requests a second to each entry and counts what is admitted.
-func (e *entries) offer(d time.Duration, perSecond ...int) (admitted, refused int) {
+// offerLoad sends so many requests a second to each entry and counts what is admitted.
+func (e *testEntries) offerLoad(d time.Duration, perSecond ...int) (admitted, refused int) {
 	const tick = 10 * time.Millisecond
-	due := make([]float64, len(e.all))
+	due := make([]float64, len(e.admitters))
 	for step := range int(d / tick) {
 		e.clock.now += tick
 		if step%int(shares.RenewInterval/tick) == 0 {
 			e.renew()
 		}
-		for i, a := range e.all {
+		for i, a := range e.admitters {
 			for due[i] += float64(perSecond[i]) * tick.Seconds(); due[i] >= 1; due[i]-- {
 				if a.admit(e.req) != nil {
 					refused++
@@ -101,29 +101,29 @@
 	return admitted, refused
 }
 
-func idle(n int) []int { return make([]int, n) }
+func noLoad(n int) []int { return make([]int, n) }
 
-const narrators = `{"service": "booth", "rate": 200, "burst": 40, "concurrency": 30}`
+const testAllowance = `{"service": "booth", "rate": 200, "burst": 40, "concurrency": 30}`
 
 // A customer at ten times its contract, through all entries at once: together they
 // admit its contract, no more, and nearly all of it.
-func TestHotCallerGetsItsContractOverAllEntries(t *testing.T) {
-	e := newEntries(t, 3, narrators)
-	e.offer(2*time.Second, idle(3)...)
-	admitted, _ := e.offer(10*time.Second, 700, 700, 600)
+func TestCallerAboveItsContractGetsItFromAllEntriesTogether(t *testing.T) {
+	e := newEntries(t, 3, testAllowance)
+	e.offerLoad(2*time.Second, noLoad(3)...)
+	admitted, _ := e.offerLoad(10*time.Second, 700, 700, 600)
 	require.LessOrEqual(t, admitted, 200*10+40)
 	require.GreaterOrEqual(t, admitted, 200*10*95/100)
 }
 
 // All requests come through one entry, within the contract: after two seconds
 // nothing is refused.
-func TestCallerBehindOneEntryGetsItsContract(t *testing.T) {
-	e := newEntries(t, 9, narrators)
-	e.offer(2*time.Second, idle(9)...)
-	load := idle(9)
+func TestCallerUsingOneEntryGetsItsContract(t *testing.T) {
+	e := newEntries(t, 9, testAllowance)
+	e.offerLoad(2*time.Second, noLoad(9)...)
+	load := noLoad(9)
 	load[4] = 180
-	e.offer(2*time.Second, load...)
-	admitted, refused := e.offer(10*time.Second, load...)
+	e.offerLoad(2*time.Second, load...)
+	admitted, refused := e.offerLoad(10*time.Second, load...)
 	require.Zero(t, refused)
 	require.InDelta(t, 1800, admitted, 2)
 }
@@ -132,24 +132,24 @@
 // whole request anywhere, so an entry gathers it from the others.
 func TestSmallContractIsUsable(t *testing.T) {
 	e := newEntries(t, 9, `{"service": "booth", "rate": 5, "burst": 1, "concurrency": 1}`)
-	e.offer(2*time.Second, idle(9)...)
-	load := idle(9)
+	e.offerLoad(2*time.Second, noLoad(9)...)
+	load := noLoad(9)
 	load[2] = 20
-	e.offer(3*time.Second, load...)
-	admitted, _ := e.offer(10*time.Second, load...)
+	e.offerLoad(3*time.Second, load...)
+	admitted, _ := e.offerLoad(10*time.Second, load...)
 	require.LessOrEqual(t, admitted, 5*10+1)
 	require.GreaterOrEqual(t, admitted, 40)
 }
 
 // The first request of a customer at an entry that has run for a while passes: its
 // bucket is kept from when the contract came, not from the first request.
-func TestFirstRequestPassesAndRefusalIsNotRun(t *testing.T) {
-	e := newEntries(t, 3, narrators)
-	e.offer(2*time.Second, idle(3)...)
-	require.Nil(t, e.all[0].admit(e.req))
+func TestFirstRequestIsAdmittedAndRefusalIsNotRun(t *testing.T) {
+	e := newEntries(t, 3, testAllowance)
+	e.offerLoad(2*time.Second, noLoad(3)...)
+	require.Nil(t, e.admitters[0].admit(e.req))
 	var p *problem.Error
 	for p == nil {
-		p = e.all[0].admit(e.req)
+		p = e.admitters[0].admit(e.req)
 	}
 	require.Equal(t, problem.OverLimit, p.Kind)
 	require.Equal(t, problem.RanNo, p.Ran)
@@ -160,49 +160,49 @@
 // another entry cost a core (2.6 s for a renewal of nine entries beside 20,000), so
 // quiet ones are left alone. The first burst after an hour of silence still finds what
 // its entry has, and the rest of the contract follows.
-func TestQuietContractsAreLeftAlone(t *testing.T) {
-	e := newEntriesBeside(t, 3, narrators, 50)
-	e.offer(2*time.Second, idle(3)...)
-	for _, a := range e.all {
+func TestIdleContractsBecomeInactive(t *testing.T) {
+	e := newEntriesWithIdleContracts(t, 3, testAllowance, 50)
+	e.offerLoad(2*time.Second, noLoad(3)...)
+	for _, a := range e.admitters {
 		require.Empty(t, a.active)
 		require.Len(t, a.accounts, 51)
-		require.Equal(t, a.book.Base(e.clock.now), shares.Whole/3)
+		require.Equal(t, a.ledger.Base(e.clock.now), shares.Whole/3)
 	}
 	e.clock.now += time.Hour
-	e.offer(time.Second, idle(3)...)
+	e.offerLoad(time.Second, noLoad(3)...)
 	burst := 0
-	for e.all[1].admit(e.req) == nil {
+	for e.admitters[1].admit(e.req) == nil {
 		burst++
 	}
 	require.Equal(t, 30/3, burst, "the entry's own part of the concurrency")
-	require.Len(t, e.all[1].active, 1)
+	require.Len(t, e.admitters[1].active, 1)
 	for range burst {
-		e.all[1].release(e.req, time.Millisecond)
+		e.admitters[1].release(e.req, time.Millisecond)
 	}
-	e.offer(3*time.Second, 0, 150, 0)
-	admitted, _ := e.offer(4*time.Second, 0, 150, 0)
+	e.offerLoad(3*time.Second, 0, 150, 0)
+	admitted, _ := e.offerLoad(4*time.Second, 0, 150, 0)
 	require.InDelta(t, 600, admitted, 5, "the others lend what they do not use")
-	require.Len(t, e.all[0].active, 1, "a lender looks at what it lent")
-	e.offer(time.Minute, idle(3)...)
-	for _, a := range e.all {
+	require.Len(t, e.admitters[0].active, 1, "a lender looks at what it lent")
+	e.offerLoad(time.Minute, noLoad(3)...)
+	for _, a := range e.admitters {
 		require.Empty(t, a.active)
 	}
 }
 
 func BenchmarkAdmit(b *testing.B) {
 	e := newEntries(b, 9, `{"service": "booth", "rate": 1e9, "burst": 1000000000, "concurrency": 1000}`)
-	e.offer(2*time.Second, idle(9)...)
+	e.offerLoad(2*time.Second, noLoad(9)...)
 	b.ReportAllocs()
 	for b.Loop() {
-		if e.all[0].admit(e.req) == nil {
-			e.all[0].release(e.req, time.Millisecond)
+		if e.admitters[0].admit(e.req) == nil {
+			e.admitters[0].release(e.req, time.Millisecond)
 		}
 	}
 }
 
 func BenchmarkRenewal(b *testing.B) {
-	e := newEntries(b, 9, narrators)
-	e.offer(2*time.Second, idle(9)...)
+	e := newEntries(b, 9, testAllowance)
+	e.offerLoad(2*time.Second, noLoad(9)...)
 	b.ReportAllocs()
 	for b.Loop() {
 		e.renew()
@@ -211,8 +211,8 @@
 
 // The same beside 20,000 contracts whose customers send nothing.
 func BenchmarkRenewalBesideQuietContracts(b *testing.B) {
-	e := newEntriesBeside(b, 9, narrators, 20000)
-	e.offer(2*time.Second, idle(9)...)
+	e := newEntriesWithIdleContracts(b, 9, testAllowance, 20000)
+	e.offerLoad(2*time.Second, noLoad(9)...)
 	b.ReportAllocs()
 	for b.Loop() {
 		e.renew()
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -17,9 +17,9 @@
 	"hemlockquay/internal/model"
 )
 
-// startPath starts a target, a real dispatcher and a real entry in this process,
+// startRequestPath starts a target, a real dispatcher and a real entry in this process,
 // with a fake agent, and returns the entry's address.
-func startPath(b *testing.B) string {
+func startRequestPath(b *testing.B) string {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = w.Write(make([]byte, 64))
@@ -28,12 +28,12 @@
 	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
 	addr := reserved.Addr().String()
-	l := startBefore(b, addr, labObjects(target.Listener.Addr().String()), nil)
+	l := startWithDispatcher(b, addr, testObjects(target.Listener.Addr().String()), nil)
 	require.NoError(b, reserved.Close())
 	s := &dispatch.Settings{Listen: addr, Agent: l.agent, TargetConnections: 110}
 	s.Base = daemon.Base{VM: "vm1", DataCentre: "a", Admin: "127.0.0.1:0", Log: "error", LeaveLead: model.Duration(time.Millisecond)}
 	require.NoError(b, s.Check())
-	app := fxtest.New(b, daemon.Parts("hq-dispatch", s, quiet), dispatch.Module)
+	app := fxtest.New(b, daemon.Parts("hq-dispatch", s, discardLogger), dispatch.Module)
 	app.RequireStart()
 	b.Cleanup(func() {
 		l.app.RequireStop()
@@ -45,7 +45,7 @@
 // BenchmarkPath is one request from a caller through the entry, the dispatcher and
 // the target and back, all in this process. Its figures include the caller's and the
 // target's side of HTTP; BenchmarkDirect is these two alone.
-func BenchmarkPath(b *testing.B) { benchmarkCalls(b, "http://"+startPath(b)+"/s/booth/a") }
+func BenchmarkPath(b *testing.B) { benchmarkCalls(b, "http://"+startRequestPath(b)+"/s/booth/a") }
 
 func BenchmarkDirect(b *testing.B) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -72,8 +72,8 @@
 		return resp.StatusCode
 	}
 	// The dispatcher must have its view.
-	for begun := time.Now(); call() != http.StatusOK; {
-		if time.Since(begun) > patience {
+	for start := time.Now(); call() != http.StatusOK; {
+		if time.Since(start) > testTimeout {
 			b.Fatal("no answer")
 		}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -34,21 +34,21 @@
 // entry is the process: the callers' HTTP server and its parts.
 type entry struct {
 	*daemon.Kit[*Settings]
-	parser    *requestParser
-	feed      *feed.Feed
-	forwarder *forwarder
-	admitter  *admitter
-	sharer    *sharer
-	peers     *peer.Server
-	cancel    context.CancelFunc
-	duties    sync.WaitGroup
-	started   int64
-	requests  atomic.Uint64
-	answered  metrics.Timer
-	refusals  metrics.Counter
-	inFlight  metrics.Counter
-	listener  net.Listener
-	server    *http.Server
+	parser      *requestParser
+	feed        *feed.Feed
+	forwarder   *forwarder
+	admitter    *admitter
+	exchanger   *shareExchanger
+	peerServer  *peer.Server
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	incarnation int64
+	requests    atomic.Uint64
+	answered    metrics.Timer
+	refusals    metrics.Counter
+	inFlight    metrics.Counter
+	listener    net.Listener
+	server      *http.Server
 }
 
 // idleTimeout is how long a kept connection without a request stays open.
@@ -68,20 +68,20 @@
 	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: peers.Addr()}
 	f := feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry)
 	e := &entry{
-		Kit:       k,
-		parser:    &requestParser{vm: k.Settings.VM},
-		feed:      f,
-		forwarder: &forwarder{vm: k.Settings.VM, feed: f, peers: pooled{peer.NewRequestPool(k.Settings.PeerConnections)}},
-		started:   time.Now().UnixNano(),
-		answered:  metrics.GetOrRegisterTimer("entry.answered", k.Registry),
-		refusals:  metrics.GetOrRegisterCounter("entry.refused", k.Registry),
-		inFlight:  metrics.GetOrRegisterCounter("entry.inflight", k.Registry),
-		listener:  listener,
+		Kit:         k,
+		parser:      &requestParser{vm: k.Settings.VM},
+		feed:        f,
+		forwarder:   &forwarder{vm: k.Settings.VM, feed: f, client: pooledClient{peer.NewRequestPool(k.Settings.PeerConnections)}},
+		incarnation: time.Now().UnixNano(),
+		answered:    metrics.GetOrRegisterTimer("entry.answered", k.Registry),
+		refusals:    metrics.GetOrRegisterCounter("entry.refused", k.Registry),
+		inFlight:    metrics.GetOrRegisterCounter("entry.inflight", k.Registry),
+		listener:    listener,
 	}
-	e.admitter = newAdmitter(k.Settings.VM, e.started, k.Settings.ReadTimeout.D(), clock, k.Journal, k.Registry)
-	e.sharer = newSharer(k.Settings.VM, e.admitter, f, k.Life.Require(needsBase), k.Log, k.Registry)
-	e.peers = peers
-	if err := peers.Register("Entry", &shareReceiver{e.admitter}); err != nil {
+	e.admitter = newAdmitter(k.Settings.VM, e.incarnation, k.Settings.ReadTimeout.D(), clock, k.Journal, k.Registry)
+	e.exchanger = newShareExchanger(k.Settings.VM, e.admitter, f, k.Life.Require(baseNotConfirmed), k.Log, k.Registry)
+	e.peerServer = peers
+	if err := peers.Register("Entry", &shareService{e.admitter}); err != nil {
 		return nil, err
 	}
 	k.Life.Section("entry", e.dump)
@@ -100,9 +100,9 @@
 func (e *entry) start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
-	e.duties.Go(func() { e.sharer.run(ctx) })
+	e.wg.Go(func() { e.exchanger.run(ctx) })
 	go func() {
-		if err := e.peers.Serve(); err != nil {
+		if err := e.peerServer.Serve(); err != nil {
 			e.Log.Error().Err(err).Str("step", "serve").Msg("peer server ended")
 		}
 	}()
@@ -117,10 +117,10 @@
 	e.Life.Lead(ctx)
 	err := e.server.Shutdown(ctx)
 	e.cancel()
-	e.duties.Wait()
-	e.sharer.peers.Close()
-	e.peers.Close()
-	e.forwarder.peers.Close()
+	e.wg.Wait()
+	e.exchanger.pool.Close()
+	e.peerServer.Close()
+	e.forwarder.client.Close()
 	e.Life.Drained()
 	if err != nil {
 		return fmt.Errorf("drain callers: %w", err)
@@ -138,47 +138,47 @@
 }
 
 func (e *entry) serve(c *gin.Context) {
-	begun := time.Now()
-	if why := e.leaving(c); why != "" {
-		e.refuse(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, why).After(time.Second))
+	start := time.Now()
+	if reason := e.drainReason(c); reason != "" {
+		e.writeRefusal(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, reason).After(time.Second))
 		return
 	}
-	if ready, why := e.Life.IsReady(); !ready && !e.Life.Serving() {
-		e.refuse(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, why).After(time.Second))
+	if ready, reason := e.Life.IsReady(); !ready && !e.Life.Serving() {
+		e.writeRefusal(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, reason).After(time.Second))
 		return
 	}
-	req, p := e.parser.parse(e.feed.Current(), c.Request, begun)
+	req, p := e.parser.parse(e.feed.Current(), c.Request, start)
 	if p == nil {
 		p = e.admitter.admit(req)
 	}
 	if p != nil {
-		e.refuse(c, p)
+		e.writeRefusal(c, p)
 		return
 	}
 	e.inFlight.Inc(1)
-	answer, p := e.run(c, req)
+	answer, p := e.process(c, req)
 	e.inFlight.Dec(1)
-	e.admitter.release(req, time.Since(begun))
+	e.admitter.release(req, time.Since(start))
 	if p != nil {
-		e.refuse(c, p)
+		e.writeRefusal(c, p)
 		return
 	}
-	e.answered.UpdateSince(begun)
-	e.write(c, answer)
+	e.answered.UpdateSince(start)
+	e.writeAnswer(c, answer)
 }
 
-// run takes an admitted req to its answer.
-func (e *entry) run(c *gin.Context, v *parsedRequest) (*wire.Answer, *problem.Error) {
-	if p := e.parser.readBody(c.Writer, c.Request, v); p != nil {
+// process takes an admitted req to its answer.
+func (e *entry) process(c *gin.Context, req *parsedRequest) (*wire.Answer, *problem.Error) {
+	if p := e.parser.readBody(c.Writer, c.Request, req); p != nil {
 		return nil, p
 	}
-	v.request.ID = e.nextID()
-	return e.forwarder.forward(c.Request.Context(), v)
+	req.wireRequest.ID = e.nextRequestID()
+	return e.forwarder.forward(c.Request.Context(), req)
 }
 
-// leaving asks the caller to take its next request elsewhere, and says why this
+// drainReason asks the caller to take its next request elsewhere, and says why this
 // one is refused once the lead is over.
-func (e *entry) leaving(c *gin.Context) string {
+func (e *entry) drainReason(c *gin.Context) string {
 	select {
 	case <-e.Life.Draining():
 	default:
@@ -191,14 +191,14 @@
 	return "the entry is leaving"
 }
 
-// nextID names a request: unique over VMs and restarts.
-func (e *entry) nextID() string {
-	return e.Settings.VM + "-" + strconv.FormatInt(e.started, 36) + "-" + strconv.FormatUint(e.requests.Add(1), 36)
+// nextRequestID names a request: unique over VMs and restarts.
+func (e *entry) nextRequestID() string {
+	return e.Settings.VM + "-" + strconv.FormatInt(e.incarnation, 36) + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 }
 
-func (e *entry) write(c *gin.Context, a *wire.Answer) {
+func (e *entry) writeAnswer(c *gin.Context, a *wire.Answer) {
 	header := c.Writer.Header()
-	for name, values := range endToEnd(a.Header) {
+	for name, values := range endToEndHeaders(a.Header) {
 		header[name] = values
 	}
 	header.Set(problem.Header, string(problem.RanYes))
@@ -225,8 +225,8 @@
 	return length
 }
 
-// state is the entry's section of the dump.
-type state struct {
+// entryState is the entry's section of the dump.
+type entryState struct {
 	Listen     string `json:"listen"`
 	PeerListen string `json:"peerListen"`
 	// InFlight are the requests that were admitted and are not answered yet.
@@ -237,14 +237,14 @@
 }
 
 func (e *entry) dump() any {
-	return state{
-		Listen: e.listener.Addr().String(), PeerListen: e.peers.Addr(),
+	return entryState{
+		Listen: e.listener.Addr().String(), PeerListen: e.peerServer.Addr(),
 		InFlight: e.inFlight.Count(), Forwarded: e.requests.Load(), Answered: e.answered.Count(), Refused: e.refusals.Count(),
 	}
 }
 
-// document is the body of a refusal, RFC 9457.
-type document struct {
+// problemDocument is the body of a refusal, RFC 9457.
+type problemDocument struct {
 	Type      string       `json:"type"`
 	Title     string       `json:"title"`
 	Status    int          `json:"status"`
@@ -256,10 +256,10 @@
 	RequestID string       `json:"requestId,omitempty"`
 }
 
-// typePrefix makes a problem's type URI of its kind.
-const typePrefix = "urn:hemlockquay:problem:"
+// problemTypePrefix makes a problem's type URI of its kind.
+const problemTypePrefix = "urn:hemlockquay:problem:"
 
-func (e *entry) refuse(c *gin.Context, p *problem.Error) {
+func (e *entry) writeRefusal(c *gin.Context, p *problem.Error) {
 	e.refusals.Inc(1)
 	e.Log.Debug().Str("step", p.Step).Str("peer", p.Peer).Str("kind", string(p.Kind)).Msg(p.Detail)
 	if p.RetryAfter > 0 {
@@ -272,8 +272,8 @@
 	}
 	c.Header(problem.Header, string(p.Ran))
 	c.Header("Content-Type", problem.ContentType)
-	c.JSON(p.Status(), document{
-		Type: typePrefix + string(p.Kind), Title: http.StatusText(p.Status()), Status: p.Status(),
+	c.JSON(p.Status(), problemDocument{
+		Type: problemTypePrefix + string(p.Kind), Title: http.StatusText(p.Status()), Status: p.Status(),
 		Detail: p.Detail, Ran: p.Ran, Kind: p.Kind, Step: p.Step, Peer: p.Peer,
 	})
 }
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -19,9 +19,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// slowMove is a fleet of one dispatcher, whose view is newer than the entry's: it
+// staleView is a fleet of one dispatcher, whose view is newer than the entry's: it
 // refuses what it would send to any target but the owner.
-type slowMove struct {
+type staleView struct {
 	t *testing.T
 	// mu guards view and changed: a view comes while the entry looks at one.
 	mu      sync.Mutex
@@ -31,22 +31,22 @@
 	calls   int
 }
 
-func (s *slowMove) Close() {}
+func (s *staleView) Close() {}
 
-func (s *slowMove) Current() *view.View {
+func (s *staleView) Current() *view.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-func (s *slowMove) Changed() <-chan struct{} {
+func (s *staleView) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// show gives the entry a view in which the target owns all keys; "" is nobody.
-func (s *slowMove) show(owner string) {
+// setShownOwner gives the entry a view in which the target owns all keys; "" is nobody.
+func (s *staleView) setShownOwner(owner string) {
 	shelf := model.Service{Name: "shelf", Keyed: true, Slots: 2, Connections: 10, MaxBody: 16}
 	for name, addr := range map[string]string{"t1": "127.0.0.1:1", "t2": "127.0.0.1:2"} {
 		shelf.Targets = append(shelf.Targets, model.Target{Name: name, Addr: addr, DataCentre: "dc1"})
@@ -61,7 +61,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.view = view.Build([]platform.Object{stored(s.t, model.KindService, "shelf", &shelf)}, members, grants)
+	s.view = view.Build([]platform.Object{storedObject(s.t, model.KindService, "shelf", &shelf)}, members, grants)
 	require.Empty(s.t, s.view.Problems)
 	if s.changed != nil {
 		close(s.changed)
@@ -70,7 +70,7 @@
 }
 
 // Call implements dispatchers; the address is the owner in the entry's eyes.
-func (s *slowMove) Call(_ context.Context, addr, _ string, args, reply any) error {
+func (s *staleView) Call(_ context.Context, addr, _ string, args, reply any) error {
 	s.calls++
 	if s.calls > 200 {
 		return errors.New("asked without a pause")
@@ -83,40 +83,40 @@
 	return nil
 }
 
-// carry forwards a request while the entry's view shows one owner and the dispatcher
+// forwardDuringMove forwards a request while the entry's view shows one owner and the dispatcher
 // knows another; after a while the entry's view shows next.
-func (s *slowMove) carry(shown, next string, after, patience time.Duration) (*wire.Answer, *problem.Error, time.Duration) {
-	s.show(shown)
-	begun := time.Now()
+func (s *staleView) forwardDuringMove(shown, next string, after, timeout time.Duration) (*wire.Answer, *problem.Error, time.Duration) {
+	s.setShownOwner(shown)
+	start := time.Now()
 	if after > 0 {
-		time.AfterFunc(after, func() { s.show(next) })
+		time.AfterFunc(after, func() { s.setShownOwner(next) })
 	}
-	f := &forwarder{vm: "vm1", feed: s, peers: s}
-	v := &parsedRequest{service: s.view.Service("shelf"), request: &wire.Request{ID: "r", Service: "shelf", Key: "k"}, deadline: begun.Add(patience)}
-	answer, p := f.forward(s.t.Context(), v)
-	return answer, p, time.Since(begun)
+	f := &forwarder{vm: "vm1", feed: s, client: s}
+	req := &parsedRequest{service: s.view.Service("shelf"), wireRequest: &wire.Request{ID: "r", Service: "shelf", Key: "k"}, deadline: start.Add(timeout)}
+	answer, p := f.forward(s.t.Context(), req)
+	return answer, p, time.Since(start)
 }
 
 // A planned move gives a slice to another target. The dispatcher has the new view,
 // the entry has the old one for 110 ms more and sends there; the dispatcher refuses,
 // since another target owns the key. Callers would see each move as refusals: the
 // request waits for the entry's next view instead, and goes on at once when it comes.
-func TestRequestOfAMovedKeyWaitsForTheNextView(t *testing.T) {
+func TestRequestForMovedKeyWaitsForNextView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowMove{t: t, owner: "t2"}
-		answer, p, took := s.carry("t1", "t2", 110*time.Millisecond, 10*time.Second)
+		s := &staleView{t: t, owner: "t2"}
+		answer, p, took := s.forwardDuringMove("t1", "t2", 110*time.Millisecond, 10*time.Second)
 		require.Nil(t, p)
 		require.Equal(t, "t2", answer.Target)
 		require.Equal(t, 110*time.Millisecond, took)
-		require.LessOrEqual(t, s.calls, int(took/viewPause)+2, "asked again at the pause only")
+		require.LessOrEqual(t, s.calls, int(took/viewRetryInterval)+2, "asked again at the pause only")
 	})
 }
 
 // An owner was lost: for 300 ms the entry's view shows none, then the standby.
-func TestRequestWithoutAnOwnerWaitsForOne(t *testing.T) {
+func TestRequestWaitsUntilItsKeyHasAnOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &slowMove{t: t, owner: "t2"}
-		answer, p, took := s.carry("", "t2", 300*time.Millisecond, 10*time.Second)
+		s := &staleView{t: t, owner: "t2"}
+		answer, p, took := s.forwardDuringMove("", "t2", 300*time.Millisecond, 10*time.Second)
 		require.Nil(t, p)
 		require.Equal(t, "t2", answer.Target)
 		require.Equal(t, 300*time.Millisecond, took)
@@ -126,14 +126,14 @@
 
 // No view comes, as on an entry that is cut off from its agent. The caller is told
 // within the bound, or at its deadline if that is sooner, that nothing ran.
-func TestWaitForAViewIsBounded(t *testing.T) {
-	for _, patience := range []time.Duration{10 * time.Second, 200 * time.Millisecond} {
+func TestOwnerWaitIsBounded(t *testing.T) {
+	for _, timeout := range []time.Duration{10 * time.Second, 200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &slowMove{t: t, owner: "t2"}
-			_, p, took := s.carry("t1", "", 0, patience)
+			s := &staleView{t: t, owner: "t2"}
+			_, p, took := s.forwardDuringMove("t1", "", 0, timeout)
 			require.NotNil(t, p)
 			require.Equal(t, problem.RanNo, p.Ran)
-			require.Equal(t, min(patience, ownerlessFor), took)
+			require.Equal(t, min(timeout, maxOwnerWait), took)
 		})
 	}
 }
--- a/internal/entry/http_test.go
+++ b/internal/entry/http_test.go
@@ -18,19 +18,19 @@
 
 // A caller sends a body over the limit. The answer must come before the body is
 // read: here the caller never sends it.
-func TestTooLargeIsRefusedBeforeTheBody(t *testing.T) {
-	l := startLab(t, nil)
+func TestTooLargeBodyIsRefusedBeforeItIsRead(t *testing.T) {
+	l := startTestEntry(t, nil)
 	for _, header := range []string{"X-None: 1", "Expect: 100-continue"} {
-		r := l.raw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Content-Length: 65", header, "", "")
+		r := l.sendRaw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Content-Length: 65", header, "", "")
 		l.requireRefused(r, http.StatusRequestEntityTooLarge, problem.TooLarge)
 	}
 	chunk := "41\r\n" + strings.Repeat("b", 65) + "\r\n"
-	r := l.raw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Transfer-Encoding: chunked", "", chunk)
+	r := l.sendRaw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Transfer-Encoding: chunked", "", chunk)
 	l.requireRefused(r, http.StatusRequestEntityTooLarge, problem.TooLarge)
 }
 
 func TestExpectContinueAndChunkedBodyWithinLimitPass(t *testing.T) {
-	l := startLab(t, nil)
+	l := startTestEntry(t, nil)
 	conn := l.connect()
 	fmt.Fprintf(conn, "POST /s/booth/a HTTP/1.1\r\nHost: entry\r\n%s\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n", authLine)
 	from := bufio.NewReader(conn)
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	require.Equal(t, "body", l.read(from, "POST").body)
 	require.NotContains(t, l.forwarded().Header, "Expect")
-	r := l.raw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Transfer-Encoding: chunked", "Trailer: X-Sum", "",
+	r := l.sendRaw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Transfer-Encoding: chunked", "Trailer: X-Sum", "",
 		"4", "body", "0", "X-Sum: 1", "", "")
 	require.Equal(t, "body", r.body)
 	got := l.forwarded()
@@ -50,7 +50,7 @@
 // What the library refuses before our handler sees it: it is never forwarded, the
 // status is clear, and the connection ends. The library gives no say in the body.
 func TestMalformedRequestsAreRefusedByTheLibrary(t *testing.T) {
-	l := startLab(t, func(s *Settings) { s.MaxHeader = 1024 })
+	l := startTestEntry(t, func(s *Settings) { s.MaxHeader = 1024 })
 	begin := []string{"POST /s/booth/a HTTP/1.1", "Host: entry", authLine}
 	cases := []struct {
 		name   string
@@ -67,7 +67,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := l.raw(c.lines...)
+			r := l.sendRaw(c.lines...)
 			require.Equal(t, c.status, r.StatusCode)
 			require.True(t, r.Close)
 			require.Empty(t, l.dispatch.requests)
@@ -79,8 +79,8 @@
 // One reader takes the length, another the chunks, and a request hides in the body
 // of the one before: it would run with the first one's token. Here the chunks count
 // (RFC 9112 section 6.3) and what follows must bring a token of its own.
-func TestAmbiguousLengthsSmuggleNoRequest(t *testing.T) {
-	l := startLab(t, nil)
+func TestAmbiguousLengthsDoNotSmuggleRequests(t *testing.T) {
+	l := startTestEntry(t, nil)
 	conn := l.connect()
 	hidden := "GET /s/booth/hidden HTTP/1.1\r\nHost: entry\r\n\r\n"
 	fmt.Fprintf(conn, "POST /s/booth/a HTTP/1.1\r\nHost: entry\r\n%s\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s",
@@ -91,14 +91,14 @@
 	require.Empty(t, got.Body)
 	require.NotContains(t, got.Header, "Content-Length")
 	l.requireRefused(l.read(from, "GET"), http.StatusUnauthorized, problem.UnknownToken)
-	same := l.raw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Content-Length: 4", "Content-Length: 4", "", "body")
+	same := l.sendRaw("POST /s/booth/a HTTP/1.1", "Host: entry", authLine, "Content-Length: 4", "Content-Length: 4", "", "body")
 	require.Equal(t, "body", same.body)
 }
 
 // Callers that send half a request hold connections for ever. The time limit ends
 // them; others are served meanwhile, and nothing of them is forwarded.
-func TestSlowSendersAreCutAndOthersServed(t *testing.T) {
-	l := startLab(t, func(s *Settings) { s.ReadTimeout = model.Duration(300 * time.Millisecond) })
+func TestSlowSendersTimeOutAndOthersAreServed(t *testing.T) {
+	l := startTestEntry(t, func(s *Settings) { s.ReadTimeout = model.Duration(300 * time.Millisecond) })
 	headers, body := l.connect(), l.connect()
 	fmt.Fprintf(headers, "POST /s/booth/slow HTTP/1.1\r\nHost: entry\r\n")
 	fmt.Fprintf(body, "POST /s/booth/slow HTTP/1.1\r\nHost: entry\r\n%s\r\nContent-Length: 40\r\n\r\nhalf", authLine)
@@ -115,13 +115,13 @@
 // away, and the audit would be cancelled.
 func TestReadTimeoutDoesNotCancelARunningRequest(t *testing.T) {
 	const readTimeout = 200 * time.Millisecond
-	l := startLab(t, func(s *Settings) { s.ReadTimeout = model.Duration(readTimeout) })
+	l := startTestEntry(t, func(s *Settings) { s.ReadTimeout = model.Duration(readTimeout) })
 	l.dispatch.answer = func(r *wire.Request) wire.Answer {
 		select {
 		case <-l.dispatch.cancels:
-			return whole(r, http.StatusInternalServerError, "cancelled")
+			return wholeAnswer(r, http.StatusInternalServerError, "cancelled")
 		case <-time.After(2 * readTimeout):
-			return whole(r, http.StatusOK, "late")
+			return wholeAnswer(r, http.StatusOK, "late")
 		}
 	}
 	require.Equal(t, "late", l.send("GET", "/s/booth/audit").body)
@@ -131,9 +131,9 @@
 // A balancer keeps a connection without a request for longer than readTimeout and
 // sends the next one on it. Were it closed then, the caller would not learn whether
 // its request ran.
-func TestKeptConnectionOutlivesReadTimeout(t *testing.T) {
+func TestIdleConnectionOutlivesReadTimeout(t *testing.T) {
 	const readTimeout = 200 * time.Millisecond
-	l := startLab(t, func(s *Settings) { s.ReadTimeout = model.Duration(readTimeout) })
+	l := startTestEntry(t, func(s *Settings) { s.ReadTimeout = model.Duration(readTimeout) })
 	conn := l.connect()
 	from := bufio.NewReader(conn)
 	for range 2 {
@@ -146,13 +146,13 @@
 
 // A caller that hangs up waits for nothing: the dispatcher is notified, so that a slot
 // is not held for it.
-func TestCallerGoneIsToldToTheDispatcher(t *testing.T) {
-	l := startLab(t, nil)
+func TestDispatcherIsNotifiedWhenCallerDisconnects(t *testing.T) {
+	l := startTestEntry(t, nil)
 	end := make(chan struct{})
 	defer close(end)
 	l.dispatch.answer = func(r *wire.Request) wire.Answer {
 		<-end
-		return whole(r, http.StatusOK, "")
+		return wholeAnswer(r, http.StatusOK, "")
 	}
 	conn := l.connect()
 	fmt.Fprintf(conn, "GET /s/booth/a HTTP/1.1\r\nHost: entry\r\n%s\r\n\r\n", authLine)
@@ -161,15 +161,15 @@
 	select {
 	case id := <-l.dispatch.cancels:
 		require.Equal(t, got.ID, id)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "the dispatcher was not told")
 	}
 }
 
 func TestAnswersWithoutBody(t *testing.T) {
-	l := startLab(t, nil)
+	l := startTestEntry(t, nil)
 	for _, status := range []int{http.StatusNoContent, http.StatusNotModified, http.StatusOK} {
-		l.dispatch.answer = func(r *wire.Request) wire.Answer { return whole(r, status, "") }
+		l.dispatch.answer = func(r *wire.Request) wire.Answer { return wholeAnswer(r, status, "") }
 		conn := l.connect()
 		from := bufio.NewReader(conn)
 		for range 2 {
@@ -184,10 +184,10 @@
 
 // HEAD of a large resource tells its length; the target sends no body. Reporting
 // the length of the empty body would tell the caller that the resource is empty.
-func TestHeadKeepsTheTargetsLength(t *testing.T) {
-	l := startLab(t, nil)
+func TestHeadAnswerHasLengthFromTarget(t *testing.T) {
+	l := startTestEntry(t, nil)
 	l.dispatch.answer = func(r *wire.Request) wire.Answer {
-		a := whole(r, http.StatusOK, "")
+		a := wholeAnswer(r, http.StatusOK, "")
 		a.Header.Set("Content-Length", "1234")
 		return a
 	}
@@ -198,17 +198,17 @@
 }
 
 func TestHTTP10IsServed(t *testing.T) {
-	l := startLab(t, nil)
-	r := l.raw("POST /s/booth/a HTTP/1.0", authLine, "Content-Length: 4", "", "body")
+	l := startTestEntry(t, nil)
+	r := l.sendRaw("POST /s/booth/a HTTP/1.0", authLine, "Content-Length: 4", "", "body")
 	require.Equal(t, http.StatusOK, r.StatusCode)
 	require.Equal(t, "body", r.body)
 	require.True(t, r.Close)
 }
 
-func TestHopByHopHeadersStayOnTheirHop(t *testing.T) {
-	l := startLab(t, nil)
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
+	l := startTestEntry(t, nil)
 	l.dispatch.answer = func(r *wire.Request) wire.Answer {
-		a := whole(r, http.StatusOK, "body")
+		a := wholeAnswer(r, http.StatusOK, "body")
 		a.Header = http.Header{
 			"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=1"}, "Transfer-Encoding": {"chunked"},
 			"Content-Length": {"99"}, "Hq-Ran": {"no"}, "Set-Cookie": {"a", "b"},
@@ -226,8 +226,8 @@
 	}
 }
 
-func TestPathsAndQueriesArriveAsWritten(t *testing.T) {
-	l := startLab(t, nil)
+func TestPathsAndQueriesAreForwardedUnchanged(t *testing.T) {
+	l := startTestEntry(t, nil)
 	for _, path := range []string{
 		"/", "/a%2Fb", "/a%20b?q=%20&q=+", "//double//", "/../../etc", "/./a/..", "/%2e%2e/x", "/%C3%A9", "/a?", "/a;b=c", "/@x:1/", "/?a=/s/x",
 	} {
@@ -241,8 +241,8 @@
 // A caller writes the slash after the service as %2F. Cut at the wrong place, the
 // rest begins without a slash and is glued to the target's address: the request
 // goes to an address of the caller's choice.
-func TestPathCannotChooseTheTargetsAddress(t *testing.T) {
-	l := startLab(t, nil)
+func TestPathCannotChangeTargetAddress(t *testing.T) {
+	l := startTestEntry(t, nil)
 	for _, path := range []string{
 		"/s/booth%2F@127.0.0.1:1/x", "/s/booth%2Fa/b", "/s/booth", "/s/", "/", "/s//booth/a", "/x/booth/a", "/S/booth/a",
 	} {
@@ -250,8 +250,8 @@
 	}
 }
 
-func TestMethodsArriveAsWritten(t *testing.T) {
-	l := startLab(t, nil)
+func TestMethodsAreForwardedUnchanged(t *testing.T) {
+	l := startTestEntry(t, nil)
 	for _, method := range []string{"PROPFIND", "PURGE", "QUERY", "TRACE", "OPTIONS", "PATCH", "get"} {
 		require.Equal(t, http.StatusOK, l.send(method, "/s/booth/a").StatusCode, method)
 		got := l.forwarded()
@@ -264,8 +264,8 @@
 
 // An answer that belongs to another request, or whose body was damaged on the way,
 // must never reach a caller.
-func TestForeignOrDamagedAnswerIsUnknown(t *testing.T) {
-	l := startLab(t, nil)
+func TestForeignOrCorruptAnswerIsUnknown(t *testing.T) {
+	l := startTestEntry(t, nil)
 	for _, damage := range []func(*wire.Answer){
 		func(a *wire.Answer) { a.ID = "vm9-1-1" },
 		func(a *wire.Answer) { a.ID = "" },
@@ -276,7 +276,7 @@
 		func(a *wire.Answer) { a.Status = 1000 },
 	} {
 		l.dispatch.answer = func(r *wire.Request) wire.Answer {
-			a := whole(r, http.StatusOK, "foreign")
+			a := wholeAnswer(r, http.StatusOK, "foreign")
 			damage(&a)
 			return a
 		}
@@ -289,12 +289,12 @@
 
 // The entry leaves while a request runs: the request ends whole, and one that comes
 // on a kept connection after the lead is refused as not run.
-func TestStopEndsRequestsInFlight(t *testing.T) {
-	l := startUnstopped(t, nil)
+func TestStopDrainsRequestsInFlight(t *testing.T) {
+	l := startWithoutCleanup(t, nil)
 	end := make(chan struct{})
 	l.dispatch.answer = func(r *wire.Request) wire.Answer {
 		<-end
-		return whole(r, http.StatusOK, "whole")
+		return wholeAnswer(r, http.StatusOK, "whole")
 	}
 	conn := l.connect()
 	fmt.Fprintf(conn, "GET /s/booth/a HTTP/1.1\r\nHost: entry\r\n%s\r\n\r\n", authLine)
--- a/internal/entry/slope_test.go
+++ b/internal/entry/slope_test.go
@@ -19,32 +19,32 @@
 	"hemlockquay/internal/wire"
 )
 
-// slopeEntries are entries with n contracts, of which used have requests.
-func slopeEntries(b *testing.B, vms, n, used int) *entries {
-	e := &entries{clock: &testClock{now: time.Hour}}
+// newSlopeEntries are entries with n contracts, of which used have requests.
+func newSlopeEntries(b *testing.B, vms, n, active int) *testEntries {
+	e := &testEntries{clock: &fakeClock{now: time.Hour}}
 	objects := []platform.Object{{Kind: model.KindService, Name: "booth", Spec: []byte(`{"name": "booth", "slots": 2, "connections": 10,
 		"targets": [{"name": "booth-1", "addr": "127.0.0.1:1", "dataCentre": "a"}]}`)}}
 	for i := range n {
 		objects = append(objects, platform.Object{Kind: model.KindContract, Name: fmt.Sprint("c", i), Version: uint64(i + 1), Spec: fmt.Appendf(nil,
-			`{"customer": "c%d", "tokenSHA256": "%064x", "services": [%s]}`, i, i, narrators)})
+			`{"customer": "c%d", "tokenSHA256": "%064x", "services": [%s]}`, i, i, testAllowance)})
 	}
 	e.view = view.Build(objects, nil, nil)
 	require.Empty(b, e.view.Problems)
 	for i := range vms {
 		name := fmt.Sprintf("entry-vm-%05d", i)
 		e.view.Listed = append(e.view.Listed, wire.Place{VM: name})
-		e.all = append(e.all, newAdmitter(name, 1, 0, e.clock, journal.New(name, processName, 16), metrics.NewRegistry()))
+		e.admitters = append(e.admitters, newAdmitter(name, 1, 0, e.clock, journal.New(name, processName, 16), metrics.NewRegistry()))
 	}
 	for range 8 {
 		e.clock.now += shares.RenewInterval
 		e.renew()
 	}
-	for _, c := range e.view.Contracts()[:used] {
-		v := &parsedRequest{service: e.view.Service("booth"), contract: c, allowance: c.Services[0]}
-		require.Nil(b, e.all[0].admit(v))
+	for _, c := range e.view.Contracts()[:active] {
+		req := &parsedRequest{service: e.view.Service("booth"), contract: c, allowance: c.Services[0]}
+		require.Nil(b, e.admitters[0].admit(req))
 		for range 100 {
 			// Most are refused: more is wanted than the entry's base.
-			_ = e.all[0].admit(v)
+			_ = e.admitters[0].admit(req)
 		}
 	}
 	e.clock.now += shares.RenewInterval
@@ -53,11 +53,11 @@
 }
 
 // exchange is one ask and its answer from the first entry to the second.
-func (e *entries) exchange() (shares.Ask, shares.Answer) {
+func (e *testEntries) exchange() (shares.Ask, shares.Answer) {
 	e.seq++
-	ask, asked := e.all[0].ask(e.all[1].vm, e.seq)
-	answer := e.all[1].receive(ask)
-	e.all[0].take(ask, answer, asked)
+	ask, asked := e.admitters[0].newAsk(e.admitters[1].vm, e.seq)
+	answer := e.admitters[1].handleAsk(ask)
+	e.admitters[0].handleAnswer(ask, answer, asked)
 	return ask, answer
 }
 
@@ -77,7 +77,7 @@
 func BenchmarkSlopeShareAccounts(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			e := slopeEntries(b, 9, n, n)
+			e := newSlopeEntries(b, 9, n, n)
 			ask, answer := e.exchange()
 			for b.Loop() {
 				e.exchange()
@@ -91,7 +91,7 @@
 func BenchmarkSlopeShareEntries(b *testing.B) {
 	for _, n := range []int{4, 8, 16} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			e := slopeEntries(b, n, 1, 1)
+			e := newSlopeEntries(b, n, 1, 1)
 			ask, answer := e.exchange()
 			for b.Loop() {
 				e.exchange()
@@ -106,15 +106,15 @@
 func BenchmarkSlopeAccountPeriod(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			e := slopeEntries(b, 1, n, 0)
+			e := newSlopeEntries(b, 1, n, 0)
 			kept := capacity.Retained(func() any {
 				a := newAdmitter("x", 1, 0, e.clock, journal.New("x", processName, 16), metrics.NewRegistry())
-				a.period(e.view)
+				a.endPeriod(e.view)
 				return a
 			})
 			for b.Loop() {
 				e.clock.now += shares.RenewInterval
-				e.all[0].period(e.view)
+				e.admitters[0].endPeriod(e.view)
 			}
 			b.ReportMetric(kept, "heap-B")
 		})
