--- a/internal/entry/active.go
+++ b/internal/entry/active.go
@@ -7,24 +7,24 @@
 	"hemlockquay/internal/view"
 )
 
-// Most of the contracts in force see no request at an entry for hours, and their
-// shares stay what they are: the entry's base. Only the others are looked at in each
-// message between entries.
+// Most contracts in force receive no request at an entry for hours, and their share remains
+// the entry's base. Only the other accounts, the active ones, are refreshed for each message
+// between entries.
 //
-// Invariant: an account that is not active has lent and borrowed nothing, and its
-// gate received its share after it was last active and after each change of the
-// base since. So it needs no word until a request, a loan or a new base comes.
+// Invariant: an inactive account has lent and borrowed nothing, and its gate has been updated
+// since the account was last active and since the last change of the base. So the gate needs
+// no update until a request arrives, a loan is asked for or received, or the base changes.
 //
-// Failure that this guards against: a share is lowered and raised again, while its
-// gate knows of the first one only. The gate counts tokens at the old rate for the
-// time in which another entry had that share, and both admit too much.
+// Failure that this guards against: a share is lowered and raised again, and the gate is not
+// updated in between. The gate then counts tokens at the old rate for the time in which another
+// entry held that share, and together the two admit too much.
 
-// activate has the account looked at from now on.
+// activate adds an account to those that are refreshed for each message.
 func (a *admitter) activate(account shares.Account, l *accountLimiter) { a.active[account] = l }
 
-// activateKnown activates accounts that another entry asks or lends for. They must
-// have been refreshed before the book changes: the book may have forgotten them, and
-// with them how long their requests take.
+// activateKnown activates and refreshes an account that another entry asks or lends for, if it
+// has a limiter. It must run before the ledger changes: the ledger may have forgotten the
+// account, and with it the maximum duration of its requests.
 func (a *admitter) activateKnown(account shares.Account, now time.Duration) {
 	if l := a.accounts[account]; l != nil && a.active[account] == nil {
 		a.activate(account, l)
@@ -32,7 +32,7 @@
 	}
 }
 
-// refreshActive refreshes all active accounts, and the others if the base changed.
+// refreshActive refreshes all active accounts, and the others too if the base has changed.
 func (a *admitter) refreshActive(now time.Duration) {
 	for account, l := range a.active {
 		a.refresh(account, l, now)
@@ -45,7 +45,7 @@
 	}
 }
 
-// refreshAny refreshes an account that may not be active.
+// refreshAny refreshes an account that may be inactive. The ledger keeps active accounts only.
 func (a *admitter) refreshAny(account shares.Account, l *accountLimiter, now time.Duration) {
 	a.refresh(account, l, now)
 	if a.active[account] == nil {
@@ -53,7 +53,8 @@
 	}
 }
 
-// deactivateIdle lets accounts without use or loans be. They were refreshed just before.
+// deactivateIdle deactivates accounts that are not in use and have no loans. The caller must
+// have refreshed them just before.
 func (a *admitter) deactivateIdle(now time.Duration) {
 	for account, l := range a.active {
 		if !l.inUse(now) && !a.ledger.HasLoans(account) {
@@ -63,14 +64,14 @@
 	}
 }
 
-// inUse reports whether the ledger's use of its share may change by itself.
+// inUse reports whether the account's demand may still change without another request.
 func (l *accountLimiter) inUse(now time.Duration) bool {
 	return l.offered > 0 || l.demandPerSecond > 0 || l.gate.InFlight() > 0 || l.lastRefusal != 0 || l.lastRequest != 0 && now-l.lastRequest < reserveDuration
 }
 
-// updateAccounts keeps a ledger for each account of the contracts in force, once for each
-// revision. Buckets start empty: one that began with a customer's first request
-// would refuse it.
+// updateAccounts keeps a limiter for each account of the contracts in force. It runs once for
+// each revision of the configuration. Token buckets start empty: one created for a
+// customer's first request would refuse this request.
 func (a *admitter) updateAccounts(v *view.View, now time.Duration) {
 	if v.Revision != 0 && v.Revision == a.revision {
 		return
@@ -97,7 +98,7 @@
 			delete(a.accounts, account)
 			delete(a.active, account)
 		default:
-			// Its requests end first; it is looked for again.
+			// Kept until its requests in flight have ended: the next call checks the accounts again.
 			a.revision = 0
 		}
 	}
--- a/internal/entry/active_test.go
+++ b/internal/entry/active_test.go
@@ -11,19 +11,19 @@
 	"hemlockquay/internal/wire"
 )
 
-// exchangeBetween carries one ask and, unless it is lost, its answer.
+// exchangeBetween delivers one ask and, unless it is lost, its answer.
 func (e *testEntries) exchangeBetween(from, to *admitter, answerLost bool) {
 	e.seq++
-	ask, asked := from.newAsk(to.vm, e.seq)
+	ask, sentAt := from.newAsk(to.vm, e.seq)
 	if answer := to.handleAsk(ask); !answerLost {
-		from.handleAnswer(ask, answer, asked)
+		from.handleAnswer(ask, answer, sentAt)
 	}
 }
 
-// A customer's account is quiet at some entries and in use at others by turns, while
-// messages are lost, renewals are late and a VM joins. A gate that was not notified of a
-// share lent away while nobody called would admit on it, beside its borrower: over all
-// entries the customer would pass its contract.
+// Failure: an account becomes active and inactive at different entries while messages are lost,
+// renewals are late and a VM joins. An entry lends share of an inactive account without updating
+// its gate, which then admits requests on the same share as the borrower, so that all entries
+// together exceed the contract.
 func TestInactiveAccountsDoNotExceedTheContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := newEntriesWithIdleContracts(t, 4, testAllowance, 2)
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -19,38 +19,39 @@
 	"hemlockquay/internal/view"
 )
 
-// stepAdmit is the step of refusals by contract.
+// stepAdmit is the step that refusals by contract report.
 const stepAdmit = "admit"
 
-// Figures of the demand that an entry asks its share for.
+// Parameters of the demand that an entry reports to the ledger of shares.
 const (
-	// demandHeadroom is added to the demand seen, so that growth within one renewal
-	// is not refused.
+	// demandHeadroom is the factor by which the wanted share exceeds the measured demand, so
+	// that growth within one renewal interval is not refused.
 	demandHeadroom = 1.25
-	// demandSmoothing is the weight of the newest renewal period: the estimate
-	// follows a step within about a second.
+	// demandSmoothing is the weight of the latest renewal interval in the moving average of
+	// the demand. The average follows a step within about a second.
 	demandSmoothing = 0.3
-	// reserveDivisor is the part of its base that an entry does not lend while it
-	// sees requests, and reserveFor how long it counts as seeing them. Of nine
-	// entries without this limit in time, eight idle ones kept 22 % of a contract
-	// from the one that all requests came through.
+	// An entry keeps 1/reserveDivisor of its base in reserve, and does not lend it, until
+	// reserveDuration after the account's last request. Without this time limit, eight idle
+	// entries of nine withheld 22 % of a contract from the one that received all requests.
 	reserveDivisor  = 4
 	reserveDuration = 10 * time.Second
-	// refusalEndDelay is how long nothing is refused until the journal says so.
+	// refusalEndDelay is the time without a refusal after which the journal records that
+	// refusing has ended.
 	refusalEndDelay = 5 * time.Second
 )
 
-// admitter holds customers to their contracts at this entry. It is safe for
-// concurrent use.
+// admitter enforces customers' contracts at this entry. It is safe for concurrent use.
 type admitter struct {
 	vm      string
 	clock   boottime.Clock
 	journal *journal.Journal
-	// readTimeout is how long a body may take, which counts as in flight.
+	// readTimeout is the maximum time for reading a body, during which a request counts as
+	// in flight.
 	readTimeout time.Duration
 	admitted    metrics.Meter
 	refused     map[admission.Reason]metrics.Meter
-	// shareWanted notifies the sharer that a request was refused for want of share.
+	// shareWanted signals the shareExchanger that a request was refused because this entry's
+	// share did not suffice.
 	shareWanted chan struct{}
 
 	mu       sync.Mutex
@@ -58,24 +59,28 @@
 	accounts map[shares.Account]*accountLimiter
 	// active are the accounts whose share or use may change; see active.go.
 	active map[shares.Account]*accountLimiter
-	// base is the part of every contract of which all gates were notified.
+	// base is the base that the gates of all accounts were last updated with.
 	base shares.Units
-	// revision is the configuration whose contracts have ledgers, 0 for none.
+	// revision is that of the configuration whose contracts have limiters in accounts. It is
+	// 0 if accounts must be checked again.
 	revision uint64
-	vmCount  int
+	// vmCount is the number of VMs that the platform lists.
+	vmCount int
 }
 
-// accountLimiter is one account at this entry.
+// accountLimiter holds the limits and the demand of one account at this entry.
 type accountLimiter struct {
 	gate        *admission.Gate
 	allowance   model.Allowance
 	maxDuration time.Duration
-	// offered counts requests since the last measure, demand is per second.
+	// offered counts the requests since lastMeasured. demandPerSecond is the moving average
+	// of their rate.
 	offered         int
 	lastRequest     time.Duration
 	demandPerSecond float64
 	lastMeasured    time.Duration
-	// lastRefusal is when a request was last refused, 0 if that is long ago.
+	// lastRefusal is when a request was last refused, 0 once the journal has recorded that
+	// refusing ended.
 	lastRefusal time.Duration
 }
 
@@ -97,10 +102,11 @@
 	}
 }
 
-// gateTime puts a reading of the clock into the form that the gate wants.
+// gateTime converts a reading of the clock to the time.Time that the gate takes.
 func gateTime(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) }
 
-// admit decides by contract and share. Each admitted req needs one release.
+// admit admits or refuses a request by the customer's contract and this entry's share of it.
+// release must be called once for each admitted request.
 func (a *admitter) admit(req *parsedRequest) *problem.Error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -134,7 +140,7 @@
 	return problem.Refuse(problem.OverLimit, stepAdmit, a.vm, detail).After(max(d.RetryAfter, time.Millisecond))
 }
 
-// release ends an admitted req.
+// release records that an admitted request has ended.
 func (a *admitter) release(req *parsedRequest, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -142,6 +148,7 @@
 	a.limiterFor(account, a.clock.Now()).gate.Done(took)
 }
 
+// limiterFor returns the account's limiter, which it creates if there is none.
 func (a *admitter) limiterFor(account shares.Account, now time.Duration) *accountLimiter {
 	l := a.accounts[account]
 	if l == nil {
@@ -155,9 +162,9 @@
 	l.allowance, l.maxDuration = allowance, s.MaxDeadline.D()+answerMargin+a.readTimeout
 }
 
-// refresh passes the book what the account needs and the gate what it has. It
-// must run before and after each change of the book: the gate counts a lowered
-// share from the last update that it received.
+// refresh passes the account's demand to the ledger and its share to the gate. It must run
+// before and after each change of the ledger: the gate takes a lowered share to be in force
+// since the last update that it received.
 func (a *admitter) refresh(account shares.Account, l *accountLimiter, now time.Duration) {
 	a.ledger.SetDemand(account, l.shareDemand(a.vmCount, now), now)
 	rate, concurrency := a.ledger.Share(account, now)
@@ -168,17 +175,18 @@
 	}, gateTime(now))
 }
 
+// fractionOf returns the part of limit that a share makes up.
 func fractionOf(share shares.Units, limit float64) float64 {
 	return float64(share) / float64(shares.Whole) * limit
 }
 
-// unitsFor is the share that so much of a limit makes up, at most the whole.
+// unitsFor returns the share of limit that amount makes up, rounded up and at most Whole.
 func unitsFor(amount, limit float64) shares.Units {
 	return min(shares.Units(math.Ceil(amount/limit*float64(shares.Whole))), shares.Whole)
 }
 
-// shareDemand says what this entry needs. With any demand at all that is enough for one
-// request: of a small burst or concurrency an equal part admits none.
+// shareDemand returns what this entry needs of the account. While there is any demand, it wants
+// enough for at least one request: an equal part of a small burst or concurrency may be less.
 func (l *accountLimiter) shareDemand(vmCount int, now time.Duration) shares.Demand {
 	d := shares.Demand{MaxDuration: l.maxDuration}
 	inFlight := float64(l.gate.InFlight())
@@ -195,7 +203,7 @@
 	return d
 }
 
-// measure takes the demand since the last call into the estimate.
+// measure updates the moving average of the demand with the requests since the last call.
 func (l *accountLimiter) measure(now time.Duration) {
 	elapsed := (now - l.lastMeasured).Seconds()
 	if elapsed <= 0 {
@@ -209,8 +217,8 @@
 	l.offered, l.lastMeasured = 0, now
 }
 
-// endPeriod ends a renewal endPeriod: it takes the platform's list, measures demand
-// and forgets accounts without use.
+// endPeriod runs at the end of each renewal interval. It applies the configuration and the
+// platform's list of VMs, measures the demand and deactivates accounts that are not in use.
 func (a *admitter) endPeriod(v *view.View) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -232,14 +240,15 @@
 	a.deactivateIdle(now)
 }
 
-// hasBase reports whether the others confirmed this VM's part of the limits.
-// Without a base an entry refuses customers far below their contracts, so it is not ready before.
+// hasBase reports whether the other entries have confirmed this entry's base. Without a base an
+// entry refuses customers far below their contracts, so it is not ready before it has one.
 func (a *admitter) hasBase() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ledger.Base(a.clock.Now()) > 0
 }
 
+// newAsk returns the next ask to a peer and the time at which it was made.
 func (a *admitter) newAsk(peer string, seq uint64) (shares.Ask, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -248,6 +257,7 @@
 	return a.ledger.Ask(peer, seq, now), now
 }
 
+// handleAsk answers another entry's ask.
 func (a *admitter) handleAsk(ask shares.Ask) shares.Answer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -261,6 +271,7 @@
 	return answer
 }
 
+// handleAnswer applies the answer to an ask that newAsk returned at sentAt.
 func (a *admitter) handleAnswer(ask shares.Ask, answer shares.Answer, sentAt time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -273,7 +284,7 @@
 	a.refreshActive(now)
 }
 
-// AccountState is one account in the dump; shares are fractions of the contract.
+// AccountState describes one account in the dump. Shares are fractions of the contract.
 type AccountState struct {
 	Customer    string  `json:"customer"`
 	Service     string  `json:"service"`
--- a/internal/entry/admit_test.go
+++ b/internal/entry/admit_test.go
@@ -17,12 +17,12 @@
 	"hemlockquay/internal/wire"
 )
 
-// fakeClock is a clock that tests set.
+// fakeClock is a clock that tests set from one goroutine.
 type fakeClock struct{ now time.Duration }
 
 func (c *fakeClock) Now() time.Duration { return c.now }
 
-// testEntries are admitters that talk without a network.
+// testEntries are the admitters of several entries that exchange messages without a network.
 type testEntries struct {
 	clock     *fakeClock
 	admitters []*admitter
@@ -37,7 +37,7 @@
 	return newEntriesWithIdleContracts(t, n, allowance, 0)
 }
 
-// newEntriesWithIdleContracts has so many more contracts, whose customers send nothing.
+// newEntriesWithIdleContracts adds contracts of customers that send no requests.
 func newEntriesWithIdleContracts(t require.TestingT, n int, allowance string, idleContracts int) *testEntries {
 	e := &testEntries{clock: &fakeClock{now: time.Hour}}
 	objects := []platform.Object{
@@ -63,7 +63,7 @@
 	return e
 }
 
-// renew runs one renewal of all entries.
+// renew runs one renewal interval at all entries, without loss of messages.
 func (e *testEntries) renew() {
 	for _, a := range e.admitters {
 		a.endPeriod(e.view)
@@ -72,13 +72,13 @@
 				continue
 			}
 			e.seq++
-			ask, asked := a.newAsk(other.vm, e.seq)
-			a.handleAnswer(ask, other.handleAsk(ask), asked)
+			ask, sentAt := a.newAsk(other.vm, e.seq)
+			a.handleAnswer(ask, other.handleAsk(ask), sentAt)
 		}
 	}
 }
 
-// offerLoad sends so many requests a second to each entry and counts what is admitted.
+// offerLoad sends perSecond[i] requests per second to entry i and counts the results.
 func (e *testEntries) offerLoad(d time.Duration, perSecond ...int) (admitted, refused int) {
 	const tick = 10 * time.Millisecond
 	due := make([]float64, len(e.admitters))
@@ -105,8 +105,8 @@
 
 const testAllowance = `{"service": "booth", "rate": 200, "burst": 40, "concurrency": 30}`
 
-// A customer at ten times its contract, through all entries at once: together they
-// admit its contract, no more, and nearly all of it.
+// A customer sends ten times its contract through all entries at once. Together they must admit
+// at most the contract, and nearly all of it.
 func TestCallerAboveItsContractGetsItFromAllEntriesTogether(t *testing.T) {
 	e := newEntries(t, 3, testAllowance)
 	e.offerLoad(2*time.Second, noLoad(3)...)
@@ -115,8 +115,8 @@
 	require.GreaterOrEqual(t, admitted, 200*10*95/100)
 }
 
-// All requests come through one entry, within the contract: after two seconds
-// nothing is refused.
+// All requests of a customer come through one entry, within the contract. After two seconds no
+// request may be refused.
 func TestCallerUsingOneEntryGetsItsContract(t *testing.T) {
 	e := newEntries(t, 9, testAllowance)
 	e.offerLoad(2*time.Second, noLoad(9)...)
@@ -128,8 +128,8 @@
 	require.InDelta(t, 1800, admitted, 2)
 }
 
-// A contract smaller than the number of entries: an equal part of its burst is no
-// whole request anywhere, so an entry gathers it from the others.
+// The burst and concurrency of a contract are smaller than the number of entries. An equal part
+// is less than one request, so the entry must borrow the rest from the others.
 func TestSmallContractIsUsable(t *testing.T) {
 	e := newEntries(t, 9, `{"service": "booth", "rate": 5, "burst": 1, "concurrency": 1}`)
 	e.offerLoad(2*time.Second, noLoad(9)...)
@@ -141,8 +141,9 @@
 	require.GreaterOrEqual(t, admitted, 40)
 }
 
-// The first request of a customer at an entry that has run for a while passes: its
-// bucket is kept from when the contract came, not from the first request.
+// Failure: the first request of a customer at an entry is refused, since its token bucket is
+// created by this request and starts empty. The bucket must exist since the contract came into
+// force.
 func TestFirstRequestIsAdmittedAndRefusalIsNotRun(t *testing.T) {
 	e := newEntries(t, 3, testAllowance)
 	e.offerLoad(2*time.Second, noLoad(3)...)
@@ -156,10 +157,10 @@
 	require.Positive(t, p.RetryAfter)
 }
 
-// Thousands of contracts send nothing. Walks over all of them at each message of
-// another entry cost a core (2.6 s for a renewal of nine entries beside 20,000), so
-// quiet ones are left alone. The first burst after an hour of silence still finds what
-// its entry has, and the rest of the contract follows.
+// Failure: thousands of contracts receive no requests, and refreshing all of them for each
+// message of another entry takes a whole core (2.6 s for a renewal of nine entries with 20,000
+// such contracts). They must become inactive. The first burst after an hour without requests
+// must still get the entry's own part of the contract at once, and then borrow the rest.
 func TestIdleContractsBecomeInactive(t *testing.T) {
 	e := newEntriesWithIdleContracts(t, 3, testAllowance, 50)
 	e.offerLoad(2*time.Second, noLoad(3)...)
@@ -174,15 +175,15 @@
 	for e.admitters[1].admit(e.req) == nil {
 		burst++
 	}
-	require.Equal(t, 30/3, burst, "the entry's own part of the concurrency")
+	require.Equal(t, 30/3, burst, "the entry's own part of the concurrency is admitted")
 	require.Len(t, e.admitters[1].active, 1)
 	for range burst {
 		e.admitters[1].release(e.req, time.Millisecond)
 	}
 	e.offerLoad(3*time.Second, 0, 150, 0)
 	admitted, _ := e.offerLoad(4*time.Second, 0, 150, 0)
-	require.InDelta(t, 600, admitted, 5, "the others lend what they do not use")
-	require.Len(t, e.admitters[0].active, 1, "a lender looks at what it lent")
+	require.InDelta(t, 600, admitted, 5, "the other entries must lend what they do not use")
+	require.Len(t, e.admitters[0].active, 1, "the account must be active at a lender")
 	e.offerLoad(time.Minute, noLoad(3)...)
 	for _, a := range e.admitters {
 		require.Empty(t, a.active)
@@ -209,7 +210,8 @@
 	}
 }
 
-// The same beside 20,000 contracts whose customers send nothing.
+// BenchmarkRenewalBesideQuietContracts is BenchmarkRenewal with 20,000 more contracts whose
+// customers send no requests.
 func BenchmarkRenewalBesideQuietContracts(b *testing.B) {
 	e := newEntriesWithIdleContracts(b, 9, testAllowance, 20000)
 	e.offerLoad(2*time.Second, noLoad(9)...)
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -17,8 +17,8 @@
 	"hemlockquay/internal/model"
 )
 
-// startRequestPath starts a target, a real dispatcher and a real entry in this process,
-// with a fake agent, and returns the entry's address.
+// startRequestPath starts a target, a dispatcher, an entry and a fake agent in this process and
+// returns the entry's address.
 func startRequestPath(b *testing.B) string {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -42,9 +42,9 @@
 	return l.addr
 }
 
-// BenchmarkPath is one request from a caller through the entry, the dispatcher and
-// the target and back, all in this process. Its figures include the caller's and the
-// target's side of HTTP; BenchmarkDirect is these two alone.
+// BenchmarkPath measures one request from a caller through the entry and the dispatcher to the
+// target and back, all in this process. The figures include the HTTP client of the caller and
+// the HTTP server of the target; BenchmarkDirect measures these two alone.
 func BenchmarkPath(b *testing.B) { benchmarkCalls(b, "http://"+startRequestPath(b)+"/s/booth/a") }
 
 func BenchmarkDirect(b *testing.B) {
@@ -71,7 +71,7 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return resp.StatusCode
 	}
-	// The dispatcher must have its view.
+	// Wait until the dispatcher has received its configuration.
 	for start := time.Now(); call() != http.StatusOK; {
 		if time.Since(start) > testTimeout {
 			b.Fatal("no answer")
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -25,13 +25,13 @@
 // processName is the daemon's name in reports and logs.
 const processName = "hq-entry"
 
-// Module wires the entry.
+// Module provides the entry daemon and starts it.
 var Module = fx.Options(
 	fx.Provide(func() boottime.Clock { return boottime.System{} }, newEntry),
 	fx.Invoke(func(*entry) {}),
 )
 
-// entry is the process: the callers' HTTP server and its parts.
+// entry is the daemon: the HTTP server for callers and the components behind it.
 type entry struct {
 	*daemon.Kit[*Settings]
 	parser      *requestParser
@@ -51,9 +51,10 @@
 	server      *http.Server
 }
 
-// idleTimeout is how long a kept connection without a request stays open.
-// It is longer than balancers keep idle connections, 60 s by custom: the side that sends must close
-// first, or a request crosses the close. Without it net/http uses readTimeout.
+// idleTimeout is how long a keep-alive connection stays open without a request. It exceeds the
+// idle timeout of load balancers, usually 60 s: the side that sends requests must close first,
+// since a request may otherwise arrive while the connection is being closed. If it were not
+// set, net/http would use Settings.ReadTimeout instead.
 const idleTimeout = 3 * time.Minute
 
 func newEntry(k *daemon.Kit[*Settings], clock boottime.Clock) (*entry, error) {
@@ -103,15 +104,15 @@
 	e.wg.Go(func() { e.exchanger.run(ctx) })
 	go func() {
 		if err := e.peerServer.Serve(); err != nil {
-			e.Log.Error().Err(err).Str("step", "serve").Msg("peer server ended")
+			e.Log.Error().Err(err).Str("step", "serve").Msg("peer server stopped unexpectedly")
 		}
 	}()
 	go func() { _ = e.server.Serve(e.listener) }()
 	return nil
 }
 
-// stop drains: requests are answered until the balancer has been notified; then
-// those in flight are answered and new ones refused as not run.
+// stop shuts the entry down gracefully. It serves new requests until the load balancer has been
+// notified. After that it refuses new requests as not run and completes those in flight.
 func (e *entry) stop(ctx context.Context) error {
 	e.Life.BeginDrain()
 	e.Life.Lead(ctx)
@@ -123,7 +124,7 @@
 	e.forwarder.client.Close()
 	e.Life.Drained()
 	if err != nil {
-		return fmt.Errorf("drain callers: %w", err)
+		return fmt.Errorf("shut down the HTTP server for callers: %w", err)
 	}
 	return nil
 }
@@ -131,8 +132,8 @@
 func (e *entry) handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
-	// Not a route: gin's routes match unescaped paths and a fixed list of
-	// methods, and targets may take others.
+	// Requests are not registered as routes: gin's routes match unescaped paths and a fixed
+	// list of methods, and targets may accept other methods.
 	g.NoRoute(e.serve)
 	return g
 }
@@ -167,7 +168,7 @@
 	e.writeAnswer(c, answer)
 }
 
-// process takes an admitted req to its answer.
+// process reads the body of an admitted request, forwards the request and returns the answer.
 func (e *entry) process(c *gin.Context, req *parsedRequest) (*wire.Answer, *problem.Error) {
 	if p := e.parser.readBody(c.Writer, c.Request, req); p != nil {
 		return nil, p
@@ -176,8 +177,9 @@
 	return e.forwarder.forward(c.Request.Context(), req)
 }
 
-// drainReason asks the caller to take its next request elsewhere, and says why this
-// one is refused once the lead is over.
+// drainReason returns why a request is refused during a graceful shutdown, "" if it is served.
+// From the beginning of the shutdown it also sets Connection: close, so that the caller sends
+// its next request to another entry.
 func (e *entry) drainReason(c *gin.Context) string {
 	select {
 	case <-e.Life.Draining():
@@ -191,7 +193,7 @@
 	return "the entry is leaving"
 }
 
-// nextRequestID names a request: unique over VMs and restarts.
+// nextRequestID returns an ID that is unique across VMs and restarts.
 func (e *entry) nextRequestID() string {
 	return e.Settings.VM + "-" + strconv.FormatInt(e.incarnation, 36) + "-" + strconv.FormatUint(e.requests.Add(1), 36)
 }
@@ -209,8 +211,8 @@
 	_, _ = c.Writer.Write(a.Body)
 }
 
-// contentLength returns the answer's length, "" where it has none. The answer to
-// HEAD returns the length that GET would have, which only the target knows.
+// contentLength returns the value of the answer's Content-Length, "" for none. The answer to
+// HEAD states the length that GET would have, which only the target knows.
 func contentLength(method string, a *wire.Answer) string {
 	switch {
 	case a.Status == http.StatusNoContent || a.Status == http.StatusNotModified:
@@ -229,7 +231,7 @@
 type entryState struct {
 	Listen     string `json:"listen"`
 	PeerListen string `json:"peerListen"`
-	// InFlight are the requests that were admitted and are not answered yet.
+	// InFlight counts the requests that were admitted and have not been answered.
 	InFlight  int64  `json:"inFlight"`
 	Forwarded uint64 `json:"forwarded"`
 	Answered  int64  `json:"answered"`
@@ -243,7 +245,7 @@
 	}
 }
 
-// problemDocument is the body of a refusal, RFC 9457.
+// problemDocument is the body of a refusal (RFC 9457).
 type problemDocument struct {
 	Type      string       `json:"type"`
 	Title     string       `json:"title"`
@@ -256,7 +258,7 @@
 	RequestID string       `json:"requestId,omitempty"`
 }
 
-// problemTypePrefix makes a problem's type URI of its kind.
+// problemTypePrefix followed by the kind is the type URI of a problem.
 const problemTypePrefix = "urn:hemlockquay:problem:"
 
 func (e *entry) writeRefusal(c *gin.Context, p *problem.Error) {
@@ -266,8 +268,8 @@
 		c.Header("Retry-After", strconv.Itoa(int((p.RetryAfter+time.Second-1)/time.Second)))
 	}
 	if p.Kind == problem.TooLarge {
-		// On a connection that it keeps, net/http reads the body before it
-		// sends the refusal.
+		// If the connection were kept alive, net/http would read the body before it sends the
+		// refusal.
 		c.Header("Connection", "close")
 	}
 	c.Header(problem.Header, string(p.Ran))
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -15,8 +15,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// answerMargin is how much longer than the deadline an entry waits for the
-// dispatcher's word on what became of a request.
+// answerMargin is how long after the deadline an entry still waits for the dispatcher to report
+// the outcome of a request.
 const answerMargin = 50 * time.Millisecond
 
 // forwarder sends requests to dispatchers.
@@ -32,27 +32,27 @@
 	Changed() <-chan struct{}
 }
 
-// dispatcherClient carries calls to a dispatcher's address. Errors are those of peer.
+// dispatcherClient calls the dispatcher at an address. Errors are those of package peer.
 type dispatcherClient interface {
 	Call(ctx context.Context, addr, method string, args, reply any) error
 	Close()
 }
 
-// pooledClient is dispatchers over connections that are kept.
+// pooledClient implements dispatcherClient with a pool of connections.
 type pooledClient struct{ *peer.Pool }
 
-// Call implements dispatchers.
+// Call implements dispatcherClient.
 func (p pooledClient) Call(ctx context.Context, addr, method string, args, reply any) error {
 	return p.Get(addr).Call(ctx, method, args, reply)
 }
 
-// forward returns the whole answer or the problem.
+// forward returns the complete answer or the problem.
 //
-// A dispatcher that is leaving, or that the request never reached, is passed over
-// for the next one while the deadline lasts. One that says that another target owns
-// the key has a view that differs from ours by a moment: the request waits for the
-// next view and goes to the dispatcher of the owner that it shows. After any other
-// failure the request may have run; sending it again is left to its caller.
+// If a dispatcher is shutting down or the request did not reach it, forward tries the next one
+// until the deadline. If a dispatcher replies that another target owns the key, one of the two
+// views is older: the request waits for this entry's next view and goes to the dispatcher of the
+// owner in that view. After any other failure the request may have run, and only the caller can
+// decide to send it again.
 func (f *forwarder) forward(ctx context.Context, req *parsedRequest) (*wire.Answer, *problem.Error) {
 	state := attemptState{ownerWaitUntil: time.Now().Add(maxOwnerWait)}
 	if req.deadline.Before(state.ownerWaitUntil) {
@@ -81,27 +81,28 @@
 	}
 }
 
-// attemptState is what was tried for one request.
+// attemptState records the attempts to forward one request.
 type attemptState struct {
-	// queue is the queue that was chosen last; tried counts the dispatchers
-	// that were passed over for it.
+	// queue is the queue that was chosen last. attempts counts the dispatchers that were
+	// tried for it without success.
 	queue       string
 	attempts    int
 	lastProblem *problem.Error
-	// ownerWaitUntil bounds the wait for an owner.
+	// ownerWaitUntil bounds the wait for the key to have an owner.
 	ownerWaitUntil time.Time
 }
 
-// maxOwnerWait bounds how long a request waits at the entry for an owner. A
-// takeover takes under a second.
+// maxOwnerWait is how long a request waits at the entry for its key to have an owner. A
+// takeover takes less than a second.
 const maxOwnerWait = time.Second
 
-// viewRetryInterval is when a request is tried again though no view came: the dispatcher's
-// view may have been the older one. Some tries fit into a planned move of 100 ms.
+// viewRetryInterval is how long a request waits for a new view before it is tried again without
+// one: the dispatcher's view may have been the older one. Several attempts fit into a planned
+// move, which takes 100 ms.
 const viewRetryInterval = 25 * time.Millisecond
 
-// waitForView waits for the next view or a short pause. It returns false if the
-// request must not wait any more.
+// waitForView waits for the next view, but not longer than viewRetryInterval. It returns false
+// if the request must not be tried again.
 func waitForView(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	remaining := time.Until(until)
 	if remaining <= 0 {
@@ -118,13 +119,14 @@
 	return true
 }
 
-// retryable reports whether another dispatcher may do better.
+// retryable reports whether the request did not run and may succeed at another dispatcher or
+// after the next view.
 func retryable(p *problem.Error) bool {
 	return p.Ran == problem.RanNo && (p.Kind == problem.Leaving || p.Kind == problem.NoOwner)
 }
 
-// maxDispatcherAttempts bounds how many dispatchers are tried: the first, and one more
-// for each of two that left at the same moment.
+// maxDispatcherAttempts is the maximum number of dispatchers tried for a queue: the first, and
+// one more for each of two that shut down at the same time.
 const maxDispatcherAttempts = 3
 
 func (f *forwarder) chooseDispatcher(v *view.View, req *parsedRequest, state *attemptState) (wire.Member, *problem.Error) {
@@ -150,13 +152,13 @@
 	return members[order[state.attempts%len(order)]], nil
 }
 
-// exhausted is the refusal after the last dispatcher that was tried. It is not
-// passed over.
+// exhausted returns the refusal after the last attempt. It is not retryable.
 func (s *attemptState) exhausted(vm string) *problem.Error {
 	return problem.Refuse(problem.Full, "choose", vm, "no dispatcher took the request: "+s.lastProblem.Error()).After(time.Second)
 }
 
-// queueOf names the queueOf of a request, and the data centre it should be in.
+// queueOf returns the name of a request's queue and the data centre whose dispatchers are
+// preferred for it.
 func (f *forwarder) queueOf(v *view.View, req *parsedRequest) (queue, preferredDC string, p *problem.Error) {
 	s := req.service
 	if !s.Keyed {
@@ -198,7 +200,7 @@
 	return answer, nil
 }
 
-// maxStatus is the last status code; net/http panics beyond it.
+// maxStatus is the highest status code that net/http writes without a panic.
 const maxStatus = 999
 
 func classifyCallError(err error, vm string) *problem.Error {
@@ -211,10 +213,10 @@
 	return problem.Lost(problem.AnswerLost, "forward", vm, err.Error())
 }
 
-// cancelTimeout bounds the notice that a caller went away.
+// cancelTimeout bounds the call that cancels a request.
 const cancelTimeout = time.Second
 
-// sendCancel notifies the dispatcher that nobody waits for the request any more.
+// sendCancel notifies the dispatcher that the caller has gone away. It does not wait for the call.
 func (f *forwarder) sendCancel(m wire.Member, id string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -19,11 +19,11 @@
 	"hemlockquay/internal/wire"
 )
 
-// staleView is a fleet of one dispatcher, whose view is newer than the entry's: it
-// refuses what it would send to any target but the owner.
+// staleView provides an entry with its view and with one dispatcher, whose view is newer. The
+// dispatcher refuses requests that the entry sends for any target but the actual owner.
 type staleView struct {
 	t *testing.T
-	// mu guards view and changed: a view comes while the entry looks at one.
+	// mu guards view and changed, which are replaced while the entry reads them.
 	mu      sync.Mutex
 	view    *view.View
 	changed chan struct{}
@@ -45,7 +45,7 @@
 	return s.changed
 }
 
-// setShownOwner gives the entry a view in which the target owns all keys; "" is nobody.
+// setShownOwner gives the entry a view in which the target owns all keys, "" for no owner.
 func (s *staleView) setShownOwner(owner string) {
 	shelf := model.Service{Name: "shelf", Keyed: true, Slots: 2, Connections: 10, MaxBody: 16}
 	for name, addr := range map[string]string{"t1": "127.0.0.1:1", "t2": "127.0.0.1:2"} {
@@ -69,11 +69,11 @@
 	s.changed = make(chan struct{})
 }
 
-// Call implements dispatchers; the address is the owner in the entry's eyes.
+// Call implements dispatcherClient. The address is the name of the owner in the entry's view.
 func (s *staleView) Call(_ context.Context, addr, _ string, args, reply any) error {
 	s.calls++
 	if s.calls > 200 {
-		return errors.New("asked without a pause")
+		return errors.New("more than 200 calls: retried without a pause")
 	}
 	id := args.(*wire.Request).ID
 	*reply.(*wire.Answer) = wire.Answer{ID: id, Status: http.StatusOK, Sum: wire.Sum(nil), Target: addr}
@@ -84,7 +84,7 @@
 }
 
 // forwardDuringMove forwards a request while the entry's view shows one owner and the dispatcher
-// knows another; after a while the entry's view shows next.
+// knows another. If after is not 0, the entry's view shows next after that time.
 func (s *staleView) forwardDuringMove(shown, next string, after, timeout time.Duration) (*wire.Answer, *problem.Error, time.Duration) {
 	s.setShownOwner(shown)
 	start := time.Now()
@@ -97,10 +97,9 @@
 	return answer, p, time.Since(start)
 }
 
-// A planned move gives a slice to another target. The dispatcher has the new view,
-// the entry has the old one for 110 ms more and sends there; the dispatcher refuses,
-// since another target owns the key. Callers would see each move as refusals: the
-// request waits for the entry's next view instead, and goes on at once when it comes.
+// Failure: callers receive refusals during each planned move. The dispatcher already has the new
+// view and refuses, while the entry has the old one for another 110 ms and sends the request for
+// the old owner. The request must wait for the entry's next view and be sent as soon as it comes.
 func TestRequestForMovedKeyWaitsForNextView(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &staleView{t: t, owner: "t2"}
@@ -108,11 +107,12 @@
 		require.Nil(t, p)
 		require.Equal(t, "t2", answer.Target)
 		require.Equal(t, 110*time.Millisecond, took)
-		require.LessOrEqual(t, s.calls, int(took/viewRetryInterval)+2, "asked again at the pause only")
+		require.LessOrEqual(t, s.calls, int(took/viewRetryInterval)+2, "must be sent at most once per viewRetryInterval")
 	})
 }
 
-// An owner was lost: for 300 ms the entry's view shows none, then the standby.
+// Failure: requests are refused while a lost owner is replaced. The entry's view shows no owner
+// for 300 ms, then the standby.
 func TestRequestWaitsUntilItsKeyHasAnOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &staleView{t: t, owner: "t2"}
@@ -124,8 +124,9 @@
 	})
 }
 
-// No view comes, as on an entry that is cut off from its agent. The caller is told
-// within the bound, or at its deadline if that is sooner, that nothing ran.
+// Failure: a request waits without a limit because no new view comes, as at an entry without a
+// connection to its agent. It must be refused as not run after maxOwnerWait, or at its deadline
+// if that is sooner.
 func TestOwnerWaitIsBounded(t *testing.T) {
 	for _, timeout := range []time.Duration{10 * time.Second, 200 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -29,10 +29,10 @@
 	"hemlockquay/internal/wire"
 )
 
-// testTimeout bounds what a test waits for a thing that must happen.
+// testTimeout bounds how long a test waits for an event.
 const testTimeout = 20 * time.Second
 
-// fakeAgent is an agent that answers pulls with one configuration.
+// fakeAgent is an agent that always replies to pulls with the same configuration.
 type fakeAgent struct {
 	reply wire.PullReply
 	ready chan struct{}
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// fakeDispatcher is a dispatcher that notes what it is sent and answers by a
-// function; without one it echoes the body.
+// fakeDispatcher is a dispatcher that records requests and cancellations. It answers by the
+// function answer; if that is nil, it echoes the body.
 type fakeDispatcher struct {
 	answer   func(*wire.Request) wire.Answer
 	requests chan wire.Request
@@ -87,7 +87,7 @@
 
 var discardLogger = &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 
-// testEntry is a running entry between a fake agent and a fake dispatcher.
+// testEntry is a running entry with a fake agent and a fake dispatcher.
 type testEntry struct {
 	t        testing.TB
 	addr     string
@@ -107,7 +107,7 @@
 	return s.Addr()
 }
 
-// testObjects are an unkeyed service with a body limit of 64 bytes and its customer.
+// testObjects returns an unkeyed service with a body limit of 64 bytes and a contract for it.
 func testObjects(target string) []platform.Object {
 	return []platform.Object{
 		{Kind: model.KindService, Name: "booth", Version: 1, Spec: []byte(`{"name": "booth", "slots": 64, "connections": 110,
@@ -125,8 +125,8 @@
 	return l
 }
 
-// startWithDispatcher starts an entry whose only dispatcher is at the address. The agent is
-// returned by its address too, for a real dispatcher.
+// startWithDispatcher starts an entry whose only dispatcher is at the given address. The result
+// also has the agent's address, so that a real dispatcher can use the same agent.
 func startWithDispatcher(t testing.TB, dispatcher string, objects []platform.Object, change func(*Settings)) *testEntry {
 	t.Helper()
 	agent := &fakeAgent{ready: make(chan struct{}), end: make(chan struct{})}
@@ -153,8 +153,8 @@
 	if e.feed.Current().Revision == 0 {
 		waitFor(t, changed)
 	}
-	// A share of the contract is held only after the longest request of an
-	// entry's earlier life would have ended.
+	// The entry has a share of the contract only after the longest request of an earlier run
+	// would have ended.
 	for range 100 {
 		clock.now.Add(int64(time.Second))
 		e.admitter.endPeriod(e.feed.Current())
@@ -163,7 +163,7 @@
 	return l
 }
 
-// waitFor waits for what must happen.
+// waitFor fails the test if the event does not occur within testTimeout.
 func waitFor(t testing.TB, event <-chan struct{}) {
 	t.Helper()
 	select {
@@ -173,7 +173,7 @@
 	}
 }
 
-// atomicClock is a clock that only tests move.
+// atomicClock is a clock that tests advance while the entry's goroutines read it.
 type atomicClock struct{ now atomic.Int64 }
 
 func (c *atomicClock) Now() time.Duration { return time.Duration(c.now.Load()) }
@@ -199,7 +199,7 @@
 	body string
 }
 
-// read takes one answer from the connection.
+// read reads one answer from the connection.
 func (l *testEntry) read(from *bufio.Reader, method string) reply {
 	resp, err := http.ReadResponse(from, &http.Request{Method: method})
 	require.NoError(l.t, err)
@@ -208,7 +208,7 @@
 	return reply{resp, string(body)}
 }
 
-// sendRaw sends the lines, joined by CRLF, and reads one answer.
+// sendRaw sends the lines, joined by CRLF, on a new connection and reads one answer.
 func (l *testEntry) sendRaw(lines ...string) reply {
 	conn := l.connect()
 	text := strings.Join(lines, "\r\n")
@@ -232,7 +232,7 @@
 
 const authLine = "Authorization: Bearer " + testToken
 
-// forwarded returns the request that the dispatcher got.
+// forwarded returns the next request that the dispatcher received.
 func (l *testEntry) forwarded() wire.Request {
 	l.t.Helper()
 	select {
@@ -244,7 +244,7 @@
 	}
 }
 
-// requireRefused checks a refusal as not run, of which nothing was forwarded.
+// requireRefused checks that a request was refused as not run and that nothing was forwarded.
 func (l *testEntry) requireRefused(r reply, status int, kind problem.Kind) {
 	l.t.Helper()
 	require.Equal(l.t, status, r.StatusCode, r.body)
--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -8,12 +8,12 @@
 	"hemlockquay/internal/hopbyhop"
 )
 
-// internalHeaderPrefix marks headers between the system's parts; a caller must not be able
-// to forge a grant's rank.
+// internalHeaderPrefix is the prefix of the headers that the system's processes and the targets
+// exchange. Callers' headers with this prefix are dropped, so that none can forge a grant's rank.
 const internalHeaderPrefix = "Hq-"
 
-// forwardedHeaders returns the headers that concern the other end. The caller's token
-// stays here: a target has no use for it.
+// forwardedHeaders returns the headers of a caller's request that are sent to the target. The
+// caller's token is dropped, since a target has no use for it.
 func forwardedHeaders(in http.Header) http.Header {
 	out := endToEndHeaders(in)
 	delete(out, headerAuthorization)
@@ -26,12 +26,12 @@
 }
 
 // endToEndHeaders returns the headers without the hop-by-hop ones and those that Connection
-// names. The lists of values are shared with in; neither side may change them.
+// names. The result shares its lists of values with in; they must not be modified.
 func endToEndHeaders(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	maps.Copy(out, in)
 	hopbyhop.Drop(out)
-	// The entry has the whole body before it sends.
+	// Bodies are read completely before they are passed on, so these two no longer apply.
 	delete(out, "Expect")
 	delete(out, "Content-Length")
 	return out
--- a/internal/entry/http_test.go
+++ b/internal/entry/http_test.go
@@ -16,8 +16,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// A caller sends a body over the limit. The answer must come before the body is
-// read: here the caller never sends it.
+// Failure: a body over the limit is refused only after it was read. Here the caller sends the
+// headers, or one chunk, and never the rest.
 func TestTooLargeBodyIsRefusedBeforeItIsRead(t *testing.T) {
 	l := startTestEntry(t, nil)
 	for _, header := range []string{"X-None: 1", "Expect: 100-continue"} {
@@ -44,11 +44,11 @@
 	require.Equal(t, "body", r.body)
 	got := l.forwarded()
 	require.Equal(t, "body", string(got.Body))
-	require.NotContains(t, got.Header, "Trailer", "trailers end here: the target gets a length")
+	require.NotContains(t, got.Header, "Trailer", "trailers are not forwarded: the target receives a length")
 }
 
-// What the library refuses before our handler sees it: it is never forwarded, the
-// status is clear, and the connection ends. The library gives no say in the body.
+// Requests that net/http refuses before the handler runs must never be forwarded. They get a
+// definite status and the connection is closed. net/http does not let us choose the body.
 func TestMalformedRequestsAreRefusedByTheLibrary(t *testing.T) {
 	l := startTestEntry(t, func(s *Settings) { s.MaxHeader = 1024 })
 	begin := []string{"POST /s/booth/a HTTP/1.1", "Host: entry", authLine}
@@ -73,12 +73,13 @@
 			require.Empty(t, l.dispatch.requests)
 		})
 	}
-	require.Equal(t, http.StatusOK, l.post("body").StatusCode, "the entry goes on")
+	require.Equal(t, http.StatusOK, l.post("body").StatusCode, "the entry must still serve requests")
 }
 
-// One reader takes the length, another the chunks, and a request hides in the body
-// of the one before: it would run with the first one's token. Here the chunks count
-// (RFC 9112 section 6.3) and what follows must bring a token of its own.
+// Failure: request smuggling. One server reads a body by Content-Length and another by its
+// chunks, so that a request hidden in the body runs with the token of the request before it. The
+// entry must go by the chunks (RFC 9112, section 6.3), and the bytes that follow need a token of
+// their own.
 func TestAmbiguousLengthsDoNotSmuggleRequests(t *testing.T) {
 	l := startTestEntry(t, nil)
 	conn := l.connect()
@@ -95,8 +96,8 @@
 	require.Equal(t, "body", same.body)
 }
 
-// Callers that send half a request hold connections for ever. The time limit ends
-// them; others are served meanwhile, and nothing of them is forwarded.
+// Failure: callers that send half a request hold connections for ever. ReadTimeout must close
+// these connections; other callers are served meanwhile, and no incomplete request is forwarded.
 func TestSlowSendersTimeOutAndOthersAreServed(t *testing.T) {
 	l := startTestEntry(t, func(s *Settings) { s.ReadTimeout = model.Duration(300 * time.Millisecond) })
 	headers, body := l.connect(), l.connect()
@@ -106,13 +107,13 @@
 	require.Equal(t, "/a", l.forwarded().Path)
 	l.requireRefused(l.read(bufio.NewReader(body), "POST"), http.StatusBadRequest, problem.BadRequest)
 	_, err := io.Copy(io.Discard, headers)
-	require.NoError(t, err, "the connection is closed")
+	require.NoError(t, err, "the connection must be closed")
 	require.Empty(t, l.dispatch.requests)
 }
 
-// A nightly audit takes longer than readTimeout. The limit is for reading: if it
-// stayed armed while the request runs, its end would look like a caller that went
-// away, and the audit would be cancelled.
+// Failure: a request that runs longer than readTimeout is cancelled. The timeout is meant for
+// reading the request; if it stayed in force while the request runs, its expiry would look like
+// a caller that disconnected.
 func TestReadTimeoutDoesNotCancelARunningRequest(t *testing.T) {
 	const readTimeout = 200 * time.Millisecond
 	l := startTestEntry(t, func(s *Settings) { s.ReadTimeout = model.Duration(readTimeout) })
@@ -128,9 +129,8 @@
 	require.Equal(t, "late", l.post("with a body").body)
 }
 
-// A balancer keeps a connection without a request for longer than readTimeout and
-// sends the next one on it. Were it closed then, the caller would not learn whether
-// its request ran.
+// Failure: the entry closes an idle connection after readTimeout, while a load balancer sends the
+// next request on it. The caller then does not learn whether its request ran.
 func TestIdleConnectionOutlivesReadTimeout(t *testing.T) {
 	const readTimeout = 200 * time.Millisecond
 	l := startTestEntry(t, func(s *Settings) { s.ReadTimeout = model.Duration(readTimeout) })
@@ -144,8 +144,8 @@
 	}
 }
 
-// A caller that hangs up waits for nothing: the dispatcher is notified, so that a slot
-// is not held for it.
+// Failure: a request whose caller has disconnected keeps a slot occupied. The dispatcher must be
+// notified, so that it can cancel the request.
 func TestDispatcherIsNotifiedWhenCallerDisconnects(t *testing.T) {
 	l := startTestEntry(t, nil)
 	end := make(chan struct{})
@@ -162,7 +162,7 @@
 	case id := <-l.dispatch.cancels:
 		require.Equal(t, got.ID, id)
 	case <-time.After(testTimeout):
-		require.Fail(t, "the dispatcher was not told")
+		require.Fail(t, "the dispatcher was not notified")
 	}
 }
 
@@ -182,8 +182,8 @@
 	}
 }
 
-// HEAD of a large resource tells its length; the target sends no body. Reporting
-// the length of the empty body would tell the caller that the resource is empty.
+// Failure: the answer to HEAD has the length of its empty body, so that the caller takes the
+// resource to be empty. The length must be the one that the target states.
 func TestHeadAnswerHasLengthFromTarget(t *testing.T) {
 	l := startTestEntry(t, nil)
 	l.dispatch.answer = func(r *wire.Request) wire.Answer {
@@ -238,9 +238,9 @@
 	require.Equal(t, "/a", l.forwarded().Path)
 }
 
-// A caller writes the slash after the service as %2F. Cut at the wrong place, the
-// rest begins without a slash and is glued to the target's address: the request
-// goes to an address of the caller's choice.
+// Failure: a caller writes the slash after the service as %2F. If the path is split after
+// unescaping, the rest begins without a slash and is joined to the target's address, so that the
+// request goes to an address of the caller's choice.
 func TestPathCannotChangeTargetAddress(t *testing.T) {
 	l := startTestEntry(t, nil)
 	for _, path := range []string{
@@ -256,14 +256,13 @@
 		require.Equal(t, http.StatusOK, l.send(method, "/s/booth/a").StatusCode, method)
 		got := l.forwarded()
 		require.Equal(t, method, got.Method)
-		require.Equal(t, method == "TRACE" || method == "OPTIONS", got.Idempotent, "unknown methods run at most once")
+		require.Equal(t, method == "TRACE" || method == "OPTIONS", got.Idempotent, "methods not known to be idempotent run at most once")
 	}
 	l.requireRefused(l.send("CONNECT", "/s/booth/a"), http.StatusBadRequest, problem.BadRequest)
 	l.requireRefused(l.send("CONNECT", "booth:80"), http.StatusBadRequest, problem.BadRequest)
 }
 
-// An answer that belongs to another request, or whose body was damaged on the way,
-// must never reach a caller.
+// Failure: a caller receives the answer to another request, or one that was corrupted on the way.
 func TestForeignOrCorruptAnswerIsUnknown(t *testing.T) {
 	l := startTestEntry(t, nil)
 	for _, damage := range []func(*wire.Answer){
@@ -287,8 +286,9 @@
 	}
 }
 
-// The entry leaves while a request runs: the request ends whole, and one that comes
-// on a kept connection after the lead is refused as not run.
+// Failure: a request in flight is aborted when the entry shuts down. The request must be
+// completed, the drain must allow for the longest deadline in force, and requests that arrive on
+// an idle connection after the drain lead must be refused as not run.
 func TestStopDrainsRequestsInFlight(t *testing.T) {
 	l := startWithoutCleanup(t, nil)
 	end := make(chan struct{})
@@ -305,7 +305,7 @@
 		close(stopped)
 	}()
 	<-l.life.Draining()
-	require.Equal(t, time.Minute, l.life.Longest(), "the drain waits for the longest deadline in force")
+	require.Equal(t, time.Minute, l.life.Longest(), "the drain must wait for the longest deadline in force")
 	require.Empty(t, l.dispatch.cancels)
 	close(end)
 	r := l.read(bufio.NewReader(conn), "GET")
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -15,7 +15,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// Headers of callers.
+// Request headers that callers set.
 const (
 	headerKey            = "Hq-Key"
 	headerDeadline       = "Hq-Deadline-Ms"
@@ -25,17 +25,18 @@
 	bearer               = "Bearer "
 )
 
-// stepParse is the step of refusals while a request is parsed.
+// stepParse is the step that refusals report while a request is parsed.
 const stepParse = "parse"
 
-// maxKeyBytes bounds a key or an idempotency key, bytes.
+// maxKeyBytes is the maximum length of a key, an idempotency key or another header that
+// singleHeader reads.
 const maxKeyBytes = 1024
 
-// door checks what a caller sent. It refuses what is not clear: guessing at a
-// key or a deadline would send a request to the wrong owner.
+// requestParser validates callers' requests. It refuses ambiguous ones: a guess at a key or a
+// deadline would send the request to the wrong owner.
 type requestParser struct{ vm string }
 
-// req is a caller's request with what was found out about it.
+// parsedRequest is a caller's request with the service and contract that apply to it.
 type parsedRequest struct {
 	service     *model.Service
 	contract    *model.Contract
@@ -48,7 +49,7 @@
 	return problem.Refuse(kind, stepParse, rp.vm, fmt.Sprintf(format, args...))
 }
 
-// parse reads everything but the body.
+// parse parses and checks everything but the body.
 func (rp *requestParser) parse(v *view.View, r *http.Request, now time.Time) (*parsedRequest, *problem.Error) {
 	if r.Method == http.MethodConnect {
 		return nil, rp.refuse(problem.BadRequest, "CONNECT asks for a tunnel, and there are none")
@@ -63,10 +64,10 @@
 	return rp.parseHeaders(v, service, path, r, now)
 }
 
-// splitPath cuts /s/SERVICE from an escaped path. The rest stays as the caller
-// wrote it.
-// Cut by the unescaped path, a rest that begins with "%2F" or "@" would join the target's address and
-// send the request to an address of the caller's choice.
+// splitPath splits an escaped path into the service of /s/SERVICE and the rest, which stays as
+// the caller wrote it. If the unescaped path were split instead, a rest that begins with "%2F" or
+// "@" would be joined to the target's address and send the request to an address of the caller's
+// choice.
 func splitPath(escaped string) (service, rest string, ok bool) {
 	tail, ok := strings.CutPrefix(escaped, "/s/")
 	if !ok {
@@ -80,7 +81,7 @@
 	return service, tail[len(segment):], err == nil
 }
 
-// parseHeaders reads the headers.
+// parseHeaders checks the token, the contract and the service, and reads the other headers.
 func (rp *requestParser) parseHeaders(v *view.View, service, path string, r *http.Request, now time.Time) (*parsedRequest, *problem.Error) {
 	token, ok := strings.CutPrefix(r.Header.Get(headerAuthorization), bearer)
 	if !ok || token == "" || len(r.Header.Values(headerAuthorization)) > 1 {
@@ -132,7 +133,7 @@
 	return p
 }
 
-// singleHeader returns the only value of a header, or "".
+// singleHeader returns the value of a header that may occur only once, "" if it is absent.
 func (rp *requestParser) singleHeader(r *http.Request, name string) (string, *problem.Error) {
 	values := r.Header.Values(name)
 	switch {
@@ -185,8 +186,7 @@
 	return false
 }
 
-// readBody reads the whole body, refusing one over the limit before reading it
-// all.
+// readBody reads the whole body. It refuses a body over the limit before it has read all of it.
 func (rp *requestParser) readBody(w http.ResponseWriter, r *http.Request, req *parsedRequest) *problem.Error {
 	limit := req.service.MaxBody
 	if r.ContentLength > limit {
--- a/internal/entry/parse_test.go
+++ b/internal/entry/parse_test.go
@@ -31,8 +31,8 @@
 	return platform.Object{Kind: kind, Name: name, Version: 1, Spec: spec}
 }
 
-// testView has a keyed service, an unkeyed one that ended yesterday and one
-// customer.
+// testView returns a view with a keyed service, an unkeyed one that ended yesterday, and one
+// customer with a contract for both.
 func testView(t testing.TB, change func(*model.Contract)) *view.View {
 	t.Helper()
 	targets := []model.Target{{Name: "t1", Addr: "127.0.0.1:1", DataCentre: "dc1"}}
@@ -126,9 +126,9 @@
 	require.Equal(t, http.Header{"X-End": {"1"}, "Idempotency-Key": {"ik"}}, req.wireRequest.Header)
 }
 
-// A customer is refused during the last day of its contract. The contract names
-// a day; taking the day's first second in the operator's own zone as the end
-// would cut off up to a day of service.
+// Failure: a customer is refused during the last day of its contract. The contract states a day;
+// if its first second in the local time zone were taken as the end, the customer would lose up to
+// a day of service.
 func TestContractIsValidUntilTheEndOfItsLastDayInUTC(t *testing.T) {
 	rp := &requestParser{vm: "vm1"}
 	v := testView(t, func(c *model.Contract) { c.End = model.NewDate(today) })
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -1,5 +1,6 @@
-// Package entry takes callers' HTTP requests, checks them against the contract
-// and returns the whole answer.
+// Package entry implements hq-entry, the daemon that receives callers' HTTP requests. It checks
+// each request against the customer's contract, forwards it to a dispatcher and returns the
+// complete answer.
 package entry
 
 import (
@@ -11,23 +12,23 @@
 	"hemlockquay/internal/settings"
 )
 
-// Settings are the entry's settings.
+// Settings are the settings of hq-entry.
 type Settings struct {
 	daemon.Base
-	// Listen is the IP:PORT for callers.
+	// Listen is the IP:PORT on which callers' requests are received.
 	Listen string `json:"listen"`
 	// Agent is the IP:PORT of the VM's agent.
 	Agent string `json:"agent"`
-	// PeerListen is the IP:PORT for other entries. Default: a free port at the
-	// address of Listen; the agent sends it to the others.
+	// PeerListen is the IP:PORT for calls from other entries, which learn it through the
+	// agents. Default: a free port at the address of Listen.
 	PeerListen string `json:"peerListen,omitempty"`
-	// PeerConnections is how many data connections go to each dispatcher.
+	// PeerConnections is the number of connections to each dispatcher.
 	// Default 4.
 	PeerConnections int `json:"peerConnections,omitempty"`
-	// ReadTimeout bounds how long a caller may take to send its request.
+	// ReadTimeout is the maximum time that a caller may take to send a request.
 	// Default 10s.
 	ReadTimeout model.Duration `json:"readTimeout,omitempty"`
-	// MaxHeader bounds a request's headers, bytes. Default 32768.
+	// MaxHeader is the maximum size of a request's headers, in bytes. Default 32768.
 	MaxHeader int `json:"maxHeader,omitempty"`
 }
 
--- a/internal/entry/sharing.go
+++ b/internal/entry/sharing.go
@@ -14,25 +14,26 @@
 	"hemlockquay/internal/wire"
 )
 
-// minRoundInterval is the least time between two rounds when a request was refused:
-// a share is borrowed sooner than at the next renewal, and a customer at ten
-// times its contract causes no flood of asks.
+// minRoundInterval is the minimum time between a round of asks and one that a refused request
+// triggers. Such a round borrows share before the next renewal; the minimum keeps a customer at
+// ten times its contract from causing a flood of asks.
 const minRoundInterval = 50 * time.Millisecond
 
-// shareExchanger carries the protocol of package shares between entries. It is one
-// goroutine and one for each ask in flight.
+// shareExchanger runs the protocol of package shares with the other entries. It uses one
+// goroutine, and one more for each ask in flight.
 type shareExchanger struct {
 	vm       string
 	admitter *admitter
 	feed     *feed.Feed
 	pool     *peer.Pool
 	log      *log.Logger
-	// markReady says that requests may come.
+	// markReady marks the condition baseNotConfirmed as met. It may be called repeatedly.
 	markReady  func()
 	asks       metrics.Counter
 	unanswered metrics.Counter
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// inFlight holds the VMs whose last ask is in flight.
 	inFlight map[string]bool
 	seq      uint64
 }
@@ -51,10 +52,10 @@
 	}
 }
 
-// shareService holds the method that net/rpc publishes.
+// shareService is the RPC service that the other entries call.
 type shareService struct{ admitter *admitter }
 
-// Share answers the ask of another entry.
+// Share answers another entry's ask.
 func (r *shareService) Share(ask *shares.Ask, answer *shares.Answer) error {
 	*answer = r.admitter.handleAsk(*ask)
 	return nil
@@ -84,11 +85,11 @@
 	}
 }
 
-// baseNotConfirmed is why an entry that has just started is not ready.
+// baseNotConfirmed is the reason why an entry that has just started is not ready.
 const baseNotConfirmed = "this VM's part of the contracts' limits is not confirmed by the others"
 
-// maxBaseWait bounds how long a new entry waits for its part: a VM that is listed
-// but dead confirms nothing, and loans serve most customers meanwhile.
+// maxBaseWait is how long a new entry waits for its base before it becomes ready without one. A
+// VM that is listed but has failed confirms nothing, and meanwhile loans serve most customers.
 const maxBaseWait = 2 * time.Second
 
 func vmNames(places []wire.Place) []string {
@@ -99,7 +100,7 @@
 	return out
 }
 
-// askPeers asks every entry that is known, unless it has an ask to answer yet.
+// askPeers sends an ask to every known entry, except those whose last ask is still in flight.
 func (s *shareExchanger) askPeers(ctx context.Context) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/slope_test.go
+++ b/internal/entry/slope_test.go
@@ -19,7 +19,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// newSlopeEntries are entries with n contracts, of which used have requests.
+// newSlopeEntries returns entries with n contracts, of which active have received requests.
 func newSlopeEntries(b *testing.B, vms, n, active int) *testEntries {
 	e := &testEntries{clock: &fakeClock{now: time.Hour}}
 	objects := []platform.Object{{Kind: model.KindService, Name: "booth", Spec: []byte(`{"name": "booth", "slots": 2, "connections": 10,
@@ -43,7 +43,7 @@
 		req := &parsedRequest{service: e.view.Service("booth"), contract: c, allowance: c.Services[0]}
 		require.Nil(b, e.admitters[0].admit(req))
 		for range 100 {
-			// Most are refused: more is wanted than the entry's base.
+			// Most are refused, so that the entry wants more share than its base.
 			_ = e.admitters[0].admit(req)
 		}
 	}
@@ -52,12 +52,12 @@
 	return e
 }
 
-// exchange is one ask and its answer from the first entry to the second.
+// exchange delivers one ask of the first entry to the second, and the answer.
 func (e *testEntries) exchange() (shares.Ask, shares.Answer) {
 	e.seq++
-	ask, asked := e.admitters[0].newAsk(e.admitters[1].vm, e.seq)
+	ask, sentAt := e.admitters[0].newAsk(e.admitters[1].vm, e.seq)
 	answer := e.admitters[1].handleAsk(ask)
-	e.admitters[0].handleAnswer(ask, answer, asked)
+	e.admitters[0].handleAnswer(ask, answer, sentAt)
 	return ask, answer
 }
 
@@ -72,8 +72,8 @@
 	return float64(out.Len())
 }
 
-// BenchmarkSlopeShareAccounts is one exchange between two of nine entries by the
-// accounts in use, without the network.
+// BenchmarkSlopeShareAccounts measures one exchange between two of nine entries, without a
+// network, against the number of active accounts.
 func BenchmarkSlopeShareAccounts(b *testing.B) {
 	for _, n := range []int{4, 16, 64} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkSlopeShareEntries is one exchange by the entries that share.
+// BenchmarkSlopeShareEntries measures one exchange against the number of entries.
 func BenchmarkSlopeShareEntries(b *testing.B) {
 	for _, n := range []int{4, 8, 16} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkSlopeAccountPeriod is what an entry does four times a second for n
-// contracts in force, and what it keeps for them.
+// BenchmarkSlopeAccountPeriod measures the work that an entry does four times a second for n
+// contracts in force, and the memory that it keeps for them.
 func BenchmarkSlopeAccountPeriod(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
