--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -8,30 +8,30 @@
 	"hemlockquay/internal/hopbyhop"
 )
 
-// ownPrefix marks headers between the system's parts; a caller must not be able
-// to forge a grant's rank.
-const ownPrefix = "Hq-"
+// internalHeaderPrefix is the prefix of the headers that the system's processes and the targets
+// exchange. Callers' headers with this prefix are dropped, so that none can forge a grant's rank.
+const internalHeaderPrefix = "Hq-"
 
-// forwardable returns the headers that concern the other end. The caller's token
-// stays here: a target has no use for it.
-func forwardable(in http.Header) http.Header {
-	out := endToEnd(in)
+// forwardedHeaders returns the headers of a caller's request that are sent to the target. The
+// caller's token is dropped, since a target has no use for it.
+func forwardedHeaders(in http.Header) http.Header {
+	out := endToEndHeaders(in)
 	delete(out, headerAuthorization)
 	for name := range out {
-		if strings.HasPrefix(name, ownPrefix) {
+		if strings.HasPrefix(name, internalHeaderPrefix) {
 			delete(out, name)
 		}
 	}
 	return out
 }
 
-// endToEnd returns the headers without the hop-by-hop ones and those that Connection
-// names. The lists of values are shared with in; neither side may change them.
-func endToEnd(in http.Header) http.Header {
+// endToEndHeaders returns the headers without the hop-by-hop ones and those that Connection
+// names. The result shares its lists of values with in; they must not be modified.
+func endToEndHeaders(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	maps.Copy(out, in)
 	hopbyhop.Drop(out)
-	// The entry has the whole body before it sends.
+	// Bodies are read completely before they are passed on, so these two no longer apply.
 	delete(out, "Expect")
 	delete(out, "Content-Length")
 	return out
