--- a/internal/dispatch/crashes_test.go
+++ b/internal/dispatch/crashwatcher_test.go
@@ -16,16 +16,16 @@
 	"hemlockquay/internal/wire"
 )
 
-// newWatches returns watches that talk over loopback ports.
-func newWatches(t *testing.T, n int) []*crashWatch {
+// newCrashWatchers returns watches that talk over loopback ports.
+func newCrashWatchers(t *testing.T, n int) []*crashWatcher {
 	v := view.Build(nil, nil, nil)
 	logger := &log.Logger{Level: log.PanicLevel}
-	var out []*crashWatch
+	var out []*crashWatcher
 	for i := range n {
 		server, err := peer.Listen("127.0.0.1:0")
 		require.NoError(t, err)
 		name := fmt.Sprintf("vm%d", i+1)
-		w := newCrashWatch(name, newSetView(v), func() {}, journal.New(name, processName, 16), logger, metrics.NewRegistry())
+		w := newCrashWatcher(name, newSetView(v), func() {}, journal.New(name, processName, 16), logger, metrics.NewRegistry())
 		require.NoError(t, server.Register("Dispatch", w))
 		go func() { _ = server.Serve() }()
 		t.Cleanup(server.Close)
@@ -36,14 +36,14 @@
 	return out
 }
 
-// broadcast carries the rounds that wait.
-func broadcast(t *testing.T, w *crashWatch) {
-	for w.gossip.Depth() > 0 {
-		w.round(t.Context(), <-w.gossip.Entries())
+// drainOutbox carries the rounds that wait.
+func drainOutbox(t *testing.T, w *crashWatcher) {
+	for w.outbox.Depth() > 0 {
+		w.broadcast(t.Context(), <-w.outbox.Entries())
 	}
 }
 
-func crasher(id string) *wire.Request {
+func crashingRequest(id string) *wire.Request {
 	return &wire.Request{ID: id, Service: "booth", Customer: "narrators", Method: "POST", Path: "/book", Header: map[string][]string{"X-Load-Id": {id}}}
 }
 
@@ -51,63 +51,63 @@
 // with a new request id; as a suspect it kills a second target. A third sending,
 // that leads to another dispatcher, is refused there as not run, and so it is at
 // one that starts only now.
-func TestQuarantineHoldsAtEveryDispatcher(t *testing.T) {
-	w := newWatches(t, 3)
+func TestQuarantineAppliesAtEveryDispatcher(t *testing.T) {
+	w := newCrashWatchers(t, 3)
 	now := time.Now()
 	run := func(id, target string) {
-		admission, _ := w[0].Admit(target, crasher(id), now)
+		admission, _ := w[0].Admit(target, crashingRequest(id), now)
 		require.Equal(t, AdmitRun, admission)
-		w[0].Started(target, crasher(id), now)
-		w[0].Died(target, []*wire.Request{crasher(id)}, now)
+		w[0].Started(target, crashingRequest(id), now)
+		w[0].Died(target, []*wire.Request{crashingRequest(id)}, now)
 	}
 	run("first", "booth-1")
-	broadcast(t, w[0])
-	admission, _ := w[0].Admit("booth-2", crasher("second"), now)
+	drainOutbox(t, w[0])
+	admission, _ := w[0].Admit("booth-2", crashingRequest("second"), now)
 	require.Equal(t, AdmitHold, admission, "a suspect waits for its permit")
-	broadcast(t, w[0])
+	drainOutbox(t, w[0])
 	run("second", "booth-2")
-	broadcast(t, w[0])
+	drainOutbox(t, w[0])
 
-	late := newWatches(t, 1)[0]
+	late := newCrashWatchers(t, 1)[0]
 	late.feed = w[0].feed
 	late.vm = "vm9"
-	require.True(t, late.catchUp(t.Context()))
+	require.True(t, late.fetchCases(t.Context()))
 	for _, other := range append(w, late) {
-		admission, p := other.Admit("booth-3", crasher("third"), now)
+		admission, p := other.Admit("booth-3", crashingRequest("third"), now)
 		require.Equal(t, AdmitRefuse, admission)
 		require.Equal(t, problem.Quarantined, p.Kind)
 		require.Equal(t, problem.RanNo, p.Ran)
 	}
-	innocent := crasher("other")
-	innocent.Path = "/other"
-	admission, _ = w[1].Admit("booth-3", innocent, now)
+	unrelated := crashingRequest("other")
+	unrelated.Path = "/other"
+	admission, _ = w[1].Admit("booth-3", unrelated, now)
 	require.Equal(t, AdmitRun, admission)
 }
 
 // A suspect runs at one dispatcher; another, whose view differs, holds the same
 // queue and asks for the permit. It does not get it.
 func TestSuspectRunsAtOneDispatcherOnly(t *testing.T) {
-	w := newWatches(t, 2)
+	w := newCrashWatchers(t, 2)
 	now := time.Now()
-	_, _ = w[0].Admit("booth-1", crasher("a"), now)
-	w[0].Started("booth-1", crasher("a"), now)
-	w[0].Died("booth-1", []*wire.Request{crasher("a"), crasher("b")}, now)
-	broadcast(t, w[0])
-	_, _ = w[0].Admit("booth-2", crasher("a"), now)
-	broadcast(t, w[0])
-	admission, _ := w[0].Admit("booth-2", crasher("a"), now)
+	_, _ = w[0].Admit("booth-1", crashingRequest("a"), now)
+	w[0].Started("booth-1", crashingRequest("a"), now)
+	w[0].Died("booth-1", []*wire.Request{crashingRequest("a"), crashingRequest("b")}, now)
+	drainOutbox(t, w[0])
+	_, _ = w[0].Admit("booth-2", crashingRequest("a"), now)
+	drainOutbox(t, w[0])
+	admission, _ := w[0].Admit("booth-2", crashingRequest("a"), now)
 	require.Equal(t, AdmitRun, admission)
-	w[0].Started("booth-2", crasher("a"), now)
+	w[0].Started("booth-2", crashingRequest("a"), now)
 
-	admission, _ = w[1].Admit("booth-3", crasher("b"), now)
+	admission, _ = w[1].Admit("booth-3", crashingRequest("b"), now)
 	require.Equal(t, AdmitHold, admission)
-	broadcast(t, w[1])
-	admission, _ = w[1].Admit("booth-3", crasher("b"), now)
+	drainOutbox(t, w[1])
+	admission, _ = w[1].Admit("booth-3", crashingRequest("b"), now)
 	require.Equal(t, AdmitHold, admission)
 
-	w[0].Finished("booth-2", crasher("a"), true, now)
-	broadcast(t, w[0])
-	admission, _ = w[1].Admit("booth-3", crasher("b"), now)
+	w[0].Finished("booth-2", crashingRequest("a"), true, now)
+	drainOutbox(t, w[0])
+	admission, _ = w[1].Admit("booth-3", crashingRequest("b"), now)
 	require.Equal(t, AdmitRun, admission, "cleared everywhere")
 }
 
@@ -116,34 +116,34 @@
 // the next dispatcher, and so on. Each answer came before the others had heard of the
 // death, so every dispatcher ran it once as an ordinary request: three targets died,
 // and one more under it as a suspect.
-func TestRequestSentAgainKillsTwoTargetsOverTheFleet(t *testing.T) {
-	w := newWatches(t, 3)
-	now, killed := time.Now(), 0
+func TestResentRequestKillsAtMostTwoTargets(t *testing.T) {
+	w := newCrashWatchers(t, 3)
+	now, deaths := time.Now(), 0
 	for n := range 9 {
 		d := w[n%3]
 		target := fmt.Sprint("booth-", n)
-		admission, _ := d.Admit(target, crasher("again"), now)
+		admission, _ := d.Admit(target, crashingRequest("again"), now)
 		if admission == AdmitHold {
-			broadcast(t, d)
-			admission, _ = d.Admit(target, crasher("again"), now)
+			drainOutbox(t, d)
+			admission, _ = d.Admit(target, crashingRequest("again"), now)
 		}
 		if admission != AdmitRun {
 			require.Equal(t, AdmitRefuse, admission)
 			continue
 		}
-		d.Started(target, crasher("again"), now)
-		d.Died(target, []*wire.Request{crasher("again"), crasher("beside")}[:2-n%2], now)
-		killed++
+		d.Started(target, crashingRequest("again"), now)
+		d.Died(target, []*wire.Request{crashingRequest("again"), crashingRequest("beside")}[:2-n%2], now)
+		deaths++
 		answered := make(chan struct{})
 		go func() {
-			d.settled(t.Context(), crasher("again"))
+			d.awaitNotices(t.Context(), crashingRequest("again"))
 			close(answered)
 		}()
 		// What its duty does meanwhile.
-		go broadcast(t, d)
+		go drainOutbox(t, d)
 		<-answered
 	}
-	require.Equal(t, 2, killed)
+	require.Equal(t, 2, deaths)
 }
 
 // A dispatcher is replaced while a killer is quarantined. The new one was a member 250
@@ -151,35 +151,35 @@
 // Now no entry learns its address before it fetched the cases, or before the others
 // were silent for the stated time.
 func TestDispatcherIsNotReadyBeforeItKnowsTheCases(t *testing.T) {
-	w := newWatches(t, 2)
+	w := newCrashWatchers(t, 2)
 	ready := 0
-	late := newCrashWatch("vm9", w[0].feed, func() { ready++ }, w[0].journal, w[0].log, metrics.NewRegistry())
+	late := newCrashWatcher("vm9", w[0].feed, func() { ready++ }, w[0].journal, w[0].log, metrics.NewRegistry())
 	t.Cleanup(late.peers.Close)
 	v := w[0].feed.Current()
-	require.False(t, late.join(t.Context(), 2*catchUpFor), "no view came yet")
+	require.False(t, late.prepareReady(t.Context(), 2*maxReadyDelay), "no view came yet")
 	require.Zero(t, ready)
 	v.Source = "agent"
 	members := v.Members
 	v.Members = []wire.Member{{VM: "vm3", DispatchAddr: "127.0.0.1:1"}}
-	require.False(t, late.join(t.Context(), 0), "the only other one is silent")
+	require.False(t, late.prepareReady(t.Context(), 0), "the only other one is silent")
 	require.Zero(t, ready)
-	require.False(t, late.join(t.Context(), catchUpFor))
+	require.False(t, late.prepareReady(t.Context(), maxReadyDelay))
 	require.Equal(t, 1, ready, "the stated time passed")
 	v.Members = members
-	require.True(t, late.join(t.Context(), 0))
+	require.True(t, late.prepareReady(t.Context(), 0))
 	require.Equal(t, 2, ready)
 	v.Members = nil
-	require.False(t, late.join(t.Context(), 0), "it goes on asking")
+	require.False(t, late.prepareReady(t.Context(), 0), "it goes on asking")
 	require.Equal(t, 3, ready, "alone: nothing to fetch")
 }
 
-func BenchmarkCrashPrint(b *testing.B) {
-	r := crasher("x")
+func BenchmarkCrashFingerprint(b *testing.B) {
+	r := crashingRequest("x")
 	for _, name := range []string{"Accept", "Accept-Encoding", "User-Agent", "Content-Type", "X-Load-Size"} {
 		r.Header[name] = []string{"value"}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		crashPrint(r)
+		crashFingerprint(r)
 	}
 }
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/deduplicator_test.go
@@ -32,23 +32,23 @@
 func (f *setView) Current() *view.View      { return f.v.Load() }
 func (f *setView) Changed() <-chan struct{} { return nil }
 
-// intentFleet is some dispatchers' intents on loopback ports.
-type intentFleet struct {
-	nodes   []*intents
+// dedupFleet is some dispatchers' intents on loopback ports.
+type dedupFleet struct {
+	nodes   []*deduplicator
 	servers []*peer.Server
 	runs    atomic.Int64
 }
 
-func newIntentFleet(t *testing.T, n int) *intentFleet {
-	f := &intentFleet{}
+func newDedupFleet(t *testing.T, n int) *dedupFleet {
+	f := &dedupFleet{}
 	v := view.Build(nil, nil, nil)
 	logger := &log.Logger{Level: log.PanicLevel}
 	for i := range n {
 		server, err := peer.Listen("127.0.0.1:0")
 		require.NoError(t, err)
 		name := fmt.Sprintf("vm%d", i+1)
-		node := newIntents(name, newSetView(v), journal.New(name, processName, 16), logger, metrics.NewRegistry())
-		node.book = idempotency.NewRecordStore(name, node.clock.Now()-time.Second)
+		node := newDeduplicator(name, newSetView(v), journal.New(name, processName, 16), logger, metrics.NewRegistry())
+		node.records = idempotency.NewRecordStore(name, node.clock.Now()-time.Second)
 		require.NoError(t, server.Register("Dispatch", node))
 		go func() { _ = server.Serve() }()
 		t.Cleanup(server.Close)
@@ -62,10 +62,10 @@
 	return f
 }
 
-func (f *intentFleet) copyAll(t *testing.T) {
+func (f *dedupFleet) copyAll(t *testing.T) {
 	for range 2 {
 		for _, node := range f.nodes {
-			for _, m := range node.toCopy() {
+			for _, m := range node.membersToCopy() {
 				node.copyFrom(t.Context(), m)
 			}
 		}
@@ -79,7 +79,7 @@
 }
 
 // book is the target: it counts runs and names the request that ran.
-func (f *intentFleet) book(r *wire.Request) wire.Answer {
+func (f *dedupFleet) book(r *wire.Request) wire.Answer {
 	f.runs.Add(1)
 	body := []byte("booked by " + r.ID)
 	return wire.Answer{ID: r.ID, Status: 201, Body: body, Sum: wire.Sum(body)}
@@ -89,19 +89,19 @@
 // which lead to other dispatchers. Each repeat gets the first answer, whole and as
 // its own, and the booth is booked once.
 func TestRepeatGetsTheFirstAnswer(t *testing.T) {
-	f := newIntentFleet(t, 4)
-	first := f.nodes[0].once(t.Context(), booking("a", "k1", "10:00"), f.book)
+	f := newDedupFleet(t, 4)
+	first := f.nodes[0].runOnce(t.Context(), booking("a", "k1", "10:00"), f.book)
 	require.Equal(t, 201, first.Status)
 	for i, node := range f.nodes {
 		id := fmt.Sprintf("repeat-%d", i)
-		answer := node.once(t.Context(), booking(id, "k1", "10:00"), f.book)
+		answer := node.runOnce(t.Context(), booking(id, "k1", "10:00"), f.book)
 		require.Nil(t, answer.Problem)
 		require.True(t, answer.Whole(id))
 		require.Equal(t, "booked by a", string(answer.Body))
 	}
 	require.EqualValues(t, 1, f.runs.Load())
 
-	other := f.nodes[1].once(t.Context(), booking("b", "k1", "11:00"), f.book)
+	other := f.nodes[1].runOnce(t.Context(), booking("b", "k1", "11:00"), f.book)
 	require.Equal(t, problem.BadRequest, other.Problem.Kind)
 	require.Equal(t, problem.RanNo, other.Problem.Ran)
 	require.EqualValues(t, 1, f.runs.Load())
@@ -109,18 +109,18 @@
 
 // The first request still runs when its repeat comes: the repeat waits for it.
 func TestRepeatWaitsForTheFirst(t *testing.T) {
-	f := newIntentFleet(t, 3)
+	f := newDedupFleet(t, 3)
 	started, proceed := make(chan struct{}), make(chan struct{})
 	done := make(chan wire.Answer)
 	go func() {
-		done <- f.nodes[0].once(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
+		done <- f.nodes[0].runOnce(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
 			close(started)
 			<-proceed
 			return f.book(r)
 		})
 	}()
 	<-started
-	go func() { done <- f.nodes[1].once(context.Background(), booking("b", "k", "x"), f.book) }()
+	go func() { done <- f.nodes[1].runOnce(context.Background(), booking("b", "k", "x"), f.book) }()
 	close(proceed)
 	for range 2 {
 		answer := <-done
@@ -132,13 +132,13 @@
 
 // The first request was refused as not run. Its caller must be able to try again
 // with the same key, or the booking is lost for ten minutes.
-func TestKeyIsFreeAfterARefusal(t *testing.T) {
-	f := newIntentFleet(t, 3)
-	refused := f.nodes[0].once(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
+func TestKeyIsReusableAfterRefusal(t *testing.T) {
+	f := newDedupFleet(t, 3)
+	refused := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
 		return wire.Refused(r.ID, problem.Refuse(problem.Full, "queue", "vm1", "full"))
 	})
 	require.Equal(t, problem.RanNo, refused.Problem.Ran)
-	answer := f.nodes[1].once(t.Context(), booking("b", "k", "x"), f.book)
+	answer := f.nodes[1].runOnce(t.Context(), booking("b", "k", "x"), f.book)
 	require.Nil(t, answer.Problem)
 	require.EqualValues(t, 1, f.runs.Load())
 }
@@ -146,12 +146,12 @@
 // The dispatcher is lost while it runs a booking. Whether the booth was booked is
 // not known: the repeat gets unknown, and no second run.
 func TestRepeatAfterLossOfTheCoordinatorIsUnknown(t *testing.T) {
-	f := newIntentFleet(t, 4)
+	f := newDedupFleet(t, 4)
 	started, never := make(chan struct{}), make(chan struct{})
 	lost := make(chan struct{})
 	go func() {
 		defer close(lost)
-		f.nodes[0].once(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
+		f.nodes[0].runOnce(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
 			close(started)
 			<-never
 			return f.book(r)
@@ -161,7 +161,7 @@
 	// The dispatcher's port closes; it forgets everything.
 	f.servers[0].Close()
 	r := booking("b", "k", "x")
-	answer := f.nodes[1].once(t.Context(), r, f.book)
+	answer := f.nodes[1].runOnce(t.Context(), r, f.book)
 	require.NotNil(t, answer.Problem)
 	require.Equal(t, problem.RanUnknown, answer.Problem.Ran)
 	require.EqualValues(t, 0, f.runs.Load())
@@ -171,22 +171,22 @@
 
 // Two of a key's three holders are lost after a booking. The third alone cannot
 // promise anything: the answer is the first one, or unknown, never a second run.
-func TestTwoHoldersLost(t *testing.T) {
-	f := newIntentFleet(t, 6)
-	first := f.nodes[0].once(t.Context(), booking("a", "k", "x"), f.book)
+func TestLossOfTwoHoldersCausesNoSecondRun(t *testing.T) {
+	f := newDedupFleet(t, 6)
+	first := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), f.book)
 	require.Nil(t, first.Problem)
-	by := idempotency.Holders(f.nodes[0].book.Places(), idempotency.Key{Customer: "narrators", Service: "booth", Name: "k"})
-	asker := -1
+	holders := idempotency.Holders(f.nodes[0].records.Places(), idempotency.Key{Customer: "narrators", Service: "booth", Name: "k"})
+	repeater := -1
 	for i, node := range f.nodes {
 		switch node.vm {
-		case by[0], by[1]:
+		case holders[0], holders[1]:
 			f.servers[i].Close()
-		case by[2]:
+		case holders[2]:
 		default:
-			asker = i
+			repeater = i
 		}
 	}
-	answer := f.nodes[asker].once(t.Context(), booking("b", "k", "x"), f.book)
+	answer := f.nodes[repeater].runOnce(t.Context(), booking("b", "k", "x"), f.book)
 	if answer.Problem != nil {
 		require.Equal(t, problem.RanUnknown, answer.Problem.Ran)
 	}
@@ -197,16 +197,16 @@
 // other, and the platform drops them. Their records were handed over: a repeat gets
 // the first answer.
 func TestPlannedLeavesLoseNoRecord(t *testing.T) {
-	f := newIntentFleet(t, 6)
-	first := f.nodes[0].once(t.Context(), booking("a", "k", "x"), f.book)
+	f := newDedupFleet(t, 6)
+	first := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), f.book)
 	require.Nil(t, first.Problem)
 	key := idempotency.Key{Customer: "narrators", Service: "booth", Name: "k"}
-	by := idempotency.Holders(f.nodes[0].book.Places(), key)[:2]
+	leaving := idempotency.Holders(f.nodes[0].records.Places(), key)[:2]
 	v := *f.nodes[0].feed.Current()
-	for _, name := range by {
+	for _, name := range leaving {
 		for i, node := range f.nodes {
 			if node.vm == name {
-				node.leave(t.Context())
+				node.handOverRecords(t.Context())
 				f.servers[i].Close()
 			}
 		}
@@ -220,10 +220,10 @@
 		f.copyAll(t)
 	}
 	for i, node := range f.nodes {
-		if slices.Contains(by, node.vm) {
+		if slices.Contains(leaving, node.vm) {
 			continue
 		}
-		answer := node.once(t.Context(), booking(fmt.Sprint("r", i), "k", "x"), f.book)
+		answer := node.runOnce(t.Context(), booking(fmt.Sprint("r", i), "k", "x"), f.book)
 		require.Nil(t, answer.Problem)
 		require.Equal(t, "booked by a", string(answer.Body))
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,8 +24,8 @@
 // processName is the daemon's name in reports and logs.
 const processName = "hq-dispatch"
 
-// needsCases is why a dispatcher that has just started is not ready.
-const needsCases = "the crashing requests that other dispatchers know are not fetched yet"
+// casesNotFetched is why a dispatcher that has just started is not ready.
+const casesNotFetched = "the crashing requests that other dispatchers know are not fetched yet"
 
 // Module wires the dispatcher.
 var Module = fx.Options(fx.Invoke(start))
@@ -37,21 +37,21 @@
 	feed   *feed.Feed
 	sender *target.Sender
 	prober *target.Prober
-	loads  *loads
-	parts  *parts
-	// intents keeps requests with an Idempotency-Key to one run.
-	intents *intents
-	// crashes watches for requests that crash targets.
-	crashes *crashWatch
-	ctx     context.Context
-	cancel  context.CancelFunc
+	loads  *groupLoads
+	deps   *queueDeps
+	// dedup keeps requests with an Idempotency-Key to one run.
+	dedup *deduplicator
+	// quarantine watches for requests that crash targets.
+	quarantine *crashWatcher
+	ctx        context.Context
+	cancel     context.CancelFunc
 
-	mu       sync.Mutex
-	queues   map[queueID]*queue
-	owners   map[string]*queue
-	draining bool
-	calls    sync.WaitGroup
-	duties   sync.WaitGroup
+	mu             sync.Mutex
+	queues         map[queueID]*queue
+	queueByRequest map[string]*queue
+	draining       bool
+	calls          sync.WaitGroup
+	loops          sync.WaitGroup
 }
 
 func start(k *daemon.Kit[*Settings]) error {
@@ -59,41 +59,41 @@
 	if err != nil {
 		return err
 	}
-	counted := newLoads()
-	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: server.Addr(), Loads: counted.hottest}
+	loads := newGroupLoads()
+	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: server.Addr(), Loads: loads.hottest}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &dispatcher{
-		Kit:    k,
-		server: server,
-		feed:   feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry),
-		sender: target.NewSender(k.Settings.TargetConnections),
-		prober: target.NewProber(),
-		loads:  counted,
-		ctx:    ctx,
-		cancel: cancel,
-		queues: make(map[queueID]*queue),
-		owners: make(map[string]*queue),
+		Kit:            k,
+		server:         server,
+		feed:           feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry),
+		sender:         target.NewSender(k.Settings.TargetConnections),
+		prober:         target.NewProber(),
+		loads:          loads,
+		ctx:            ctx,
+		cancel:         cancel,
+		queues:         make(map[queueID]*queue),
+		queueByRequest: make(map[string]*queue),
 	}
-	d.crashes = newCrashWatch(k.Settings.VM, d.feed, k.Life.Require(needsCases), k.Journal, k.Log, k.Registry)
-	d.parts = &parts{
+	d.quarantine = newCrashWatcher(k.Settings.VM, d.feed, k.Life.Require(casesNotFetched), k.Journal, k.Log, k.Registry)
+	d.deps = &queueDeps{
 		vm: k.Settings.VM, limit: k.Settings.QueueLength, fifo: k.Settings.Order == OrderFIFO,
-		feed: d.feed, sender: d.sender, prober: d.prober, suspects: d.crashes,
-		journal: k.Journal, registry: k.Registry, counts: newCounts(k.Registry),
+		feed: d.feed, sender: d.sender, prober: d.prober, quarantine: d.quarantine,
+		journal: k.Journal, registry: k.Registry, counters: newCounters(k.Registry),
 	}
-	d.intents = newIntents(k.Settings.VM, d.feed, k.Journal, k.Log, k.Registry)
-	if err := server.Register("Dispatch", &rpcReceiver{intents: d.intents, crashes: d.crashes, d: d}); err != nil {
+	d.dedup = newDeduplicator(k.Settings.VM, d.feed, k.Journal, k.Log, k.Registry)
+	if err := server.Register("Dispatch", &rpcReceiver{deduplicator: d.dedup, crashes: d.quarantine, d: d}); err != nil {
 		return err
 	}
 	k.Life.Section("dispatch", d.dump)
-	k.Life.Section("intents", d.intents.dump)
-	k.Life.Section("quarantine", d.crashes.dump)
+	k.Life.Section("intents", d.dedup.dump)
+	k.Life.Section("quarantine", d.quarantine.dump)
 	k.LC.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 	return nil
 }
 
 func (d *dispatcher) start(context.Context) error {
-	d.duties.Go(func() { d.intents.keep(d.ctx) })
-	d.duties.Go(func() { d.crashes.run(d.ctx) })
+	d.loops.Go(func() { d.dedup.runSync(d.ctx) })
+	d.loops.Go(func() { d.quarantine.run(d.ctx) })
 	go func() {
 		if err := d.server.Serve(); err != nil {
 			d.Log.Error().Err(err).Str("step", "serve").Msg("peer server ended")
@@ -116,12 +116,12 @@
 		_ = q.inbox.Push(d.ctx, message{drain: true})
 	}
 	d.calls.Wait()
-	d.intents.leave(ctx)
+	d.dedup.handOverRecords(ctx)
 	d.cancel()
-	d.duties.Wait()
+	d.loops.Wait()
 	d.server.Close()
-	d.intents.peers.Close()
-	d.crashes.peers.Close()
+	d.dedup.peers.Close()
+	d.quarantine.peers.Close()
 	d.sender.Close()
 	d.prober.Close()
 	d.Life.Drained()
@@ -130,8 +130,8 @@
 
 // rpcReceiver holds the methods that net/rpc publishes.
 type rpcReceiver struct {
-	*intents
-	crashes *crashWatch
+	*deduplicator
+	crashes *crashWatcher
 	d       *dispatcher
 }
 
@@ -141,7 +141,7 @@
 		*answer = r.d.do(request)
 		return nil
 	}
-	*answer = r.d.doOnce(request)
+	*answer = r.d.doIdempotent(request)
 	return nil
 }
 
@@ -158,7 +158,7 @@
 // Cancel drops a request whose caller went away.
 func (r *rpcReceiver) Cancel(args *wire.CancelArgs, _ *wire.Empty) error {
 	r.d.mu.Lock()
-	q := r.d.owners[args.ID]
+	q := r.d.queueByRequest[args.ID]
 	r.d.mu.Unlock()
 	if q != nil {
 		_ = q.inbox.Push(r.d.ctx, message{cancel: args.ID})
@@ -166,9 +166,9 @@
 	return nil
 }
 
-// doOnce answers a request with an Idempotency-Key. It counts as a call until its
+// doIdempotent answers a request with an Idempotency-Key. It counts as a call until its
 // record is settled: a planned stop waits for that.
-func (d *dispatcher) doOnce(r *wire.Request) wire.Answer {
+func (d *dispatcher) doIdempotent(r *wire.Request) wire.Answer {
 	d.mu.Lock()
 	if d.draining {
 		d.mu.Unlock()
@@ -177,7 +177,7 @@
 	d.calls.Add(1)
 	d.mu.Unlock()
 	defer d.calls.Done()
-	return d.intents.once(d.ctx, r, d.do)
+	return d.dedup.runOnce(d.ctx, r, d.do)
 }
 
 func (d *dispatcher) do(r *wire.Request) wire.Answer {
@@ -185,24 +185,24 @@
 		return wire.Refused(r.ID, problem.Refuse(problem.BadRequest, "receive", d.Settings.VM, "the body's checksum does not match"))
 	}
 	j := newJob(r, time.Now())
-	q, p := d.enter(j)
+	q, p := d.register(j)
 	if p != nil {
 		return wire.Refused(r.ID, p)
 	}
-	defer d.leave(j)
+	defer d.unregister(j)
 	if err := q.inbox.Push(d.ctx, message{arrive: j}); err != nil {
 		return wire.Refused(r.ID, problem.Refuse(problem.Leaving, "queue", d.Settings.VM, err.Error()))
 	}
 	answer := <-j.done
 	if p := answer.Problem; p != nil && p.Kind == problem.AnswerLost {
-		d.crashes.settled(d.ctx, r)
+		d.quarantine.awaitNotices(d.ctx, r)
 	}
 	return answer
 }
 
-// enter finds the job's queue and counts the call, or refuses it.
-func (d *dispatcher) enter(j *job) (*queue, *problem.Error) {
-	id, p := d.queueOf(d.feed.Current(), j.request)
+// register finds the job's queue and counts the call, or refuses it.
+func (d *dispatcher) register(j *job) (*queue, *problem.Error) {
+	id, p := d.queueIDFor(d.feed.Current(), j.request)
 	if p != nil {
 		return nil, p
 	}
@@ -213,24 +213,24 @@
 	}
 	q := d.queues[id]
 	if q == nil {
-		q = newQueue(id, d.parts)
+		q = newQueue(id, d.deps)
 		d.queues[id] = q
-		d.duties.Go(func() { q.run(d.ctx) })
-		d.duties.Go(func() { q.watch(d.ctx) })
+		d.loops.Go(func() { q.run(d.ctx) })
+		d.loops.Go(func() { q.pollHints(d.ctx) })
 	}
-	d.owners[j.request.ID] = q
+	d.queueByRequest[j.request.ID] = q
 	d.calls.Add(1)
 	return q, nil
 }
 
-func (d *dispatcher) leave(j *job) {
+func (d *dispatcher) unregister(j *job) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.owners, j.request.ID)
+	delete(d.queueByRequest, j.request.ID)
 	d.calls.Done()
 }
 
-func (d *dispatcher) queueOf(v *view.View, r *wire.Request) (queueID, *problem.Error) {
+func (d *dispatcher) queueIDFor(v *view.View, r *wire.Request) (queueID, *problem.Error) {
 	s := v.Service(r.Service)
 	if s == nil {
 		return queueID{}, problem.Refuse(problem.UnknownService, "queue", d.Settings.VM, fmt.Sprintf("no service %q", r.Service))
--- a/internal/dispatch/faults_cell_test.go
+++ b/internal/dispatch/faults_cell_test.go
@@ -34,24 +34,24 @@
 
 // cell is one run: a fault at a step, for one kind of request.
 type cell struct {
-	*bench
-	script   script
-	step     statechart.Transition
-	breakage breakage
+	*testbed
+	script    script
+	step      statechart.Transition
+	injection injection
 
 	// mu guards what follows; it is never held with bench.mu.
-	cellMu   sync.Mutex
-	ends     []string
-	taken    bool
-	armed    bool
-	last     string
-	lives    map[string]int
-	frozen   map[string]chan struct{}
-	cutUntil time.Time
-	dead     chan struct{}
-	crashes  bool
-	deaths   int
-	left     map[string]time.Time
+	cellMu       sync.Mutex
+	ends         []string
+	stepReached  bool
+	injectOnSend bool
+	last         string
+	incarnations map[string]int
+	frozen       map[string]chan struct{}
+	cutUntil     time.Time
+	dead         chan struct{}
+	crashes      bool
+	deaths       int
+	left         map[string]time.Time
 }
 
 // virtualBoot is the boot clock of virtual time.
@@ -65,7 +65,7 @@
 	name := a.Target.Name
 	end, inject, life, err := c.beginAttempt(a)
 	if inject {
-		time.AfterFunc(victimWork/2, func() { c.breakage.inject(c) })
+		time.AfterFunc(victimWork/2, func() { c.injection.inject(c) })
 	}
 	if errors.Is(err, target.ErrUnsent) {
 		time.Sleep(connectTimeout)
@@ -73,22 +73,22 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.thawed(ctx, name, a.Request.ID); err != nil {
+	if err := c.waitWhileFrozen(ctx, name, a.Request.ID); err != nil {
 		return nil, err
 	}
-	answer, err := c.bench.Send(ctx, a)
+	answer, err := c.testbed.Send(ctx, a)
 	if err != nil {
 		return nil, err
 	}
 	if a.Request.ID == victim && c.crash(name) {
 		return nil, errBroken
 	}
-	if err := c.thawed(ctx, name, ""); err != nil {
+	if err := c.waitWhileFrozen(ctx, name, ""); err != nil {
 		return nil, err
 	}
 	c.cellMu.Lock()
 	defer c.cellMu.Unlock()
-	if end == endLost || c.lives[name] != life || c.gone() {
+	if end == endLost || c.incarnations[name] != life || c.unreachable() {
 		return nil, errBroken
 	}
 	return answer, nil
@@ -102,16 +102,16 @@
 	if at, ok := c.left[a.Target.Name]; ok && time.Since(at) > leavingNoticed {
 		c.t.Errorf("%s was sent to %s, which leaves", a.Request.ID, a.Target.Name)
 	}
-	end, life = endAnswer, c.lives[a.Target.Name]
+	end, life = endAnswer, c.incarnations[a.Target.Name]
 	if a.Request.ID == victim {
 		c.last = a.Target.Name
-		inject, c.armed = c.armed, false
+		inject, c.injectOnSend = c.injectOnSend, false
 		if len(c.ends) > 0 {
 			end, c.ends = c.ends[0], c.ends[1:]
 		}
 	}
 	switch {
-	case c.gone(), end == endUnsent:
+	case c.unreachable(), end == endUnsent:
 		err = target.ErrUnsent
 	case end == endShed:
 		err = &target.RefusedError{Reason: target.RefusedShed}
@@ -119,8 +119,8 @@
 	return end, inject, life, err
 }
 
-// gone reports whether the network or the dispatcher is down. cellMu is held.
-func (c *cell) gone() bool {
+// unreachable reports whether the network or the dispatcher is down. cellMu is held.
+func (c *cell) unreachable() bool {
 	return c.isDead() || time.Now().Before(c.cutUntil)
 }
 
@@ -140,9 +140,9 @@
 // leavingNoticed is how long a target that leaves may still be tried.
 const leavingNoticed = 3 * time.Second
 
-// thawed waits while the target is frozen. It runs what it was given when it is
+// waitWhileFrozen waits while the target is frozen. It runs what it was given when it is
 // back, though nobody waits for it any more.
-func (c *cell) thawed(ctx context.Context, name, id string) error {
+func (c *cell) waitWhileFrozen(ctx context.Context, name, id string) error {
 	c.cellMu.Lock()
 	frozen := c.frozen[name]
 	c.cellMu.Unlock()
@@ -166,15 +166,15 @@
 }
 
 func (c *cell) freeze(name string, d time.Duration) {
-	thaw := make(chan struct{})
+	thawed := make(chan struct{})
 	c.cellMu.Lock()
-	c.frozen[name] = thaw
+	c.frozen[name] = thawed
 	c.cellMu.Unlock()
 	time.AfterFunc(d, func() {
 		c.cellMu.Lock()
 		delete(c.frozen, name)
 		c.cellMu.Unlock()
-		close(thaw)
+		close(thawed)
 	})
 }
 
@@ -189,14 +189,14 @@
 
 func (c *cell) push(m message) { _ = c.queue.inbox.Push(context.Background(), m) }
 
-// die takes the dispatcher away: its connections break, and it sends no more.
-func (c *cell) die() {
+// loseDispatcher takes the dispatcher away: its connections break, and it sends no more.
+func (c *cell) loseDispatcher() {
 	close(c.dead)
 	c.push(message{drain: true})
 }
 
-// fencedFor has the target refuse the grant until the grantor has granted anew.
-func (c *cell) fencedFor(d time.Duration) {
+// refuseGrantFor has the target refuse the grant until the grantor has granted anew.
+func (c *cell) refuseGrantFor(d time.Duration) {
 	c.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
 	time.AfterFunc(d, func() {
 		c.set("master-1", func(f *fakeTarget) { f.refusal = "" })
@@ -204,8 +204,8 @@
 	})
 }
 
-// where is the target that the victim was sent to last.
-func (c *cell) where() string {
+// victimTarget is the target that the victim was sent to last.
+func (c *cell) victimTarget() string {
 	c.cellMu.Lock()
 	defer c.cellMu.Unlock()
 	if c.last == "" {
@@ -214,8 +214,8 @@
 	return c.last
 }
 
-func (c *cell) another() string {
-	if c.where() == "master-2" {
+func (c *cell) otherTarget() string {
+	if c.victimTarget() == "master-2" {
 		return "master-1"
 	}
 	return "master-2"
@@ -223,7 +223,7 @@
 
 func (c *cell) lose(name string) {
 	c.cellMu.Lock()
-	c.lives[name]++
+	c.incarnations[name]++
 	c.cellMu.Unlock()
 	c.set(name, func(f *fakeTarget) { f.down = true })
 }
@@ -270,30 +270,30 @@
 	return crashes
 }
 
-// noteStep is called at each step of the victim.
-func (c *cell) noteStep(s statechart.Transition) {
+// onStep is called at each step of the victim.
+func (c *cell) onStep(s statechart.Transition) {
 	if s.Event == c.script.drainAt {
 		c.push(message{drain: true})
 	}
-	if s != c.step || c.taken {
+	if s != c.step || c.stepReached {
 		return
 	}
-	c.taken = true
+	c.stepReached = true
 	if s.Event == eventSend {
 		c.cellMu.Lock()
-		c.armed = true
+		c.injectOnSend = true
 		c.cellMu.Unlock()
 		return
 	}
-	c.breakage.inject(c)
+	c.injection.inject(c)
 }
 
-// ask sends a request and checks its answer against what ran.
-func (c *cell) ask(id string, idempotent bool, budget, work time.Duration) (received string) {
+// send sends a request and checks its answer against what ran.
+func (c *cell) send(id string, idempotent bool, budget, work time.Duration) (received string) {
 	s := stream{customer: "listeners", class: model.Interactive, deadline: budget, path: id, idempotent: idempotent}
 	j := newJob(c.request(s, id, work), time.Now())
 	if id == victim {
-		j.state.Watch(c.noteStep)
+		j.state.Watch(c.onStep)
 	}
 	c.push(message{arrive: j})
 	a := <-j.done
@@ -315,16 +315,16 @@
 }
 
 // playCell returns what the victim's caller received.
-func playCell(t *testing.T, step statechart.Transition, b breakage, idempotent bool) (received string) {
+func playCell(t *testing.T, step statechart.Transition, b injection, idempotent bool) (received string) {
 	targets := 3
 	if b.keyed {
 		targets = 1
 	}
-	inBench(t, targets, b.keyed, func(bench *bench) {
+	withTestbed(t, targets, b.keyed, func(bench *testbed) {
 		s := scripts[step]
 		c := &cell{
-			bench: bench, script: s, step: step, breakage: b, ends: s.ends, dead: make(chan struct{}),
-			lives: make(map[string]int), frozen: make(map[string]chan struct{}), left: make(map[string]time.Time),
+			testbed: bench, script: s, step: step, injection: b, ends: s.ends, dead: make(chan struct{}),
+			incarnations: make(map[string]int), frozen: make(map[string]chan struct{}), left: make(map[string]time.Time),
 		}
 		bench.queue.sender = c
 		stop := c.watchCrashes()
@@ -336,9 +336,9 @@
 
 // watchCrashes puts the real watch over crashing requests in place.
 func (c *cell) watchCrashes() func() {
-	w := newCrashWatch("vm1", c.bench, func() {}, journal.New("vm1", processName, 100), &log.Logger{Level: log.PanicLevel}, metrics.NewRegistry())
+	w := newCrashWatcher("vm1", c.testbed, func() {}, journal.New("vm1", processName, 100), &log.Logger{Level: log.PanicLevel}, metrics.NewRegistry())
 	w.clock = virtualBoot{time.Now()}
-	c.queue.suspects = w
+	c.queue.quarantine = w
 	ctx, cancel := context.WithCancel(context.Background())
 	var duty sync.WaitGroup
 	duty.Go(func() { w.run(ctx) })
@@ -346,25 +346,25 @@
 }
 
 func (c *cell) play(idempotent bool) string {
-	ended := func(id string, idem bool, work time.Duration) {
-		c.callers.Go(func() { c.ask(id, idem, victimDeadline, work) })
+	sendAsync := func(id string, idem bool, work time.Duration) {
+		c.callers.Go(func() { c.send(id, idem, victimDeadline, work) })
 	}
-	ended("bystander-1", true, 41*time.Millisecond)
+	sendAsync("bystander-1", true, 41*time.Millisecond)
 	time.Sleep(time.Millisecond)
-	ended("bystander-2", false, 37*time.Millisecond)
+	sendAsync("bystander-2", false, 37*time.Millisecond)
 	budget := victimDeadline
 	if c.script.busy {
 		budget = 100 * time.Millisecond
 		for i := range 6 {
-			c.callers.Go(func() { c.ask(fmt.Sprint("blocker-", i), false, victimDeadline, 313*time.Millisecond) })
+			c.callers.Go(func() { c.send(fmt.Sprint("blocker-", i), false, victimDeadline, 313*time.Millisecond) })
 		}
 	}
 	time.Sleep(5 * time.Millisecond)
 	if c.step.Event == "" {
-		c.taken = true
-		c.breakage.inject(c)
+		c.stepReached = true
+		c.injection.inject(c)
 	}
-	received := c.ask(victim, idempotent, budget, victimWork)
+	received := c.send(victim, idempotent, budget, victimWork)
 	c.callers.Wait()
 	time.Sleep(5 * time.Second)
 	c.checkAfter(idempotent)
@@ -381,11 +381,11 @@
 		require.LessOrEqual(c.t, n, 1, "%s ran more than once", id)
 	}
 	c.mu.Unlock()
-	if c.breakage.name == faults.None {
-		require.True(c.t, c.taken, "the script does not lead to the step")
+	if c.injection.name == faults.None {
+		require.True(c.t, c.stepReached, "the script does not lead to the step")
 	}
 	require.LessOrEqual(c.t, c.deaths, 2, "targets that the request crashed")
-	if !c.breakage.ends && c.script.drainAt == "" {
-		require.Equal(c.t, "answered", c.ask("later", false, victimDeadline, time.Millisecond), "the queue serves on")
+	if !c.injection.stopsDispatcher && c.script.drainAt == "" {
+		require.Equal(c.t, "answered", c.send("later", false, victimDeadline, time.Millisecond), "the queue serves on")
 	}
 }
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -31,64 +31,64 @@
 	drainAt statechart.Event
 }
 
-func step3(from, event, to string) statechart.Transition {
+func transition(from, event, to string) statechart.Transition {
 	return statechart.Transition{From: statechart.State(from), Event: statechart.Event(event), To: statechart.State(to)}
 }
 
 // scripts has an entry for each step of charts/request.jsonc.
 var scripts = map[statechart.Transition]script{
-	{To: "queued"}:                         {},
-	step3("queued", "send", "sent"):        {},
-	step3("queued", "refuse", "refused"):   {busy: true},
-	step3("sent", "answer", "answered"):    {},
-	step3("sent", "shed", "queued"):        {ends: []string{endShed}},
-	step3("sent", "unsent", "queued"):      {ends: []string{endUnsent}},
-	step3("sent", "repeat", "unsettled"):   {ends: []string{endLost}, idempotent: true},
-	step3("sent", "lose", "lost"):          {ends: []string{endLost}, nonIdempotent: true},
-	step3("unsettled", "send", "resent"):   {ends: []string{endLost}, idempotent: true},
-	step3("unsettled", "lose", "lost"):     {ends: []string{endLost}, idempotent: true, drainAt: eventSend},
-	step3("resent", "answer", "answered"):  {ends: []string{endLost}, idempotent: true},
-	step3("resent", "shed", "unsettled"):   {ends: []string{endLost, endShed}, idempotent: true},
-	step3("resent", "unsent", "unsettled"): {ends: []string{endLost, endUnsent}, idempotent: true},
-	step3("resent", "repeat", "unsettled"): {ends: []string{endLost, endLost}, idempotent: true},
-	step3("resent", "lose", "lost"):        {ends: []string{endLost, endLost, endLost, endLost, endLost, endLost, endLost, endLost}, idempotent: true},
+	{To: "queued"}:                              {},
+	transition("queued", "send", "sent"):        {},
+	transition("queued", "refuse", "refused"):   {busy: true},
+	transition("sent", "answer", "answered"):    {},
+	transition("sent", "shed", "queued"):        {ends: []string{endShed}},
+	transition("sent", "unsent", "queued"):      {ends: []string{endUnsent}},
+	transition("sent", "repeat", "unsettled"):   {ends: []string{endLost}, idempotent: true},
+	transition("sent", "lose", "lost"):          {ends: []string{endLost}, nonIdempotent: true},
+	transition("unsettled", "send", "resent"):   {ends: []string{endLost}, idempotent: true},
+	transition("unsettled", "lose", "lost"):     {ends: []string{endLost}, idempotent: true, drainAt: eventSend},
+	transition("resent", "answer", "answered"):  {ends: []string{endLost}, idempotent: true},
+	transition("resent", "shed", "unsettled"):   {ends: []string{endLost, endShed}, idempotent: true},
+	transition("resent", "unsent", "unsettled"): {ends: []string{endLost, endUnsent}, idempotent: true},
+	transition("resent", "repeat", "unsettled"): {ends: []string{endLost, endLost}, idempotent: true},
+	transition("resent", "lose", "lost"):        {ends: []string{endLost, endLost, endLost, endLost, endLost, endLost, endLost, endLost}, idempotent: true},
 }
 
-// breakage is a fault as a dispatcher meets it.
-type breakage struct {
+// injection is a fault as a dispatcher meets it.
+type injection struct {
 	name       faults.Fault
 	impossible string
 	// keyed plays it on a keyed service of one target.
 	keyed bool
-	// ends says that the dispatcher takes no work afterwards.
-	ends   bool
-	inject func(c *cell)
+	// stopsDispatcher says that the dispatcher takes no work afterwards.
+	stopsDispatcher bool
+	inject          func(c *cell)
 }
 
 const noStore = "a dispatcher calls no store; what its agent told it stays in force, see agent lost"
 
-// breakages has an entry for each fault.
-var breakages = map[faults.Fault]breakage{
+// injections has an entry for each fault.
+var injections = map[faults.Fault]injection{
 	faults.None:            {inject: func(*cell) {}},
 	faults.Partition:       {inject: func(c *cell) { c.cutFor(211 * time.Millisecond) }},
 	faults.Pause:           {inject: (*cell).pause},
 	faults.EntryLost:       {inject: func(c *cell) { c.push(message{cancel: victim}) }},
-	faults.DispatchLost:    {ends: true, inject: (*cell).die},
-	faults.AgentLost:       {keyed: true, inject: func(c *cell) { c.fencedFor(1493 * time.Millisecond) }},
-	faults.TargetFrozen:    {inject: func(c *cell) { c.freeze(c.where(), 997*time.Millisecond) }},
-	faults.TargetLost:      {inject: func(c *cell) { c.lose(c.where()) }},
+	faults.DispatchLost:    {stopsDispatcher: true, inject: (*cell).loseDispatcher},
+	faults.AgentLost:       {keyed: true, inject: func(c *cell) { c.refuseGrantFor(1493 * time.Millisecond) }},
+	faults.TargetFrozen:    {inject: func(c *cell) { c.freeze(c.victimTarget(), 997*time.Millisecond) }},
+	faults.TargetLost:      {inject: func(c *cell) { c.lose(c.victimTarget()) }},
 	faults.StoreDown:       {impossible: noStore},
 	faults.StoreSlow:       {impossible: noStore},
 	faults.StoreAnswerLost: {impossible: noStore},
-	faults.LeaseLapsed:     {keyed: true, inject: func(c *cell) { c.fencedFor(307 * time.Millisecond) }},
+	faults.LeaseLapsed:     {keyed: true, inject: func(c *cell) { c.refuseGrantFor(307 * time.Millisecond) }},
 	faults.OperatorsRace:   {inject: (*cell).race},
 	faults.CrashingRequest: {inject: (*cell).beginCrashing},
-	faults.VMLeaves:        {ends: true, inject: func(c *cell) { c.push(message{drain: true}) }},
-	faults.TargetLeaves:    {inject: func(c *cell) { c.leave(c.where()) }},
-	faults.DataCentreLost:  {inject: func(c *cell) { c.lose(c.where()); c.lose(c.another()) }},
+	faults.VMLeaves:        {stopsDispatcher: true, inject: func(c *cell) { c.push(message{drain: true}) }},
+	faults.TargetLeaves:    {inject: func(c *cell) { c.leave(c.victimTarget()) }},
+	faults.DataCentreLost:  {inject: func(c *cell) { c.lose(c.victimTarget()); c.lose(c.otherTarget()) }},
 	faults.TargetLostTwice: {inject: func(c *cell) {
-		c.lose(c.where())
-		time.AfterFunc(103*time.Millisecond, func() { c.lose(c.another()) })
+		c.lose(c.victimTarget())
+		time.AfterFunc(103*time.Millisecond, func() { c.lose(c.otherTarget()) })
 	}},
 	faults.PartitionTwice: {inject: func(c *cell) {
 		c.cutFor(53 * time.Millisecond)
@@ -130,9 +130,9 @@
 	for _, step := range faults.Steps(requestChart) {
 		s, ok := scripts[step]
 		require.True(t, ok, "no script leads to %s", faults.Name(step))
-		var without string
+		var baseline string
 		for _, f := range faults.All() {
-			b, ok := breakages[f]
+			b, ok := injections[f]
 			require.True(t, ok, "no entry for %s", f)
 			b.name = f
 			if b.impossible != "" {
@@ -143,9 +143,9 @@
 			t.Run(name, func(t *testing.T) {
 				got := s.received(t, step, b)
 				if f == faults.None {
-					without = got
+					baseline = got
 				}
-				if planned[f] && without != "unknown" {
+				if planned[f] && baseline != "unknown" {
 					require.NotContains(t, got, "unknown", "a planned stop cut off a request in flight")
 				}
 				m.Set(f, step, got)
@@ -155,7 +155,7 @@
 	require.NoError(t, m.Compare("../.."))
 }
 
-func (s script) received(t *testing.T, step statechart.Transition, b breakage) string {
+func (s script) received(t *testing.T, step statechart.Transition, b injection) string {
 	var got []string
 	for _, idempotent := range []bool{false, true} {
 		if idempotent && s.nonIdempotent || !idempotent && s.idempotent {
--- a/internal/dispatch/promise_test.go
+++ b/internal/dispatch/guarantees_test.go
@@ -48,10 +48,10 @@
 // go away, and the dispatcher drains at the end. Whatever the order: each request
 // gets one answer, its own; none refused as not run has run; no booking runs twice;
 // no slot idles while a request waits that it could run.
-func TestPromisesOverAnyHistory(t *testing.T) {
+func TestGuaranteesOverAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps, drain := drawSteps(rt), rapid.Bool().Draw(rt, "drain")
-		inBench(t, 3, false, func(b *bench) {
+		withTestbed(t, 3, false, func(b *testbed) {
 			for n, s := range steps {
 				time.Sleep(s.after)
 				b.play(n, s)
@@ -70,7 +70,7 @@
 	})
 }
 
-func (b *bench) play(n int, s step) {
+func (b *testbed) play(n int, s step) {
 	switch s.kind {
 	case "call":
 		id := fmt.Sprintf("%d", n)
@@ -113,7 +113,7 @@
 }
 
 // checkWorkConserved runs while nothing is in flight to the queue.
-func (b *bench) checkWorkConserved(q *queue) {
+func (b *testbed) checkWorkConserved(q *queue) {
 	now := time.Now()
 	for _, t := range q.pool.targets {
 		m := &t.measured
@@ -121,7 +121,7 @@
 			continue
 		}
 		for _, j := range q.jobs {
-			if j.item.Waiting() && j.last != t && !j.item.Long {
+			if j.item.Waiting() && j.lastTarget != t && !j.item.Long {
 				b.t.Errorf("%s idles while %s waits", t.Name, j.request.ID)
 			}
 		}
@@ -130,8 +130,8 @@
 
 // Two targets, one taken by a long request. The other sheds a request, which is next
 // in the order and waits for the first; the ones behind it must not wait with it.
-func TestHeadThatMustWaitHoldsUpNobody(t *testing.T) {
-	inBench(t, 2, false, func(b *bench) {
+func TestWaitingHeadDoesNotBlockOthers(t *testing.T) {
+	withTestbed(t, 2, false, func(b *testbed) {
 		s := stream{customer: "listeners", deadline: 5 * time.Second}
 		b.set("master-2", func(f *fakeTarget) { f.refusal = target.RefusedShed })
 		for i := range 3 {
@@ -149,7 +149,7 @@
 // target does. Callers must see no refusal: what waited goes back to the entry as
 // not run, for the dispatcher of the new owner.
 func TestPlannedMoveHoldsRequests(t *testing.T) {
-	inBench(t, 2, true, func(b *bench) {
+	withTestbed(t, 2, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedReleased })
 		s := stream{customer: "listeners", deadline: time.Second}
 		var a wire.Answer
@@ -170,8 +170,8 @@
 // and by the fourth failure for 400 ms. The standby owns the keys meanwhile; a child
 // still waits for the end of the rest before the story goes on. Cause: a queue whose
 // only target rested did not look at what waited.
-func TestTakeoverDoesNotWaitForRest(t *testing.T) {
-	inBench(t, 2, true, func(b *bench) {
+func TestTakeoverDoesNotWaitForBackoff(t *testing.T) {
+	withTestbed(t, 2, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.down = true })
 		s := stream{customer: "listeners", deadline: 2 * time.Second}
 		var a wire.Answer
@@ -193,8 +193,8 @@
 // A slice moves while a request is in flight to the old owner. The view with the
 // new owner arrives first, the refusal 50 ms later. The caller waited for a second
 // and was refused. Cause: the job waited for the next view, and none was due.
-func TestRefusalAfterTheViewIsSentBack(t *testing.T) {
-	inBench(t, 2, true, func(b *bench) {
+func TestRefusalAfterNewViewReturnsRequest(t *testing.T) {
+	withTestbed(t, 2, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal, f.refuseAfter = target.RefusedReleased, 50*time.Millisecond })
 		begun := time.Now()
 		var a wire.Answer
@@ -212,8 +212,8 @@
 // A grantor stalls until its grant is out, and renews it 100 ms later at the same
 // rank. No view changes, as nobody else was granted. All that came meanwhile was
 // refused after a second, though the owner served again.
-func TestLapsedGrantRenewedServesWhatWaited(t *testing.T) {
-	inBench(t, 1, true, func(b *bench) {
+func TestRenewedGrantServesWaitingRequests(t *testing.T) {
+	withTestbed(t, 1, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
 		begun := time.Now()
 		b.burst(stream{customer: "listeners", deadline: 5 * time.Second}, 5)
@@ -227,8 +227,8 @@
 
 // The same owner gets a grant of a higher rank after it refused: what waited is sent
 // to it, not refused.
-func TestRegrantedOwnerServesWhatWaited(t *testing.T) {
-	inBench(t, 1, true, func(b *bench) {
+func TestRegrantedOwnerServesWaitingRequests(t *testing.T) {
+	withTestbed(t, 1, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
 		b.burst(stream{customer: "listeners", deadline: time.Second}, 5)
 		time.Sleep(100 * time.Millisecond)
@@ -241,45 +241,45 @@
 
 // No owner comes. The caller must be answered after the stated second, not at the end of
 // its patience of 20 s.
-func TestNoOwnerIsToldWithinASecond(t *testing.T) {
-	inBench(t, 1, true, func(b *bench) {
+func TestMissingOwnerIsReportedWithinASecond(t *testing.T) {
+	withTestbed(t, 1, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
 		begun := time.Now()
 		a := b.call(stream{customer: "listeners", deadline: 20 * time.Second}, "r", time.Millisecond)
 		require.Equal(t, problem.NoOwner, a.Problem.Kind)
-		require.InDelta(t, ownerlessFor.Seconds(), time.Since(begun).Seconds(), 0.05)
+		require.InDelta(t, maxOwnerWait.Seconds(), time.Since(begun).Seconds(), 0.05)
 	})
 }
 
 // All slots are taken and the dispatcher leaves. What waits goes back at once, what
 // runs is answered.
-func TestDrainHandsBackAtOnce(t *testing.T) {
-	inBench(t, 1, false, func(b *bench) {
+func TestDrainReturnsWaitingRequestsAtOnce(t *testing.T) {
+	withTestbed(t, 1, false, func(b *testbed) {
 		s := stream{customer: "listeners", deadline: 5 * time.Second}
-		var sent, waits wire.Answer
+		var sent, waiting wire.Answer
 		b.callers.Go(func() { sent = b.call(s, "r1", time.Second) })
 		b.callers.Go(func() { b.call(s, "r2", time.Second) })
 		time.Sleep(10 * time.Millisecond)
 		begun := time.Now()
 		b.callers.Go(func() {
-			waits = b.call(s, "r3", time.Second)
+			waiting = b.call(s, "r3", time.Second)
 			require.Less(b.t, time.Since(begun), 20*time.Millisecond)
 		})
 		time.Sleep(10 * time.Millisecond)
 		_ = b.queue.inbox.Push(context.Background(), message{drain: true})
 		b.callers.Wait()
 		require.Nil(t, sent.Problem)
-		require.Equal(t, problem.Leaving, waits.Problem.Kind)
-		require.Equal(t, problem.RanNo, waits.Problem.Ran)
+		require.Equal(t, problem.Leaving, waiting.Problem.Kind)
+		require.Equal(t, problem.RanNo, waiting.Problem.Ran)
 	})
 }
 
 // Three requests run on a target when it dies. The watch over crashing requests must
 // are notified of one death with all of them, and of no other end.
-func TestDeathIsToldOnceWithAllThatRan(t *testing.T) {
-	inBench(t, 1, false, func(b *bench) {
-		w := &deaths{}
-		b.queue.suspects = w
+func TestDeathIsReportedOnceWithAllRunningRequests(t *testing.T) {
+	withTestbed(t, 1, false, func(b *testbed) {
+		d := &deathRecorder{}
+		b.queue.quarantine = d
 		s := stream{customer: "listeners", deadline: time.Second}
 		for i := range 2 {
 			b.callers.Go(func() { b.call(s, fmt.Sprint(i), 50*time.Millisecond) })
@@ -287,20 +287,20 @@
 		time.Sleep(20 * time.Millisecond)
 		b.set("master-1", func(f *fakeTarget) { f.down = true })
 		b.callers.Wait()
-		require.Equal(t, []int{2}, w.died)
-		require.Zero(t, w.finished)
+		require.Equal(t, []int{2}, d.died)
+		require.Zero(t, d.finished)
 		require.Equal(t, 2, b.tallies["listeners"].unknown)
 	})
 }
 
-type deaths struct {
-	noSuspects
+type deathRecorder struct {
+	noQuarantine
 	died     []int
 	finished int
 }
 
-func (w *deaths) Died(_ string, running []*wire.Request, _ time.Time) {
-	w.died = append(w.died, len(running))
+func (d *deathRecorder) Died(_ string, running []*wire.Request, _ time.Time) {
+	d.died = append(d.died, len(running))
 }
 
-func (w *deaths) Finished(string, *wire.Request, bool, time.Time) { w.finished++ }
+func (d *deathRecorder) Finished(string, *wire.Request, bool, time.Time) { d.finished++ }
--- a/internal/dispatch/hints.go
+++ b/internal/dispatch/hints.go
@@ -17,29 +17,29 @@
 }
 
 const (
-	// hintEvery is how often targets of a queue in use are asked. A target
+	// hintInterval is how often targets of a queue in use are asked. A target
 	// that leaves is to get no new work after 3 s, also where it does not
 	// refuse it.
-	hintEvery = time.Second
+	hintInterval = time.Second
 	// hintTimeout bounds the question.
 	hintTimeout = 500 * time.Millisecond
-	// hintWhile is how long after its last request a queue counts as in use.
-	hintWhile = 10 * time.Second
-	// goneTimeout bounds the question whether a target died. Its caller waits
+	// hintActivePeriod is how long after its last request a queue counts as in use.
+	hintActivePeriod = 10 * time.Second
+	// deathCheckTimeout bounds the question whether a target died. Its caller waits
 	// meanwhile; a target that lives answers in milliseconds.
-	goneTimeout = 100 * time.Millisecond
-	// hintsAtOnce bounds the questions on their way.
-	hintsAtOnce = 16
+	deathCheckTimeout = 100 * time.Millisecond
+	// maxConcurrentHints bounds the questions on their way.
+	maxConcurrentHints = 16
 )
 
-// watch asks the targets of the queue for hints while it is in use.
-func (q *queue) watch(ctx context.Context) {
-	every := time.NewTicker(hintEvery)
-	defer every.Stop()
+// pollHints asks the targets of the queue for hints while it is in use.
+func (q *queue) pollHints(ctx context.Context) {
+	ticker := time.NewTicker(hintInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case now := <-every.C:
-			if now.UnixNano()-q.active.Load() < int64(hintWhile) {
+		case now := <-ticker.C:
+			if now.UnixNano()-q.active.Load() < int64(hintActivePeriod) {
 				_ = q.inbox.Push(ctx, message{hints: q.probeTargets(ctx)})
 			}
 		case <-ctx.Done():
@@ -60,14 +60,14 @@
 		probes sync.WaitGroup
 		hints  []hint
 	)
-	room := make(chan struct{}, hintsAtOnce)
+	semaphore := make(chan struct{}, maxConcurrentHints)
 	for _, t := range s.Targets {
 		if q.id.Target != "" && t.Name != q.id.Target {
 			continue
 		}
-		room <- struct{}{}
+		semaphore <- struct{}{}
 		probes.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-semaphore }()
 			h := hint{target: t.Name}
 			var err error
 			if h.health, err = q.prober.Health(ctx, t.Addr); err != nil {
@@ -83,9 +83,9 @@
 	return hints
 }
 
-// learn takes hints over. They never make a target more attractive than its
+// applyHints takes hints over. They never make a target more attractive than its
 // measured answers; see package balance.
-func (q *queue) learn(hints []hint, now time.Time) {
+func (q *queue) applyHints(hints []hint, now time.Time) {
 	for _, h := range hints {
 		t := q.pool.find(h.target)
 		if t == nil {
@@ -105,11 +105,11 @@
 	}
 }
 
-// gone reports whether the target behind a broken connection died: nothing listens
+// targetDied reports whether the target behind a broken connection died: nothing listens
 // at its address, or another incarnation does.
 // A broken connection alone is no death: all that runs there would become suspect.
-func (q *queue) gone(addr, incarnation string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
+func (q *queue) targetDied(addr, incarnation string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), deathCheckTimeout)
 	defer cancel()
 	h, err := q.prober.Health(ctx, addr)
 	if err != nil {
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -11,44 +11,44 @@
 )
 
 // Claim votes on another coordinator's claim.
-func (t *intents) Claim(args *ClaimArgs, vote *idempotency.Vote) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	*vote = t.book.Claim(args.Record, args.By, t.clock.Now())
+func (d *deduplicator) Claim(args *ClaimArgs, vote *idempotency.Vote) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	*vote = d.records.Claim(args.Record, args.By, d.clock.Now())
 	return nil
 }
 
 // Settle records the end of a request.
-func (t *intents) Settle(r *idempotency.Record, _ *wire.Empty) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.book.Settle(*r, t.clock.Now())
+func (d *deduplicator) Settle(r *idempotency.Record, _ *wire.Empty) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.records.Settle(*r, d.clock.Now())
 	return nil
 }
 
 // Release forgets a claim whose request was not run.
-func (t *intents) Release(r *idempotency.Record, _ *wire.Empty) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.book.Release(r.Key, r.Claim.ID)
+func (d *deduplicator) Release(r *idempotency.Record, _ *wire.Empty) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.records.Release(r.Key, r.Claim.ID)
 	return nil
 }
 
 // Await waits for the end of a claim of this dispatcher.
-func (t *intents) Await(args *wire.AwaitArgs, reply *wire.AwaitReply) error {
-	t.mu.Lock()
-	claim := t.mine[args.Claim]
-	t.mu.Unlock()
+func (d *deduplicator) Await(args *wire.AwaitArgs, reply *wire.AwaitReply) error {
+	d.mu.Lock()
+	claim := d.claims[args.Claim]
+	d.mu.Unlock()
 	if claim == nil {
 		return nil
 	}
 	reply.Known = true
-	patience := time.NewTimer(args.Wait)
-	defer patience.Stop()
+	timeout := time.NewTimer(args.Wait)
+	defer timeout.Stop()
 	select {
 	case <-claim.ended:
 		reply.Answer, reply.Released = claim.answer, claim.released
-	case <-patience.C:
+	case <-timeout.C:
 	}
 	return nil
 }
@@ -57,10 +57,10 @@
 type CopyArgs struct{ VM string }
 
 // CopyIntents gives the records of which the asking VM is a holder.
-func (t *intents) CopyIntents(args *CopyArgs, reply *idempotency.Copy) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	*reply = t.book.CopyFor(args.VM, t.clock.Now())
+func (d *deduplicator) CopyIntents(args *CopyArgs, reply *idempotency.Copy) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	*reply = d.records.CopyFor(args.VM, d.clock.Now())
 	return nil
 }
 
@@ -71,48 +71,48 @@
 }
 
 // Handoff takes over the records of a dispatcher that leaves.
-func (t *intents) Handoff(args *HandoffArgs, _ *wire.Empty) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.book.Handoff(args.VM, args.Records, t.clock.Now())
-	t.journal.Add(stepIntent, "took over the records of a dispatcher that leaves", args.VM)
+func (d *deduplicator) Handoff(args *HandoffArgs, _ *wire.Empty) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.records.Handoff(args.VM, args.Records, d.clock.Now())
+	d.journal.Add(stepIntent, "took over the records of a dispatcher that leaves", args.VM)
 	return nil
 }
 
-// leave hands the records over in a planned stop. One that does not arrive makes
+// handOverRecords hands the records over in a planned stop. One that does not arrive makes
 // the stop count like a loss at the VM that it was for.
-func (t *intents) leave(ctx context.Context) {
+func (d *deduplicator) handOverRecords(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoffTimeout)
 	defer cancel()
-	t.mu.Lock()
-	args := &HandoffArgs{VM: t.vm, Records: t.book.Leave(t.clock.Now())}
-	t.mu.Unlock()
+	d.mu.Lock()
+	args := &HandoffArgs{VM: d.vm, Records: d.records.Leave(d.clock.Now())}
+	d.mu.Unlock()
 	var calls sync.WaitGroup
-	for _, m := range t.feed.Current().Members {
-		if m.VM == t.vm || m.DispatchAddr == "" {
+	for _, m := range d.feed.Current().Members {
+		if m.VM == d.vm || m.DispatchAddr == "" {
 			continue
 		}
 		calls.Go(func() {
-			if err := t.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodHandoff, args, &wire.Empty{}); err != nil {
-				t.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("records not handed over")
+			if err := d.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodHandoff, args, &wire.Empty{}); err != nil {
+				d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("records not handed over")
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// keep is the duty that follows the list of VMs and fetches missing records.
-func (t *intents) keep(ctx context.Context) {
-	tick := time.NewTicker(syncEvery)
+// runSync is the duty that follows the list of VMs and fetches missing records.
+func (d *deduplicator) runSync(ctx context.Context) {
+	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
-	swept := t.clock.Now()
+	lastSweep := d.clock.Now()
 	for {
-		for _, m := range t.toCopy() {
-			t.copyFrom(ctx, m)
+		for _, m := range d.membersToCopy() {
+			d.copyFrom(ctx, m)
 		}
-		if now := t.clock.Now(); now-swept > sweepIntents {
-			swept = now
-			t.sweep(now)
+		if now := d.clock.Now(); now-lastSweep > sweepInterval {
+			lastSweep = now
+			d.sweep(now)
 		}
 		select {
 		case <-tick.C:
@@ -122,22 +122,22 @@
 	}
 }
 
-// toCopy returns the members whose records are to be asked for now.
-func (t *intents) toCopy() []wire.Member {
-	v := t.feed.Current()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.clock.Now()
-	before := t.book.Places()
-	t.book.SetPlaces(v.Listed, now)
-	if !slices.Equal(before, t.book.Places()) {
-		clear(t.tried)
-		t.journal.Add(stepIntent, "holders of intents follow a new list of VMs", t.vm)
+// membersToCopy returns the members whose records are to be asked for now.
+func (d *deduplicator) membersToCopy() []wire.Member {
+	v := d.feed.Current()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.clock.Now()
+	previous := d.records.Places()
+	d.records.SetPlaces(v.Listed, now)
+	if !slices.Equal(previous, d.records.Places()) {
+		clear(d.copiedAt)
+		d.journal.Add(stepIntent, "holders of intents follow a new list of VMs", d.vm)
 	}
 	var out []wire.Member
-	for _, vm := range t.book.Missing() {
+	for _, vm := range d.records.Missing() {
 		for _, m := range v.Members {
-			if m.VM == vm && m.DispatchAddr != "" && (t.tried[vm] == 0 || now-t.tried[vm] > resyncEvery) {
+			if m.VM == vm && m.DispatchAddr != "" && (d.copiedAt[vm] == 0 || now-d.copiedAt[vm] > resyncInterval) {
 				out = append(out, m)
 			}
 		}
@@ -145,36 +145,36 @@
 	return out
 }
 
-func (t *intents) copyFrom(ctx context.Context, m wire.Member) {
+func (d *deduplicator) copyFrom(ctx context.Context, m wire.Member) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	var reply idempotency.Copy
-	if err := t.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodCopy, &CopyArgs{VM: t.vm}, &reply); err != nil {
-		t.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("no copy of records")
+	if err := d.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodCopy, &CopyArgs{VM: d.vm}, &reply); err != nil {
+		d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("no copy of records")
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now := t.clock.Now()
-	t.book.MergeCopy(m.VM, reply, now)
-	if slices.Equal(reply.Places, t.book.Places()) {
-		t.tried[m.VM] = now
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.clock.Now()
+	d.records.MergeCopy(m.VM, reply, now)
+	if slices.Equal(reply.Places, d.records.Places()) {
+		d.copiedAt[m.VM] = now
 	}
 }
 
-func (t *intents) sweep(now time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.book.Expire(now)
-	for id, claim := range t.mine {
+func (d *deduplicator) sweep(now time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.records.Expire(now)
+	for id, claim := range d.claims {
 		if claim.endedAt != 0 && now-claim.endedAt > idempotency.Retention {
-			delete(t.mine, id)
+			delete(d.claims, id)
 		}
 	}
 }
 
-// intentState is the section of the dump.
-type intentState struct {
+// dedupState is the section of the dump.
+type dedupState struct {
 	Records int      `json:"records"`
 	Bytes   int      `json:"answerBytes"`
 	Claims  int      `json:"claims"`
@@ -182,9 +182,9 @@
 	Missing []string `json:"missing"`
 }
 
-func (t *intents) dump() any {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	records, bytes := t.book.Size()
-	return intentState{Records: records, Bytes: bytes, Claims: len(t.mine), Forgot: t.book.Forgot(t.clock.Now()), Missing: t.book.Missing()}
+func (d *deduplicator) dump() any {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	records, bytes := d.records.Size()
+	return dedupState{Records: records, Bytes: bytes, Claims: len(d.claims), Forgot: d.records.Forgot(d.clock.Now()), Missing: d.records.Missing()}
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -39,20 +39,20 @@
 	item fairqueue.Item[*job]
 	// expected is the service time that the kind is expected to take.
 	expected time.Duration
-	// came is when it entered the queue.
-	came time.Time
+	// arrivedAt is when it entered the queue.
+	arrivedAt time.Time
 	// parkedAt is when it first waited for an owner; zero if it never did.
 	parkedAt time.Time
 	// giveUp is when it is ended if it was not sent; wait is its place in the
 	// heap of these moments, -1 for none.
-	giveUp time.Time
-	wait   int
+	giveUp      time.Time
+	giveUpIndex int
 
 	attempts int
 	// lostBefore says that an earlier attempt may have run.
 	lostBefore bool
-	// last was tried last; another is preferred.
-	last *pooled
+	// lastTarget was tried lastTarget; another is preferred.
+	lastTarget *poolTarget
 	// grant is what the last attempt was sent by; nil where unkeyed.
 	grant *wire.Grant
 	// sentAt is when the attempt in flight was begun.
@@ -65,20 +65,20 @@
 
 func newJob(r *wire.Request, now time.Time) *job {
 	j := &job{
-		request:  r,
-		deadline: now.Add(r.Budget),
-		state:    requestChart.Start(),
-		kind:     duration.KindOf(r.Customer, r.Method, r.Path),
-		came:     now,
-		wait:     -1,
-		done:     make(chan wire.Answer, 1),
+		request:     r,
+		deadline:    now.Add(r.Budget),
+		state:       requestChart.Start(),
+		kind:        duration.KindOf(r.Customer, r.Method, r.Path),
+		arrivedAt:   now,
+		giveUpIndex: -1,
+		done:        make(chan wire.Answer, 1),
 	}
 	j.item.Value = j
 	return j
 }
 
-// settle fills in what the order needs.
-func (j *job) settle(t *duration.Table, fifo bool) {
+// estimateCost fills in what the order needs.
+func (j *job) estimateCost(t *duration.Table, fifo bool) {
 	j.expected = t.Expect(j.kind)
 	j.item.Cost, j.item.Weight = j.expected.Seconds(), 1
 	if fifo {
@@ -101,14 +101,14 @@
 	}
 }
 
-// end ends a job that waits. It is refused as not run, unless an earlier attempt
+// fail ends a job that waits. It is refused as not run, unless an earlier attempt
 // may have run: the chart has no way from there to a refusal, since a promise that
 // cannot be kept is not made.
-func (j *job) end(p *problem.Error) {
+func (j *job) fail(p *problem.Error) {
 	if j.mayHaveRun() {
 		lost := *p
 		lost.Ran = problem.RanUnknown
-		j.lose(&lost)
+		j.failUnknown(&lost)
 		return
 	}
 	if j.state.Fire(eventRefuse) == nil {
@@ -116,36 +116,36 @@
 	}
 }
 
-// lose ends a job that may have run.
-func (j *job) lose(p *problem.Error) {
+// failUnknown ends a job that may have run.
+func (j *job) failUnknown(p *problem.Error) {
 	if j.state.Fire(eventLose) == nil {
 		j.done <- wire.Refused(j.request.ID, p)
 	}
 }
 
-// waitHeap orders jobs by the moment at which they are given up. It implements
+// giveUpHeap orders jobs by the moment at which they are given up. It implements
 // heap.Interface.
-type waitHeap []*job
+type giveUpHeap []*job
 
-func (h waitHeap) Len() int           { return len(h) }
-func (h waitHeap) Less(a, b int) bool { return h[a].giveUp.Before(h[b].giveUp) }
+func (h giveUpHeap) Len() int           { return len(h) }
+func (h giveUpHeap) Less(a, b int) bool { return h[a].giveUp.Before(h[b].giveUp) }
 
-func (h waitHeap) Swap(a, b int) {
+func (h giveUpHeap) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
-	h[a].wait, h[b].wait = a, b
+	h[a].giveUpIndex, h[b].giveUpIndex = a, b
 }
 
-func (h *waitHeap) Push(x any) {
+func (h *giveUpHeap) Push(x any) {
 	j := x.(*job)
-	j.wait = len(*h)
+	j.giveUpIndex = len(*h)
 	*h = append(*h, j)
 }
 
-func (h *waitHeap) Pop() any {
+func (h *giveUpHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	j.wait = -1
+	j.giveUpIndex = -1
 	return j
 }
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -19,7 +19,7 @@
 // overload offers load times the capacity from two customers and returns what came
 // of the 4 s after the first.
 func overload(t *testing.T, load float64) (answered int, p99, refused99 time.Duration) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		for _, customer := range []string{"listeners", "walkers"} {
 			b.offer(stream{customer: customer, rate: load * capacity / 2, lasts: 5 * time.Second})
 		}
@@ -58,7 +58,7 @@
 // A thousand requests come at one moment to a pool that idles. All fit into their
 // deadline, so none may be refused.
 func TestBurstIsServed(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.burst(stream{customer: "listeners", deadline: 2 * time.Second}, 1000)
 		b.callers.Wait()
 		require.Equal(t, 1000, b.tallies["listeners"].answered)
@@ -67,8 +67,8 @@
 
 // One customer sends ten times its share of the pool, two others what they always
 // send. The others must not notice: under 1% refused, and quick answers.
-func TestHotCallerPaysForItself(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+func TestHotCustomerDoesNotAffectOthers(t *testing.T) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "hot", rate: 10 * capacity / 3, lasts: 3 * time.Second})
 		b.offer(stream{customer: "calm", rate: 0.25 * capacity, lasts: 3 * time.Second})
 		b.offer(stream{customer: "quiet", rate: 0.25 * capacity, lasts: 3 * time.Second})
@@ -84,7 +84,7 @@
 // All of one customer's requests name one hot key, and its owner is one server with
 // two slots. Another customer's keys on the same server must still be served.
 func TestHotKey(t *testing.T) {
-	inBench(t, 1, true, func(b *bench) {
+	withTestbed(t, 1, true, func(b *testbed) {
 		b.offer(stream{customer: "hot", rate: 5 * capacity / 10, lasts: 4 * time.Second})
 		b.offer(stream{customer: "calm", rate: 0.3 * capacity / 10, lasts: 4 * time.Second})
 		b.callers.Wait()
@@ -98,7 +98,7 @@
 // hardly see it: 99 in 100 within 1.5 times of what they had.
 func TestSlowTarget(t *testing.T) {
 	p99 := func(factor float64) (d time.Duration) {
-		inBench(t, 10, false, func(b *bench) {
+		withTestbed(t, 10, false, func(b *testbed) {
 			b.set("master-1", func(f *fakeTarget) { f.factor = factor })
 			b.offer(stream{customer: "listeners", rate: 0.6 * capacity, lasts: 10 * time.Second})
 			b.callers.Wait()
@@ -113,9 +113,9 @@
 
 // The only owner of the keys turns ten times slower, and so does a whole pool. There
 // is no better target to wait for: the slots must stay busy.
-func TestNothingBetterThanSlow(t *testing.T) {
+func TestSlowTargetsAreUsedIfAllAreSlow(t *testing.T) {
 	for _, targets := range []int{1, 3} {
-		inBench(t, targets, targets == 1, func(b *bench) {
+		withTestbed(t, targets, targets == 1, func(b *testbed) {
 			rate := float64(targets) * capacity / 10
 			b.offer(stream{customer: "listeners", rate: 0.05 * rate, lasts: 10 * time.Second})
 			time.Sleep(2 * time.Second)
@@ -131,7 +131,7 @@
 
 // A server recovers from slowness. It must get its share again, by trials.
 func TestSlowTargetRecovers(t *testing.T) {
-	inBench(t, 4, false, func(b *bench) {
+	withTestbed(t, 4, false, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.factor = 10 })
 		b.offer(stream{customer: "listeners", rate: 0.25 * capacity, lasts: 20 * time.Second})
 		time.Sleep(5 * time.Second)
@@ -144,8 +144,8 @@
 
 // A slow target says on its load endpoint that it is idle, and on its health
 // endpoint that all is well. Believed, it would draw all requests.
-func TestLiarAttractsNoLoad(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+func TestWrongLoadReportAttractsNoLoad(t *testing.T) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		for name, f := range b.targets {
 			f.load.Running = 2
 			if name == "master-1" {
@@ -160,8 +160,8 @@
 
 // Every target says that it leaves, though all serve: endpoints that mislead must
 // not empty the pool.
-func TestAllClaimToLeave(t *testing.T) {
-	inBench(t, 3, false, func(b *bench) {
+func TestPoolServesIfAllTargetsReportLeaving(t *testing.T) {
+	withTestbed(t, 3, false, func(b *testbed) {
 		for _, f := range b.targets {
 			f.health.Leaving = true
 		}
@@ -173,8 +173,8 @@
 
 // One customer's exports take a hundred times as long as the listeners' requests and
 // would fill every slot of the pool. Listeners must still get theirs.
-func TestLongJobsLeaveRoom(t *testing.T) {
-	inBench(t, 5, false, func(b *bench) {
+func TestLongJobsDoNotFillAllSlots(t *testing.T) {
+	withTestbed(t, 5, false, func(b *testbed) {
 		b.offer(stream{customer: "listeners", rate: 150, lasts: 10 * time.Second})
 		b.offer(stream{customer: "listeners2", path: "export", rate: 20, work: 800 * time.Millisecond, deadline: 20 * time.Second, lasts: 10 * time.Second})
 		b.callers.Wait()
@@ -187,7 +187,7 @@
 // Nightly audits run beside a full interactive load. They get their floor of 20%,
 // and interactive callers keep the rest.
 func TestBackgroundFloorBesideFullLoad(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "ci", rate: 1.5 * capacity, lasts: 5 * time.Second})
 		b.burst(stream{customer: "audit", class: model.Background, deadline: 60 * time.Second}, 900)
 		b.callers.Wait()
@@ -202,7 +202,7 @@
 // repeat at once. Nobody may be hurt by repeats to targets that refuse connections,
 // and the pool must serve again at once.
 func TestMassReconnect(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "listeners", rate: 0.3 * capacity, lasts: 4 * time.Second, idempotent: true})
 		time.Sleep(time.Second)
 		down := func(down bool) {
@@ -226,7 +226,7 @@
 // Three of ten answers are lost on their way. Repeats must help, but may not add
 // more than a tenth to the load of the targets.
 func TestRetryAmplification(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		for _, f := range b.targets {
 			f.loseShare = 0.3
 		}
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -8,25 +8,25 @@
 	"hemlockquay/internal/wire"
 )
 
-// loads counts the requests of each group for the service's assigner. It is safe
+// groupLoads counts the requests of each group for the service's assigner. It is safe
 // for concurrent use.
-type loads struct {
+type groupLoads struct {
 	clock boottime.System
 
 	mu    sync.Mutex
 	meter *loadmeter.Meter
 }
 
-func newLoads() *loads { return &loads{meter: loadmeter.New()} }
+func newGroupLoads() *groupLoads { return &groupLoads{meter: loadmeter.New()} }
 
-func (l *loads) count(service string, group uint64) {
+func (l *groupLoads) count(service string, group uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.meter.Add(loadmeter.Group{Service: service, Group: group}, 1, l.clock.Now())
 }
 
 // hottest returns the groups for a report to the agent.
-func (l *loads) hottest() []wire.GroupLoad {
+func (l *groupLoads) hottest() []wire.GroupLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	rates := l.meter.Hottest(wire.MaxLoads, l.clock.Now())
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -9,8 +9,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// pooled is a target of a queue with what was measured of it.
-type pooled struct {
+// poolTarget is a target of a queue with what was measured of it.
+type poolTarget struct {
 	model.Target
 	measured balance.Target
 	limit    slots.Limit
@@ -23,7 +23,7 @@
 }
 
 // requests lists what runs on the target.
-func (t *pooled) requests() []*wire.Request {
+func (t *poolTarget) requests() []*wire.Request {
 	out := make([]*wire.Request, 0, len(t.running))
 	for j := range t.running {
 		out = append(out, j.request)
@@ -34,30 +34,30 @@
 // pool is the targets of a queue: one for a keyed service, all for an unkeyed one.
 type pool struct {
 	service *model.Service
-	targets []*pooled
+	targets []*poolTarget
 	// measured is targets' part for the choice, in the same order.
-	measured []*balance.Target
-	fixed    bool
+	measured   []*balance.Target
+	fixedSlots bool
 }
 
 // sync takes over the service object in force. What was measured of a target
 // stays with its name and address.
-func (p *pool) sync(s *model.Service, only string) {
+func (p *pool) sync(s *model.Service, targetName string) {
 	if p.service == s {
 		return
 	}
-	known := make(map[model.Target]*pooled, len(p.targets))
+	known := make(map[model.Target]*poolTarget, len(p.targets))
 	for _, t := range p.targets {
 		known[t.Target] = t
 	}
 	p.service, p.targets, p.measured = s, nil, nil
 	for _, target := range s.Targets {
-		if only != "" && target.Name != only {
+		if targetName != "" && target.Name != targetName {
 			continue
 		}
 		t := known[target]
 		if t == nil {
-			t = &pooled{Target: target, running: make(map[*job]struct{})}
+			t = &poolTarget{Target: target, running: make(map[*job]struct{})}
 		}
 		p.targets = append(p.targets, t)
 		p.measured = append(p.measured, &t.measured)
@@ -68,9 +68,9 @@
 }
 
 // update renews the number that may be in flight at the target.
-func (p *pool) update(t *pooled) {
+func (p *pool) update(t *poolTarget) {
 	t.measured.Limit = p.service.Slots
-	if !p.fixed {
+	if !p.fixedSlots {
 		t.measured.Limit = t.limit.Value(p.service.Slots)
 	}
 }
@@ -92,13 +92,13 @@
 	return effective, total
 }
 
-// nextReturn is how long until the rest of a target ends, tickEvery where none
+// nextBackoffEnd is how long until the rest of a target ends, tickEvery where none
 // rests. A queue that noticed it at its next tick only would leave a slot idle.
-func (p *pool) nextReturn(now time.Time) time.Duration {
-	next := tickEvery
+func (p *pool) nextBackoffEnd(now time.Time) time.Duration {
+	next := tickInterval
 	for _, t := range p.targets {
-		if rest := t.measured.ServesFrom().Sub(now); rest > 0 {
-			next = min(next, rest)
+		if backoff := t.measured.ServesFrom().Sub(now); backoff > 0 {
+			next = min(next, backoff)
 		}
 	}
 	return next
@@ -116,7 +116,7 @@
 	return 2*n > len(p.targets)
 }
 
-func (p *pool) find(name string) *pooled {
+func (p *pool) find(name string) *poolTarget {
 	for _, t := range p.targets {
 		if t.Name == name {
 			return t
@@ -126,7 +126,7 @@
 }
 
 // index returns the target's place, -1 for nil or one that is gone.
-func (p *pool) index(t *pooled) int {
+func (p *pool) index(t *poolTarget) int {
 	for i, other := range p.targets {
 		if other == t {
 			return i
--- a/internal/dispatch/suspects.go
+++ b/internal/dispatch/quarantine.go
@@ -21,13 +21,13 @@
 	AdmitRefuse
 )
 
-// Suspects watches for requests that crash the targets that run them.
+// Quarantine watches for requests that crash the targets that run them.
 //
 // All queues of a dispatcher share one; each calls it from its own goroutine, so
 // it must be safe for concurrent use and must not block. For every request that
 // Admit lets run there is one Started, and then one Finished or, if the target
 // died under it, one Died that lists it.
-type Suspects interface {
+type Quarantine interface {
 	// Admit decides on a request that a free slot of the target waits for.
 	Admit(target string, r *wire.Request, now time.Time) (Admission, *problem.Error)
 	// Started says that an attempt is in flight to the target.
--- a/internal/dispatch/suspects_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -10,23 +10,23 @@
 	"hemlockquay/internal/wire"
 )
 
-// noSuspects lets everything run.
-type noSuspects struct{}
+// noQuarantine lets everything run.
+type noQuarantine struct{}
 
-func (noSuspects) Admit(string, *wire.Request, time.Time) (Admission, *problem.Error) {
+func (noQuarantine) Admit(string, *wire.Request, time.Time) (Admission, *problem.Error) {
 	return AdmitRun, nil
 }
-func (noSuspects) Started(string, *wire.Request, time.Time)        {}
-func (noSuspects) Finished(string, *wire.Request, bool, time.Time) {}
-func (noSuspects) Died(string, []*wire.Request, time.Time)         {}
+func (noQuarantine) Started(string, *wire.Request, time.Time)        {}
+func (noQuarantine) Finished(string, *wire.Request, bool, time.Time) {}
+func (noQuarantine) Died(string, []*wire.Request, time.Time)         {}
 
 // A target restarts between two looks at its health, and answers ordinary requests.
 // Each whole answer was taken for a death of the target, since it came from another
 // incarnation than was known; the ordinary request was quarantined.
-func TestWholeAnswerOfARestartedTargetIsNoDeath(t *testing.T) {
-	inBench(t, 1, false, func(b *bench) {
-		w := &deaths{}
-		b.queue.suspects = w
+func TestAnswerOfRestartedTargetIsNotADeath(t *testing.T) {
+	withTestbed(t, 1, false, func(b *testbed) {
+		d := &deathRecorder{}
+		b.queue.quarantine = d
 		b.set("master-1", func(f *fakeTarget) { f.health.Incarnation = "master-1-1" })
 		s := stream{customer: "listeners", deadline: time.Second}
 		b.callers.Go(func() { b.call(s, "before", time.Millisecond) })
@@ -35,7 +35,7 @@
 		b.set("master-1", func(f *fakeTarget) { f.health.Incarnation = "master-1-2" })
 		b.callers.Go(func() { b.call(s, "after", time.Millisecond) })
 		b.callers.Wait()
-		require.Empty(t, w.died)
-		require.Equal(t, 2, w.finished)
+		require.Empty(t, d.died)
+		require.Equal(t, 2, d.finished)
 	})
 }
--- a/internal/dispatch/crashgossip.go
+++ b/internal/dispatch/quarantinemessage.go
@@ -9,20 +9,20 @@
 	"hemlockquay/internal/wire"
 )
 
-// crashGossip is one round with all other dispatchers: a notice, or the question for a
+// quarantineMessage is one round with all other dispatchers: a notice, or the question for a
 // permit.
-type crashGossip struct {
-	notice quarantine.Case
+type quarantineMessage struct {
+	crashCase quarantine.Case
 	// pool is set where a permit is asked for, asked is when it was wanted.
-	pool  string
-	asked time.Duration
+	pool        string
+	requestedAt time.Duration
 }
 
 // enqueue queues a round. A round that finds no room is lost like a message: a permit
 // is asked for again, and a notice goes along with the next permit. The caller
 // holds mu.
-func (w *crashWatch) enqueue(g crashGossip) {
-	if w.gossip.Push(context.Background(), g) == nil {
+func (w *crashWatcher) enqueue(g quarantineMessage) {
+	if w.outbox.Push(context.Background(), g) == nil {
 		w.queued++
 	}
 }
@@ -45,51 +45,51 @@
 type CaseList struct{ Cases []quarantine.Case }
 
 // Permit implements the RPC for other dispatchers.
-func (w *crashWatch) Permit(args *PermitArgs, reply *PermitReply) error {
+func (w *crashWatcher) Permit(args *PermitArgs, reply *PermitReply) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock.Now()
 	w.merge(args.Case, now)
 	if args.Pool != "" {
-		reply.Granted = w.watch.MayPermit(args.Case.Fingerprint, args.Pool, args.From, now)
+		reply.Granted = w.tracker.MayPermit(args.Case.Fingerprint, args.Pool, args.From, now)
 	}
-	reply.Case = w.watch.Case(args.Case.Fingerprint, now)
+	reply.Case = w.tracker.Case(args.Case.Fingerprint, now)
 	return nil
 }
 
 // Cases implements the RPC for dispatchers that have just started.
-func (w *crashWatch) Cases(_ *wire.Empty, reply *CaseList) error {
+func (w *crashWatcher) Cases(_ *wire.Empty, reply *CaseList) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	reply.Cases = w.watch.Cases(w.clock.Now())
+	reply.Cases = w.tracker.Cases(w.clock.Now())
 	return nil
 }
 
-func (w *crashWatch) merge(c quarantine.Case, now time.Duration) {
+func (w *crashWatcher) merge(c quarantine.Case, now time.Duration) {
 	if len(c.Deaths) == 0 {
 		return
 	}
-	w.watch.MergeCase(c, now)
-	merged := w.watch.Case(c.Fingerprint, now)
-	w.noteQuarantine(&merged)
+	w.tracker.MergeCase(c, now)
+	merged := w.tracker.Case(c.Fingerprint, now)
+	w.journalQuarantine(&merged)
 }
 
 // run is the duty that talks to the other dispatchers.
-func (w *crashWatch) run(ctx context.Context) {
-	tick := time.NewTicker(catchUpEvery)
+func (w *crashWatcher) run(ctx context.Context) {
+	tick := time.NewTicker(fetchInterval)
 	defer tick.Stop()
 	changed := w.feed.Changed()
-	began := w.clock.Now()
+	start := w.clock.Now()
 	join := func() {
-		if w.join(ctx, w.clock.Now()-began) {
+		if w.prepareReady(ctx, w.clock.Now()-start) {
 			tick.Stop()
 			changed = nil
 		}
 	}
 	for {
 		select {
-		case g := <-w.gossip.Entries():
-			w.round(ctx, g)
+		case g := <-w.outbox.Entries():
+			w.broadcast(ctx, g)
 		case <-changed:
 			changed = w.feed.Changed()
 			join()
@@ -101,23 +101,23 @@
 	}
 }
 
-// join fetches what the others know and then lets requests come. It returns true
+// prepareReady fetches what the others know and then lets requests come. It returns true
 // once one of them answered.
 // A dispatcher that does not know the quarantines would run what the others refuse, so entries get its
 // address only once it is ready. A first view that names no other dispatcher leaves nothing to fetch; a
 // silent one delays the start by catchUpFor at most.
-func (w *crashWatch) join(ctx context.Context, waited time.Duration) bool {
+func (w *crashWatcher) prepareReady(ctx context.Context, waited time.Duration) bool {
 	if w.feed.Current().Source == "" {
 		return false
 	}
-	fetched := w.catchUp(ctx)
-	if fetched || len(w.others()) == 0 || waited >= catchUpFor {
+	fetched := w.fetchCases(ctx)
+	if fetched || len(w.otherDispatchers()) == 0 || waited >= maxReadyDelay {
 		w.ready()
 	}
 	return fetched
 }
 
-func (w *crashWatch) others() []wire.Member {
+func (w *crashWatcher) otherDispatchers() []wire.Member {
 	var out []wire.Member
 	for _, m := range w.feed.Current().Members {
 		if m.VM != w.vm && m.DispatchAddr != "" {
@@ -127,15 +127,15 @@
 	return out
 }
 
-// round queries or notifies all other dispatchers at once. A permit needs the consent of
+// broadcast queries or notifies all other dispatchers at once. A permit needs the consent of
 // each that counts as a member: one that does not answer may be running the
 // suspect.
-func (w *crashWatch) round(ctx context.Context, g crashGossip) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (w *crashWatcher) broadcast(ctx context.Context, g quarantineMessage) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	others := w.others()
+	others := w.otherDispatchers()
 	replies := make([]PermitReply, len(others))
-	args := &PermitArgs{From: w.vm, Pool: g.pool, Case: g.notice}
+	args := &PermitArgs{From: w.vm, Pool: g.pool, Case: g.crashCase}
 	var calls sync.WaitGroup
 	for i, m := range others {
 		calls.Go(func() {
@@ -148,13 +148,13 @@
 		})
 	}
 	calls.Wait()
-	w.conclude(g, replies)
+	w.handleReplies(g, replies)
 }
 
-func (w *crashWatch) conclude(g crashGossip, replies []PermitReply) {
+func (w *crashWatcher) handleReplies(g quarantineMessage, replies []PermitReply) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.concluded++
+	w.completed++
 	close(w.progress)
 	w.progress = make(chan struct{})
 	now := w.clock.Now()
@@ -166,18 +166,18 @@
 	if g.pool == "" {
 		return
 	}
-	w.watch.PermitDecided(g.notice.Fingerprint, g.asked, granted, now)
+	w.tracker.PermitDecided(g.crashCase.Fingerprint, g.requestedAt, granted, now)
 	if granted {
-		w.counts.permits.Inc(1)
+		w.counters.permits.Inc(1)
 		return
 	}
-	w.counts.denied.Inc(1)
+	w.counters.denied.Inc(1)
 }
 
-// catchUp fetches the cases that others know. It returns true once one answered.
-func (w *crashWatch) catchUp(ctx context.Context) bool {
-	for _, m := range w.others() {
-		callCtx, cancel := context.WithTimeout(ctx, askTimeout)
+// fetchCases fetches the cases that others know. It returns true once one answered.
+func (w *crashWatcher) fetchCases(ctx context.Context) bool {
+	for _, m := range w.otherDispatchers() {
+		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 		var list CaseList
 		err := w.peers.Get(m.DispatchAddr).Call(callCtx, wire.MethodCases, &wire.Empty{}, &list)
 		cancel()
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -21,16 +21,16 @@
 	"hemlockquay/internal/wire"
 )
 
-// ringLength is how many messages may wait for a queue's goroutine.
-const ringLength = 4096
+// inboxLength is how many messages may wait for a queue's goroutine.
+const inboxLength = 4096
 
-// tickEvery is how often a queue that is not empty looks after what no message
+// tickInterval is how often a queue that is not empty looks after what no message
 // announces: a target whose rest is over, a held request.
-const tickEvery = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-// ownerlessFor bounds how long a request waits for an owner or for any target of
+// maxOwnerWait bounds how long a request waits for an owner or for any target of
 // its pool. A takeover takes under a second; longer means that nobody can say when.
-const ownerlessFor = time.Second
+const maxOwnerWait = time.Second
 
 // queueID names a queue: a target of a keyed service, or a whole pool.
 type queueID struct {
@@ -58,18 +58,18 @@
 	inspect func()
 }
 
-// parts are what all queues of a dispatcher share.
-type parts struct {
-	vm       string
-	limit    int
-	fifo     bool
-	feed     viewSource
-	sender   sender
-	prober   prober
-	suspects Suspects
-	journal  *journal.Journal
-	registry metrics.Registry
-	counts   *counts
+// queueDeps are what all queues of a dispatcher share.
+type queueDeps struct {
+	vm         string
+	limit      int
+	fifo       bool
+	feed       viewSource
+	sender     sender
+	prober     prober
+	quarantine Quarantine
+	journal    *journal.Journal
+	registry   metrics.Registry
+	counters   *counters
 }
 
 // viewSource is the part of feed.Feed that queues use.
@@ -94,7 +94,7 @@
 // queue is the queue of one target or pool. Its state belongs to one goroutine,
 // run; all else speaks to it through the ring.
 type queue struct {
-	*parts
+	*queueDeps
 	id    queueID
 	inbox *ring.Ring[message]
 	// active is when a request came last, nanoseconds; for the prober.
@@ -105,75 +105,75 @@
 	waiting *fairqueue.Queue[*job]
 	// parked wait for the next view, held until suspects are permitted.
 	parked, held map[*job]struct{}
-	// given orders all that are not sent by the moment they are given up.
-	given waitHeap
-	pool  pool
+	// unsent orders all that are not sent by the moment they are unsent up.
+	unsent giveUpHeap
+	pool   pool
 	// worker pool runs the attempts.
-	workers  *workerPool
-	table    *duration.Table
-	budget   *retry.Budget
-	standing deadline.StandingQueue
-	stands   bool
-	// urgent is the rate of interactive work.
-	urgent deadline.Rate
-	// deadSince is when the last target that served failed; zero while one serves.
-	deadSince   time.Time
-	longRunning int
-	draining    bool
+	workers      *workerPool
+	serviceTimes *duration.Table
+	budget       *retry.Budget
+	standing     deadline.StandingQueue
+	isStanding   bool
+	// interactiveRate is the rate of interactive work.
+	interactiveRate deadline.Rate
+	// unreachableSince is when the last target that served failed; zero while one serves.
+	unreachableSince time.Time
+	longRunning      int
+	draining         bool
 }
 
-func newQueue(id queueID, p *parts) *queue {
+func newQueue(id queueID, p *queueDeps) *queue {
 	return &queue{
-		parts:   p,
-		id:      id,
-		inbox:   ring.New[message](id.String(), ringLength, ring.Wait, p.registry),
-		jobs:    make(map[string]*job),
-		waiting: fairqueue.New[*job](p.limit, 0),
-		parked:  make(map[*job]struct{}),
-		held:    make(map[*job]struct{}),
-		pool:    pool{fixed: p.fifo},
-		workers: newWorkerPool(),
-		table:   duration.NewTable(),
-		budget:  retry.NewBudget(),
+		queueDeps:    p,
+		id:           id,
+		inbox:        ring.New[message](id.String(), inboxLength, ring.Wait, p.registry),
+		jobs:         make(map[string]*job),
+		waiting:      fairqueue.New[*job](p.limit, 0),
+		parked:       make(map[*job]struct{}),
+		held:         make(map[*job]struct{}),
+		pool:         pool{fixedSlots: p.fifo},
+		workers:      newWorkerPool(),
+		serviceTimes: duration.NewTable(),
+		budget:       retry.NewBudget(),
 	}
 }
 
 func (q *queue) run(ctx context.Context) {
-	timer := time.NewTimer(tickEvery)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	changed := q.feed.Changed()
 	for {
-		var came *job
+		var arrived *job
 		select {
 		case m := <-q.inbox.Entries():
-			came = m.arrive
+			arrived = m.arrive
 			q.handle(m, time.Now())
 		case <-timer.C:
-			q.release(q.held)
-			q.probe()
+			q.requeue(q.held)
+			q.retryParked()
 		case <-changed:
 			changed = q.feed.Changed()
-			q.release(q.parked)
-			q.sendBack()
+			q.requeue(q.parked)
+			q.failMoved()
 		case <-ctx.Done():
 			return
 		}
 		now := time.Now()
 		q.expire(now)
-		q.fill(ctx, now)
-		q.trim(now, came)
-		q.rearm(timer, now)
+		q.sendWaiting(ctx, now)
+		q.limitStandingQueue(now, arrived)
+		q.resetTimer(timer, now)
 	}
 }
 
-// rearm sets the timer to the next moment at which something is due. An empty
+// resetTimer sets the timer to the next moment at which something is due. An empty
 // queue sleeps.
-func (q *queue) rearm(timer *time.Timer, now time.Time) {
-	if len(q.given) == 0 {
+func (q *queue) resetTimer(timer *time.Timer, now time.Time) {
+	if len(q.unsent) == 0 {
 		timer.Stop()
 		return
 	}
-	due := min(tickEvery, q.given[0].giveUp.Sub(now), q.pool.nextReturn(now))
+	due := min(tickInterval, q.unsent[0].giveUp.Sub(now), q.pool.nextBackoffEnd(now))
 	timer.Reset(max(due, time.Millisecond))
 }
 
@@ -182,85 +182,85 @@
 	case m.arrive != nil:
 		q.arrive(m.arrive, now)
 	case m.result != nil:
-		q.finish(m.result, now)
+		q.handleResult(m.result, now)
 	case m.cancel != "":
-		q.drop(m.cancel)
+		q.cancel(m.cancel)
 	case m.drain:
 		q.drain()
 	case m.inspect != nil:
 		m.inspect()
 	default:
-		q.learn(m.hints, now)
+		q.applyHints(m.hints, now)
 	}
 }
 
 // arrive takes a job in or refuses it at once.
 func (q *queue) arrive(j *job, now time.Time) {
 	q.active.Store(now.UnixNano())
-	q.sync()
-	j.settle(q.table, q.fifo)
+	q.syncService()
+	j.estimateCost(q.serviceTimes, q.fifo)
 	if q.ownedElsewhere(q.feed.Current(), j) {
-		j.end(q.notOwner())
+		j.fail(q.notOwnerProblem())
 		return
 	}
-	if p := q.refusal(j, now); p != nil {
-		j.end(p)
+	if p := q.admissionProblem(j, now); p != nil {
+		j.fail(p)
 		return
 	}
 	if j.item.Class == fairqueue.Interactive {
 		q.standing.AddArrival(j.item.Cost)
 	}
 	q.jobs[j.request.ID] = j
-	q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
+	q.scheduleGiveUp(j, deadline.LatestStart(j.deadline, q.reservedServiceTime(j)))
 	if out := q.waiting.Push(&j.item); out != nil {
-		q.counts.full.Inc(1)
-		q.end(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").After(time.Second))
+		q.counters.full.Inc(1)
+		q.fail(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").After(time.Second))
 	}
 }
 
-// patience is how much of the deadline is set aside for the service.
-func (q *queue) patience(j *job) time.Duration {
-	if q.fifo || !q.table.Known() {
+// reservedServiceTime is how much of the deadline is set aside for the service.
+func (q *queue) reservedServiceTime(j *job) time.Duration {
+	if q.fifo || !q.serviceTimes.Known() {
 		return 0
 	}
 	return j.expected
 }
 
-// await notes when a job that is not sent is given up.
-func (q *queue) await(j *job, giveUp time.Time) {
+// scheduleGiveUp notes when a job that is not sent is given up.
+func (q *queue) scheduleGiveUp(j *job, giveUp time.Time) {
 	j.giveUp = giveUp
-	if j.wait >= 0 {
-		heap.Fix(&q.given, j.wait)
+	if j.giveUpIndex >= 0 {
+		heap.Fix(&q.unsent, j.giveUpIndex)
 		return
 	}
-	heap.Push(&q.given, j)
+	heap.Push(&q.unsent, j)
 }
 
-// forget takes a job out of all that waits.
-func (q *queue) forget(j *job) {
-	if j.wait >= 0 {
-		heap.Remove(&q.given, j.wait)
+// removeWaiting takes a job out of all that waits.
+func (q *queue) removeWaiting(j *job) {
+	if j.giveUpIndex >= 0 {
+		heap.Remove(&q.unsent, j.giveUpIndex)
 	}
 	q.waiting.Remove(&j.item)
 	delete(q.parked, j)
 	delete(q.held, j)
 }
 
-// end forgets a job that waits and gives it its answer.
-func (q *queue) end(j *job, p *problem.Error) {
-	q.forget(j)
+// fail forgets a job that waits and gives it its answer.
+func (q *queue) fail(j *job, p *problem.Error) {
+	q.removeWaiting(j)
 	delete(q.jobs, j.request.ID)
-	j.end(p)
+	j.fail(p)
 }
 
-// drop ends a job whose caller went away. An attempt in flight is cancelled at
+// cancel ends a job whose caller went away. An attempt in flight is cancelled at
 // the target; its result ends the job.
-func (q *queue) drop(id string) {
+func (q *queue) cancel(id string) {
 	j := q.jobs[id]
 	switch {
 	case j == nil:
-	case j.wait >= 0:
-		q.end(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "the caller went away"))
+	case j.giveUpIndex >= 0:
+		q.fail(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "the caller went away"))
 	default:
 		j.cancel()
 	}
@@ -269,40 +269,40 @@
 // drain refuses all that is not sent, at once, so that entries send it on.
 func (q *queue) drain() {
 	q.draining = true
-	for len(q.given) > 0 {
-		q.end(q.given[0], q.leaving())
+	for len(q.unsent) > 0 {
+		q.fail(q.unsent[0], q.leavingProblem())
 	}
 }
 
-func (q *queue) leaving() *problem.Error {
+func (q *queue) leavingProblem() *problem.Error {
 	return problem.Refuse(problem.Leaving, stepQueue, q.vm, "the dispatcher is leaving")
 }
 
 // expire ends the jobs that are past hope.
 func (q *queue) expire(now time.Time) {
-	for len(q.given) > 0 && !q.given[0].giveUp.After(now) {
-		j := q.given[0]
+	for len(q.unsent) > 0 && !q.unsent[0].giveUp.After(now) {
+		j := q.unsent[0]
 		if _, parked := q.parked[j]; parked {
-			q.counts.ownerless.Inc(1)
-			q.end(j, problem.Refuse(problem.NoOwner, "grant", q.vm, "the key got no owner in time").After(time.Second))
+			q.counters.ownerless.Inc(1)
+			q.fail(j, problem.Refuse(problem.NoOwner, "grant", q.vm, "the key got no owner in time").After(time.Second))
 			continue
 		}
-		q.counts.late.Inc(1)
-		q.end(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "no slot was free in time").After(time.Second))
+		q.counters.late.Inc(1)
+		q.fail(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "no slot was free in time").After(time.Second))
 	}
 }
 
-// release puts jobs back that were set aside.
-func (q *queue) release(jobs map[*job]struct{}) {
+// requeue puts jobs back that were set aside.
+func (q *queue) requeue(jobs map[*job]struct{}) {
 	for j := range jobs {
 		delete(jobs, j)
-		q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
+		q.scheduleGiveUp(j, deadline.LatestStart(j.deadline, q.reservedServiceTime(j)))
 		q.waiting.Requeue(&j.item)
 	}
 }
 
-// sync takes over the service object in force.
-func (q *queue) sync() {
+// syncService takes over the service object in force.
+func (q *queue) syncService() {
 	s := q.feed.Current().Service(q.id.Service)
 	if s == nil || s == q.pool.service {
 		return
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -14,8 +14,8 @@
 // stepQueue is the step of refusals before the sending.
 const stepQueue = "queue"
 
-// counts are the dispatcher's counters.
-type counts struct {
+// counters are the dispatcher's counters.
+type counters struct {
 	// sent counts attempts, repeated those after the first.
 	sent, repeated metrics.Counter
 	// full, early, standing, late, ownerless and dead count refusals.
@@ -25,9 +25,9 @@
 	lost, abandoned metrics.Counter
 }
 
-func newCounts(r metrics.Registry) *counts {
+func newCounters(r metrics.Registry) *counters {
 	get := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("dispatch."+name, r) }
-	return &counts{
+	return &counters{
 		sent: get("sent"), repeated: get("repeated"),
 		full: get("refused.full"), early: get("refused.early"), standing: get("refused.standing"),
 		late: get("refused.late"), ownerless: get("refused.ownerless"), dead: get("refused.dead"),
@@ -35,34 +35,34 @@
 	}
 }
 
-// refusal returns why a job that comes is not taken in, or nil.
-func (q *queue) refusal(j *job, now time.Time) *problem.Error {
+// admissionProblem returns why a job that comes is not taken in, or nil.
+func (q *queue) admissionProblem(j *job, now time.Time) *problem.Error {
 	switch {
 	case q.draining:
-		return q.leaving()
+		return q.leavingProblem()
 	case q.pool.service == nil:
 		return problem.Refuse(problem.UnknownService, stepQueue, q.vm, "the service is gone")
-	case q.dead(now):
-		q.counts.dead.Inc(1)
-		return q.noTarget()
+	case q.unreachable(now):
+		q.counters.dead.Inc(1)
+		return q.unreachableProblem()
 	case len(q.parked)+len(q.held) >= q.limit:
-		q.counts.full.Inc(1)
+		q.counters.full.Inc(1)
 		return problem.Refuse(problem.Full, stepQueue, q.vm, "too many requests wait for an owner").After(time.Second)
-	case q.fifo || !q.table.Known():
+	case q.fifo || !q.serviceTimes.Known():
 		return nil
 	}
-	wait := q.wait(j, now)
+	wait := q.estimateWait(j, now)
 	if deadline.Meets(j.deadline.Sub(now), wait, j.expected) {
 		return nil
 	}
-	q.counts.early.Inc(1)
+	q.counters.early.Inc(1)
 	detail := fmt.Sprintf("the wait of about %v and the work of about %v do not fit into the deadline",
 		wait.Round(time.Millisecond), j.expected.Round(time.Millisecond))
 	return problem.Refuse(problem.Full, stepQueue, q.vm, detail).After(max(wait, time.Second))
 }
 
-// wait estimates how long a job that comes now waits for a slot.
-func (q *queue) wait(j *job, now time.Time) time.Duration {
+// estimateWait estimates how long a job that comes now waits for a slot.
+func (q *queue) estimateWait(j *job, now time.Time) time.Duration {
 	slots, _ := q.pool.capacity(now)
 	ahead := q.waiting.Ahead(j.item.Customer, j.item.Class)
 	if ahead == 0 {
@@ -71,80 +71,82 @@
 	floor := q.pool.service.BackgroundFloor
 	switch {
 	case j.item.Class == fairqueue.Background:
-		slots = max(slots*floor, slots-q.urgent.Value(now))
+		slots = max(slots*floor, slots-q.interactiveRate.Value(now))
 	case q.waiting.ClassLen(fairqueue.Background) > 0:
 		slots *= 1 - floor
 	}
 	return deadline.Wait(ahead, slots)
 }
 
-// dead reports whether no target has served for longer than a request may wait.
-func (q *queue) dead(now time.Time) bool {
-	if q.deadSince.IsZero() || now.Sub(q.deadSince) < ownerlessFor {
+// unreachable reports whether no target has served for longer than a request may wait.
+func (q *queue) unreachable(now time.Time) bool {
+	if q.unreachableSince.IsZero() || now.Sub(q.unreachableSince) < maxOwnerWait {
 		return false
 	}
 	slots, _ := q.pool.capacity(now)
 	return slots == 0
 }
 
-func (q *queue) noTarget() *problem.Error {
+func (q *queue) unreachableProblem() *problem.Error {
 	return problem.Refuse(problem.Full, stepQueue, q.vm, "no target can be reached").After(time.Second)
 }
 
-// cutAbove is the wait, in bounds, over which requests that wait already give way
+// dropThreshold is the wait, in bounds, over which requests that wait already give way
 // until it is met. Between it and the bound only requests that just came are refused:
 // bound and slots are estimates that move by a fifth, and to follow each movement
 // refuses requests that have waited for 20 ms.
-const cutAbove = 1.5
+const dropThreshold = 1.5
 
-// trim keeps a standing queue of interactive work at its bound, and ends all that
+// limitStandingQueue keeps a standing queue of interactive work at its bound, and ends all that
 // waits for targets which cannot be reached. came is the request that just came, or nil.
-func (q *queue) trim(now time.Time, came *job) {
-	if len(q.given) == 0 {
-		q.note(now, 0, 0, 0)
+func (q *queue) limitStandingQueue(now time.Time, arrived *job) {
+	if len(q.unsent) == 0 {
+		q.updateStanding(now, 0, 0, 0)
 		return
 	}
-	if q.dead(now) {
-		q.endAll(q.counts.dead, q.noTarget())
+	if q.unreachable(now) {
+		q.failUnsent(q.counters.dead, q.unreachableProblem())
 		return
 	}
-	if q.fifo || !q.table.Known() {
+	if q.fifo || !q.serviceTimes.Known() {
 		return
 	}
 	slots, total := q.pool.capacity(now)
-	bound := deadline.MaxStandingWait(q.table.Mean(), slots)
-	if !q.note(now, q.interactiveWait(slots), bound, slots) {
+	bound := deadline.MaxStandingWait(q.serviceTimes.Mean(), slots)
+	if !q.updateStanding(now, q.interactiveWait(slots), bound, slots) {
 		return
 	}
-	over := func(bounds float64) bool {
-		return q.waiting.ClassLen(fairqueue.Interactive) > total && q.interactiveWait(slots) > time.Duration(bounds*float64(bound))
+	exceeds := func(factor float64) bool {
+		return q.waiting.ClassLen(fairqueue.Interactive) > total && q.interactiveWait(slots) > time.Duration(factor*float64(bound))
 	}
-	if came != nil && over(1) && q.waiting.DropIfOverShare(&came.item) {
-		q.standingOut(came)
+	if arrived != nil && exceeds(1) && q.waiting.DropIfOverShare(&arrived.item) {
+		q.refuseStanding(arrived)
 	}
-	for over(cutAbove) {
-		q.yield()
+	for exceeds(dropThreshold) {
+		q.dropNewestOverShare()
 	}
 }
 
-// yield refuses the newest request of the customers that hold more of the queue than
+// dropNewestOverShare refuses the newest request of the customers that hold more of the queue than
 // their shares.
-func (q *queue) yield() { q.standingOut(q.waiting.DropNewestOverShare(fairqueue.Interactive).Value) }
+func (q *queue) dropNewestOverShare() {
+	q.refuseStanding(q.waiting.DropNewestOverShare(fairqueue.Interactive).Value)
+}
 
-func (q *queue) standingOut(j *job) {
-	q.counts.standing.Inc(1)
-	q.end(j, q.overloaded())
+func (q *queue) refuseStanding(j *job) {
+	q.counters.standing.Inc(1)
+	q.fail(j, q.overloadProblem())
 }
 
-func (q *queue) overloaded() *problem.Error {
+func (q *queue) overloadProblem() *problem.Error {
 	return problem.Refuse(problem.Full, stepQueue, q.vm, "more work comes than the targets can do, and this customer holds more of the queue than its share").After(time.Second)
 }
 
-// endAll ends all that is not sent.
-func (q *queue) endAll(count metrics.Counter, p *problem.Error) {
-	for len(q.given) > 0 {
+// failUnsent ends all that is not sent.
+func (q *queue) failUnsent(count metrics.Counter, p *problem.Error) {
+	for len(q.unsent) > 0 {
 		count.Inc(1)
-		q.end(q.given[0], p)
+		q.fail(q.unsent[0], p)
 	}
 }
 
@@ -153,16 +155,16 @@
 	return deadline.Wait(q.waiting.Work(fairqueue.Interactive), slots)
 }
 
-// note follows whether the queue stands, and journals the change.
-func (q *queue) note(now time.Time, wait, bound time.Duration, slots float64) bool {
-	stands := q.standing.Update(now, wait, bound, slots)
-	if stands != q.stands {
-		q.stands = stands
-		if stands {
+// updateStanding follows whether the queue stands, and journals the change.
+func (q *queue) updateStanding(now time.Time, wait, bound time.Duration, slots float64) bool {
+	isStanding := q.standing.Update(now, wait, bound, slots)
+	if isStanding != q.isStanding {
+		q.isStanding = isStanding
+		if isStanding {
 			q.journal.Add(stepQueue, fmt.Sprintf("the queue stands at %v of work: kept at %v from now on", wait.Round(time.Millisecond), bound.Round(time.Millisecond)), q.id.String())
 		} else {
 			q.journal.Add(stepQueue, "the queue was empty: bursts may wait up to their deadlines again", q.id.String())
 		}
 	}
-	return stands
+	return isStanding
 }
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -22,7 +22,7 @@
 // result is the end of one attempt.
 type result struct {
 	job    *job
-	target *pooled
+	target *poolTarget
 	answer *wire.Answer
 	err    error
 	took   time.Duration
@@ -30,57 +30,57 @@
 	died bool
 }
 
-// fill sends waiting requests while slots are free.
-func (q *queue) fill(ctx context.Context, now time.Time) {
+// sendWaiting sends waiting requests while slots are free.
+func (q *queue) sendWaiting(ctx context.Context, now time.Time) {
 	if q.waiting.Len() == 0 {
 		return
 	}
-	q.sync()
+	q.syncService()
 	v := q.feed.Current()
 	if v.Service(q.id.Service) == nil || len(q.pool.targets) == 0 {
-		q.refuseAll(problem.Refuse(problem.UnknownService, stepQueue, q.vm, "the service or target is gone"))
+		q.failWaiting(problem.Refuse(problem.UnknownService, stepQueue, q.vm, "the service or target is gone"))
 		return
 	}
-	// aside holds requests that only the target just tried could take now.
-	var aside []*job
-	for q.waiting.Len() > 0 && q.choose(nil, now) != nil {
-		item := q.waiting.Next(q.longMayRun(now))
+	// skipped holds requests that only the target just tried could take now.
+	var skipped []*job
+	for q.waiting.Len() > 0 && q.chooseTarget(nil, now) != nil {
+		item := q.waiting.Next(q.mayStartLong(now))
 		if item == nil {
 			break
 		}
-		t := q.choose(item.Value, now)
+		t := q.chooseTarget(item.Value, now)
 		if t == nil {
-			aside = append(aside, item.Value)
+			skipped = append(skipped, item.Value)
 			continue
 		}
-		q.launch(ctx, v, t, item.Value, now)
+		q.sendOrHold(ctx, v, t, item.Value, now)
 	}
-	for _, j := range aside {
+	for _, j := range skipped {
 		q.waiting.Requeue(&j.item)
 	}
 }
 
-// refuseAll ends everything that waits for a slot.
-func (q *queue) refuseAll(p *problem.Error) {
+// failWaiting ends everything that waits for a slot.
+func (q *queue) failWaiting(p *problem.Error) {
 	for item := q.waiting.Next(true); item != nil; item = q.waiting.Next(true) {
-		q.end(item.Value, p)
+		q.fail(item.Value, p)
 	}
 }
 
-// longMayRun reports whether a long job may take a slot now.
-func (q *queue) longMayRun(now time.Time) bool {
+// mayStartLong reports whether a long job may take a slot now.
+func (q *queue) mayStartLong(now time.Time) bool {
 	_, total := q.pool.capacity(now)
 	return q.fifo || q.longRunning < slots.MaxLongJobs(total)
 }
 
-// choose returns the target for the job, or nil if it must wait; j nil asks
+// chooseTarget returns the target for the job, or nil if it must wait; j nil asks
 // whether any target is free.
-func (q *queue) choose(j *job, now time.Time) *pooled {
+func (q *queue) chooseTarget(j *job, now time.Time) *poolTarget {
 	effective, _ := q.pool.capacity(now)
-	c := balance.Choice{Now: now, Avoid: -1, Service: q.table.Mean()}
+	c := balance.Choice{Now: now, Avoid: -1, Service: q.serviceTimes.Mean()}
 	c.Wait = deadline.Wait(q.waiting.Work(fairqueue.Interactive)+q.waiting.Work(fairqueue.Background), effective)
-	if j != nil && j.last != nil {
-		c.Avoid = q.pool.index(j.last)
+	if j != nil && j.lastTarget != nil {
+		c.Avoid = q.pool.index(j.lastTarget)
 	}
 	i := balance.Choose(q.pool.measured, c)
 	if i < 0 {
@@ -89,14 +89,14 @@
 	return q.pool.targets[i]
 }
 
-// launch sends the job, unless it is held, refused or without an owner.
-func (q *queue) launch(ctx context.Context, v *view.View, t *pooled, j *job, now time.Time) {
-	switch admission, p := q.suspects.Admit(t.Name, j.request, now); admission {
+// sendOrHold sends the job, unless it is held, refused or without an owner.
+func (q *queue) sendOrHold(ctx context.Context, v *view.View, t *poolTarget, j *job, now time.Time) {
+	switch admission, p := q.quarantine.Admit(t.Name, j.request, now); admission {
 	case AdmitHold:
 		q.held[j] = struct{}{}
 		return
 	case AdmitRefuse:
-		q.end(j, p)
+		q.fail(j, p)
 		return
 	}
 	var grant *wire.Grant
@@ -107,7 +107,7 @@
 			return
 		}
 		if grant.Target.Name != t.Name {
-			q.end(j, problem.Refuse(problem.NoOwner, "grant", t.Name, "another target owns the key now"))
+			q.fail(j, problem.Refuse(problem.NoOwner, "grant", t.Name, "another target owns the key now"))
 			return
 		}
 	}
@@ -122,55 +122,55 @@
 		j.parkedAt = now
 	}
 	q.parked[j] = struct{}{}
-	giveUp := deadline.LatestStart(j.deadline, q.patience(j))
-	if bound := j.parkedAt.Add(ownerlessFor); bound.Before(giveUp) {
+	giveUp := deadline.LatestStart(j.deadline, q.reservedServiceTime(j))
+	if bound := j.parkedAt.Add(maxOwnerWait); bound.Before(giveUp) {
 		giveUp = bound
 	}
-	q.await(j, giveUp)
+	q.scheduleGiveUp(j, giveUp)
 }
 
-func (q *queue) send(ctx context.Context, t *pooled, grant *wire.Grant, j *job, now time.Time) {
+func (q *queue) send(ctx context.Context, t *poolTarget, grant *wire.Grant, j *job, now time.Time) {
 	if j.state.Fire(eventSend) != nil {
 		return
 	}
-	q.forget(j)
-	sending, cancel := context.WithDeadline(ctx, j.deadline)
-	j.cancel, j.last, j.sentAt, j.grant = cancel, t, now, grant
+	q.removeWaiting(j)
+	sendCtx, cancel := context.WithDeadline(ctx, j.deadline)
+	j.cancel, j.lastTarget, j.sentAt, j.grant = cancel, t, now, grant
 	j.attempts++
-	q.counts.sent.Inc(1)
+	q.counters.sent.Inc(1)
 	if j.attempts == 1 {
 		q.budget.AddRequest()
 	} else {
-		q.counts.repeated.Inc(1)
+		q.counters.repeated.Inc(1)
 	}
 	if j.item.Long {
 		q.longRunning++
 	}
 	if j.item.Class == fairqueue.Interactive {
-		q.urgent.Add(now, j.item.Cost)
+		q.interactiveRate.Add(now, j.item.Cost)
 	}
 	t.measured.Sent(now)
 	t.running[j] = struct{}{}
-	q.suspects.Started(t.Name, j.request, now)
+	q.quarantine.Started(t.Name, j.request, now)
 	attempt := &target.Attempt{Request: j.request, Target: t.Target, Grant: grant, MaxAnswer: q.pool.service.MaxBody, Deadline: j.deadline}
 	incarnation := t.incarnation
-	q.workers.run(ctx, func() { q.attempt(sending, cancel, attempt, &result{job: j, target: t}, incarnation) })
+	q.workers.run(ctx, func() { q.attempt(sendCtx, cancel, attempt, &result{job: j, target: t}, incarnation) })
 }
 
 // attempt sends once and reports the result.
 func (q *queue) attempt(ctx context.Context, cancel context.CancelFunc, a *target.Attempt, r *result, incarnation string) {
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	r.answer, r.err = q.sender.Send(ctx, a)
-	r.took = time.Since(begun)
-	if r.err != nil && outcome(r.err) == retry.Lost {
-		r.died = q.gone(a.Target.Addr, incarnation)
+	r.took = time.Since(start)
+	if r.err != nil && outcomeOf(r.err) == retry.Lost {
+		r.died = q.targetDied(a.Target.Addr, incarnation)
 	}
 	_ = q.inbox.Push(context.Background(), message{result: r})
 }
 
-// outcome classes the end of an attempt that brought no answer.
-func outcome(err error) retry.Outcome {
+// outcomeOf classes the end of an attempt that brought no answer.
+func outcomeOf(err error) retry.Outcome {
 	var refused *target.RefusedError
 	switch {
 	case errors.As(err, &refused) && refused.Reason == target.RefusedShed:
@@ -185,105 +185,105 @@
 	return retry.Lost
 }
 
-// finish ends an attempt: with the answer, or with the rules of repeating.
-func (q *queue) finish(r *result, now time.Time) {
+// handleResult ends an attempt: with the answer, or with the rules of repeating.
+func (q *queue) handleResult(r *result, now time.Time) {
 	j, t := r.job, r.target
 	t.measured.InFlight--
 	if j.item.Long {
 		q.longRunning--
 	}
-	q.reportCrash(r, now)
+	q.reportToQuarantine(r, now)
 	delete(t.running, j)
-	q.release(q.held)
+	q.requeue(q.held)
 	if r.err == nil {
-		q.answered(r, now)
+		q.handleAnswer(r, now)
 		return
 	}
-	out := outcome(r.err)
-	q.measure(r, out, now)
+	out := outcomeOf(r.err)
+	q.recordFailure(r, out, now)
 	if out == retry.NotServing && q.pool.service.Keyed {
-		q.unowned(j, now)
+		q.handleNotServing(j, now)
 		return
 	}
-	q.again(j, out, r.err, now)
+	q.retryOrFail(j, out, r.err, now)
 }
 
-// reportCrash reports the end of the attempt to the watch over crashing requests.
+// reportToQuarantine reports the end of the attempt to the watch over crashing requests.
 //
 // A target that dies breaks all its connections. The first result to come reports
 // them together; the others belong to the same death and are not reported again.
-func (q *queue) reportCrash(r *result, now time.Time) {
+func (q *queue) reportToQuarantine(r *result, now time.Time) {
 	switch {
 	case r.died && r.job.sentAt.After(r.target.diedAt):
 		r.target.diedAt = now
-		q.suspects.Died(r.target.Name, r.target.requests(), now)
+		q.quarantine.Died(r.target.Name, r.target.requests(), now)
 	case r.job.sentAt.After(r.target.diedAt):
-		q.suspects.Finished(r.target.Name, r.job.request, r.err == nil, now)
+		q.quarantine.Finished(r.target.Name, r.job.request, r.err == nil, now)
 	}
 }
 
-func (q *queue) answered(r *result, now time.Time) {
+func (q *queue) handleAnswer(r *result, now time.Time) {
 	j, t := r.job, r.target
-	q.deadSince = time.Time{}
+	q.unreachableSince = time.Time{}
 	wasSlow := t.measured.Slow()
 	t.measured.Answered(r.took, j.expected)
 	if slow := t.measured.Slow(); slow != wasSlow {
 		q.journal.Add("send", fmt.Sprintf("slow is now %v: answers take %.1f times what is expected", slow, t.measured.Slowness()), q.id.String(), t.Name)
 	}
 	if !t.measured.Slow() || q.pool.mostlySlow() {
-		q.table.Add(j.kind, r.took)
+		q.serviceTimes.Add(j.kind, r.took)
 	}
 	t.limit.OnAnswer(now, q.pool.service.Slots, t.measured.Slow())
 	q.pool.update(t)
 	if !j.parkedAt.IsZero() {
-		q.release(q.parked)
+		q.requeue(q.parked)
 	}
 	delete(q.jobs, j.request.ID)
 	j.answer(*r.answer)
 }
 
-// measure notes what a failed attempt says of its target.
-func (q *queue) measure(r *result, out retry.Outcome, now time.Time) {
+// recordFailure notes what a failed attempt says of its target.
+func (q *queue) recordFailure(r *result, out retry.Outcome, now time.Time) {
 	t := r.target
 	switch {
 	case out == retry.Shed:
 		t.limit.OnShed(now, q.pool.service.Slots)
 		q.pool.update(t)
 	case out == retry.Unsent || r.died:
-		rest := t.measured.Failed(now)
-		q.journal.Add("send", fmt.Sprintf("connection failed, no work for %v: %v", rest, r.err), q.id.String(), t.Name)
-		if free, _ := q.pool.capacity(now); free == 0 && q.deadSince.IsZero() {
-			q.deadSince = now
+		backoff := t.measured.Failed(now)
+		q.journal.Add("send", fmt.Sprintf("connection failed, no work for %v: %v", backoff, r.err), q.id.String(), t.Name)
+		if free, _ := q.pool.capacity(now); free == 0 && q.unreachableSince.IsZero() {
+			q.unreachableSince = now
 		}
 	case out == retry.NotServing && !q.pool.service.Keyed:
 		t.measured.RefusedLeaving(now)
 		q.journal.Add("send", "gets no new work: "+r.err.Error(), q.id.String(), t.Name)
 	case out == retry.Abandoned:
-		q.counts.abandoned.Inc(1)
+		q.counters.abandoned.Inc(1)
 		t.measured.Overdue(r.took, r.job.expected)
 	}
 }
 
-// unowned parks a job that a target refused for its grant.
-func (q *queue) unowned(j *job, now time.Time) {
+// handleNotServing parks a job that a target refused for its grant.
+func (q *queue) handleNotServing(j *job, now time.Time) {
 	if j.state.Fire(eventShed) != nil {
 		return
 	}
 	if q.draining {
-		q.end(j, q.leaving())
+		q.fail(j, q.leavingProblem())
 		return
 	}
-	q.parkUnlessNew(j, now)
+	q.parkUnlessRegranted(j, now)
 }
 
-// again repeats a failed job or ends it.
-func (q *queue) again(j *job, out retry.Outcome, err error, now time.Time) {
+// retryOrFail repeats a failed job or ends it.
+func (q *queue) retryOrFail(j *job, out retry.Outcome, err error, now time.Time) {
 	verdict := q.budget.Decide(retry.Attempt{
 		Outcome: out, Idempotent: j.request.Idempotent, Attempts: j.attempts,
-		Remaining: j.deadline.Sub(now), ServiceTime: q.patience(j), MayHaveRun: j.lostBefore,
+		Remaining: j.deadline.Sub(now), ServiceTime: q.reservedServiceTime(j), MayHaveRun: j.lostBefore,
 	})
 	if verdict == retry.AnswerUnknown {
-		q.lose(j, out, err)
+		q.failUnknown(j, out, err)
 		return
 	}
 	event := map[retry.Outcome]statechart.Event{
@@ -293,21 +293,21 @@
 		return
 	}
 	if verdict == retry.Refuse || q.draining {
-		q.end(j, problem.Refuse(problem.Full, "send", j.last.Name, err.Error()).After(time.Second))
+		q.fail(j, problem.Refuse(problem.Full, "send", j.lastTarget.Name, err.Error()).After(time.Second))
 		return
 	}
 	j.lostBefore = j.lostBefore || out == retry.Lost
-	q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
+	q.scheduleGiveUp(j, deadline.LatestStart(j.deadline, q.reservedServiceTime(j)))
 	q.waiting.Requeue(&j.item)
 }
 
-// lose ends a job that may have run.
-func (q *queue) lose(j *job, out retry.Outcome, err error) {
-	q.counts.lost.Inc(1)
+// failUnknown ends a job that may have run.
+func (q *queue) failUnknown(j *job, out retry.Outcome, err error) {
+	q.counters.lost.Inc(1)
 	delete(q.jobs, j.request.ID)
 	if out == retry.Abandoned {
-		j.lose(problem.Lost(problem.Deadline, "send", j.last.Name, "the deadline passed or the caller went away before the answer"))
+		j.failUnknown(problem.Lost(problem.Deadline, "send", j.lastTarget.Name, "the deadline passed or the caller went away before the answer"))
 		return
 	}
-	j.lose(problem.Lost(problem.AnswerLost, "send", j.last.Name, err.Error()))
+	j.failUnknown(problem.Lost(problem.AnswerLost, "send", j.lastTarget.Name, err.Error()))
 }
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -73,7 +73,7 @@
 	s := QueueState{
 		Service: q.id.Service, Target: q.id.Target, Inbox: q.inbox.Depth(),
 		Interactive: q.waiting.ClassLen(fairqueue.Interactive), Background: q.waiting.ClassLen(fairqueue.Background),
-		Parked: len(q.parked), Held: len(q.held), Standing: q.stands, MeanMs: q.table.Mean().Seconds() * 1000,
+		Parked: len(q.parked), Held: len(q.held), Standing: q.isStanding, MeanMs: q.serviceTimes.Mean().Seconds() * 1000,
 	}
 	for _, t := range q.pool.targets {
 		m := &t.measured
--- a/internal/dispatch/lab_test.go
+++ b/internal/dispatch/testbed_test.go
@@ -25,9 +25,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// bench runs one real queue in virtual time against targets that are a few lines
+// testbed runs one real queue in virtual time against targets that are a few lines
 // of queueing model each. Tests judge it by what callers receive.
-type bench struct {
+type testbed struct {
 	t       *testing.T
 	mu      sync.Mutex
 	view    *view.View
@@ -72,10 +72,10 @@
 	return d[int(q*float64(len(d)-1))]
 }
 
-// inBench runs a scenario on a pool of so many targets with 2 slots each.
-func inBench(t *testing.T, targets int, keyed bool, scenario func(b *bench)) {
+// withTestbed runs a scenario on a pool of so many targets with 2 slots each.
+func withTestbed(t *testing.T, targets int, keyed bool, scenario func(b *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{
+		b := &testbed{
 			t: t, changed: make(chan struct{}), random: rand.New(rand.NewPCG(1, 2)),
 			targets: make(map[string]*fakeTarget), runs: make(map[string]int), tallies: make(map[string]*tally),
 		}
@@ -91,26 +91,26 @@
 			id.Target = "master-1"
 		}
 		registry := metrics.NewRegistry()
-		b.queue = newQueue(id, &parts{
-			vm: "vm1", limit: 1024, feed: b, sender: b, prober: b, suspects: noSuspects{},
-			journal: journal.New("vm1", processName, 100), registry: registry, counts: newCounts(registry),
+		b.queue = newQueue(id, &queueDeps{
+			vm: "vm1", limit: 1024, feed: b, sender: b, prober: b, quarantine: noQuarantine{},
+			journal: journal.New("vm1", processName, 100), registry: registry, counters: newCounters(registry),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var duties sync.WaitGroup
 		duties.Go(func() { b.queue.run(ctx) })
-		duties.Go(func() { b.queue.watch(ctx) })
+		duties.Go(func() { b.queue.pollHints(ctx) })
 		scenario(b)
 		b.callers.Wait()
 		cancel()
 		duties.Wait()
-		b.checkPromises()
+		b.checkGuarantees()
 	})
 }
 
 // own publishes a view in which the target owns all keys; "" is nobody.
-func (b *bench) own(name string) { b.publish(b.t, name) }
+func (b *testbed) own(name string) { b.publish(b.t, name) }
 
-func (b *bench) publish(t testing.TB, name string) {
+func (b *testbed) publish(t testing.TB, name string) {
 	spec, err := json.Marshal(b.service)
 	require.NoError(t, err)
 	var grants []wire.Grant
@@ -125,26 +125,26 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *bench) Current() *view.View {
+func (b *testbed) Current() *view.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
 }
 
-func (b *bench) Changed() <-chan struct{} {
+func (b *testbed) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-func (b *bench) set(name string, do func(f *fakeTarget)) {
+func (b *testbed) set(name string, do func(f *fakeTarget)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	do(b.targets[name])
 }
 
 // sent counts the attempts so far.
-func (b *bench) sent() int {
+func (b *testbed) sent() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.sends
@@ -156,7 +156,7 @@
 const workHeader = "Work"
 
 // Send plays the target.
-func (b *bench) Send(ctx context.Context, a *target.Attempt) (*wire.Answer, error) {
+func (b *testbed) Send(ctx context.Context, a *target.Attempt) (*wire.Answer, error) {
 	f := b.targets[a.Target.Name]
 	work, _ := time.ParseDuration(a.Request.Header.Get(workHeader))
 	if err := b.begin(f, a, &work); err != nil {
@@ -182,7 +182,7 @@
 	return &wire.Answer{ID: a.Request.ID, Status: 200, Sum: wire.Sum(nil), Target: a.Target.Name}, nil
 }
 
-func (b *bench) begin(f *fakeTarget, a *target.Attempt, work *time.Duration) error {
+func (b *testbed) begin(f *fakeTarget, a *target.Attempt, work *time.Duration) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sends++
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func (b *bench) at(addr string) *fakeTarget {
+func (b *testbed) at(addr string) *fakeTarget {
 	for _, t := range b.service.Targets {
 		if t.Addr == addr {
 			return b.targets[t.Name]
@@ -210,7 +210,7 @@
 	return nil
 }
 
-func (b *bench) Health(_ context.Context, addr string) (target.Health, error) {
+func (b *testbed) Health(_ context.Context, addr string) (target.Health, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := b.at(addr)
@@ -220,7 +220,7 @@
 	return f.health, nil
 }
 
-func (b *bench) Load(_ context.Context, addr string) (target.Load, error) {
+func (b *testbed) Load(_ context.Context, addr string) (target.Load, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.at(addr).load, nil
@@ -239,7 +239,7 @@
 }
 
 // offer begins a stream with Poisson arrivals and exponential service times.
-func (b *bench) offer(s stream) {
+func (b *testbed) offer(s stream) {
 	if s.deadline == 0 {
 		s.deadline = 2 * time.Second
 	}
@@ -261,7 +261,7 @@
 }
 
 // burst sends n requests at one moment.
-func (b *bench) burst(s stream, n int) {
+func (b *testbed) burst(s stream, n int) {
 	random := rand.New(rand.NewPCG(9, uint64(n)))
 	for i := range n {
 		work := time.Duration(random.ExpFloat64() * float64(meanWork))
@@ -269,7 +269,7 @@
 	}
 }
 
-func (b *bench) request(s stream, id string, work time.Duration) *wire.Request {
+func (b *testbed) request(s stream, id string, work time.Duration) *wire.Request {
 	r := &wire.Request{
 		ID: id, Service: "master", Customer: s.customer, Class: s.class, Weight: 1, Key: "k",
 		Method: "GET", Path: "/" + s.path, Budget: s.deadline, Idempotent: s.idempotent,
@@ -279,7 +279,7 @@
 	return r
 }
 
-func (b *bench) call(s stream, id string, work time.Duration) wire.Answer {
+func (b *testbed) call(s stream, id string, work time.Duration) wire.Answer {
 	begun := time.Now()
 	j := newJob(b.request(s, id, work), begun)
 	_ = b.queue.inbox.Push(b.t.Context(), message{arrive: j})
@@ -288,7 +288,7 @@
 	return a
 }
 
-func (b *bench) note(s stream, id string, a wire.Answer, took time.Duration) {
+func (b *testbed) note(s stream, id string, a wire.Answer, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	y := b.tallies[s.customer]
@@ -316,12 +316,12 @@
 	}
 }
 
-// checkPromises: no answer after its deadline, memory of nothing that is over.
-func (b *bench) checkPromises() {
+// checkGuarantees: no answer after its deadline, memory of nothing that is over.
+func (b *testbed) checkGuarantees() {
 	for customer, y := range b.tallies {
 		require.Zero(b.t, y.late, customer)
 	}
 	require.Empty(b.t, b.queue.jobs)
 	require.Zero(b.t, b.queue.waiting.Len())
-	require.Empty(b.t, b.queue.given)
+	require.Empty(b.t, b.queue.unsent)
 }
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -20,23 +20,23 @@
 
 // run hands the work to a goroutine that rests, or to a new one, which rests until the
 // context ends. It does not block.
-func (c *workerPool) run(ctx context.Context, work func()) {
+func (p *workerPool) run(ctx context.Context, work func()) {
 	select {
-	case c.work <- work:
+	case p.work <- work:
 	default:
-		go c.serve(ctx, work)
+		go p.serve(ctx, work)
 	}
 }
 
-func (c *workerPool) serve(ctx context.Context, work func()) {
-	rest := time.NewTimer(workerIdleTimeout)
-	defer rest.Stop()
+func (p *workerPool) serve(ctx context.Context, work func()) {
+	idle := time.NewTimer(workerIdleTimeout)
+	defer idle.Stop()
 	for {
 		work()
-		rest.Reset(workerIdleTimeout)
+		idle.Reset(workerIdleTimeout)
 		select {
-		case work = <-c.work:
-		case <-rest.C:
+		case work = <-p.work:
+		case <-idle.C:
 			return
 		case <-ctx.Done():
 			return
--- a/internal/dispatch/workers_test.go
+++ b/internal/dispatch/workers_test.go
@@ -11,14 +11,14 @@
 
 // Attempts hang at a target that is frozen. Were an attempt to wait for a goroutine
 // that runs another, one such target would hold up all others of its pool.
-func TestCrewRunsAllAtOnceAndRests(t *testing.T) {
+func TestWorkerPoolRunsConcurrentlyAndStopsIdleGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		c, begun := newWorkerPool(), 0
+		p, started := newWorkerPool(), 0
 		release, done := make(chan struct{}), make(chan struct{}, 3)
 		for range 3 {
-			c.run(ctx, func() {
+			p.run(ctx, func() {
 				<-release
 				done <- struct{}{}
 			})
@@ -30,17 +30,17 @@
 		}
 		synctest.Wait()
 		// Those who rest take the next work, and are gone after their rest.
-		c.run(ctx, func() { begun++ })
+		p.run(ctx, func() { started++ })
 		synctest.Wait()
-		require.Equal(t, 1, begun)
+		require.Equal(t, 1, started)
 		time.Sleep(2 * workerIdleTimeout)
 		select {
-		case c.work <- func() { begun++ }:
+		case p.work <- func() { started++ }:
 			t.Fatal("a goroutine rests for ever")
 		default:
 		}
-		c.run(ctx, func() { begun++ })
+		p.run(ctx, func() { started++ })
 		synctest.Wait()
-		require.Equal(t, 2, begun)
+		require.Equal(t, 2, started)
 	})
 }
