--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -15,8 +15,8 @@
 	"hemlockquay/internal/target"
 )
 
-// BenchmarkRequest carries requests through a queue and real connections. Its time
-// includes the target's side of HTTP.
+// BenchmarkRequest sends requests through a queue and real connections. The time includes
+// that of the HTTP server.
 func BenchmarkRequest(b *testing.B) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 256)) }))
 	defer server.Close()
--- a/internal/dispatch/crashwatcher.go
+++ b/internal/dispatch/crashwatcher.go
@@ -18,26 +18,30 @@
 	"hemlockquay/internal/wire"
 )
 
-// stepQuarantine is the step of refusals of requests that crash targets.
+// stepQuarantine is the step that is named in refusals of quarantined requests.
 const stepQuarantine = "quarantine"
 
-// Times and sizes of the gossip between dispatchers about crashing requests.
+// Timeouts and limits of the messages between dispatchers about crashing requests.
 const (
-	// peerCallTimeout bounds a round of permits or notices.
+	// peerCallTimeout bounds the calls with which one message is sent to all other
+	// dispatchers.
 	peerCallTimeout = 300 * time.Millisecond
-	// fetchInterval is how often a dispatcher that has just started asks for
-	// the cases of others, until one answers.
+	// fetchInterval is how often a dispatcher that has just started requests the
+	// cases of the others, until one answers.
 	fetchInterval = 250 * time.Millisecond
-	// maxReadyDelay is how long it takes no requests meanwhile: time for three that
-	// are listed and do not answer. It goes on asking.
+	// maxReadyDelay is how long a dispatcher is not ready while no other dispatcher
+	// has answered, enough for three listed ones that do not answer. It continues
+	// to request the cases after that.
 	maxReadyDelay = time.Second
-	// outboxLength is how many rounds may wait. Deaths come one a second at most
-	// for each target, and each makes as many as the target had slots.
+	// outboxLength bounds the messages that wait to be sent. A target dies once per
+	// second at most, and each death causes as many messages as the target had
+	// slots.
 	outboxLength = 1024
 )
 
-// crashWatcher is Suspects for the running dispatcher. It is safe for concurrent
-// use; mu is held for no call to another process.
+// crashWatcher implements Quarantine for a dispatcher, and exchanges cases with the other
+// dispatchers. It is safe for concurrent use. mu is not held during calls to other
+// processes.
 type crashWatcher struct {
 	vm       string
 	clock    boottime.Clock
@@ -47,14 +51,15 @@
 	journal  *journal.Journal
 	outbox   *ring.Ring[quarantineMessage]
 	counters crashCounters
-	// ready says that requests may come.
+	// ready reports that this dispatcher may get requests.
 	ready func()
 
 	mu      sync.Mutex
 	tracker *quarantine.Tracker
-	// journaled are the quarantines that stand in the journal.
+	// journaled holds the quarantines that have been journaled.
 	journaled map[quarantine.Fingerprint]bool
-	// queued and completed count rounds; progress is closed at each conclusion.
+	// queued counts the messages put into outbox, completed those that were sent and
+	// answered or timed out. progress is closed and replaced after each.
 	queued, completed uint64
 	progress          chan struct{}
 }
@@ -80,9 +85,10 @@
 	return quarantine.Fingerprint(crashFingerprint(r))
 }
 
-// awaitNotices waits until the others were notified of the deaths under a request, askTimeout
-// at most. It comes before the request's answer.
-// Whoever sends the request again after its answer meets only dispatchers that know of the deaths.
+// awaitNotices waits until the other dispatchers have been notified of the deaths of targets
+// that ran the request, for peerCallTimeout at most. It is called before the request is
+// answered, so that a caller that sends the request again after the answer reaches only
+// dispatchers that know of the deaths.
 func (w *crashWatcher) awaitNotices(ctx context.Context, r *wire.Request) {
 	w.mu.Lock()
 	c := w.tracker.Case(fingerprint(r), w.clock.Now())
@@ -108,7 +114,7 @@
 	}
 }
 
-// Admit implements Suspects.
+// Admit implements Quarantine.
 func (w *crashWatcher) Admit(target string, r *wire.Request, _ time.Time) (Admission, *problem.Error) {
 	fp := fingerprint(r)
 	w.mu.Lock()
@@ -126,14 +132,14 @@
 	return AdmitHold, nil
 }
 
-// Started implements Suspects.
+// Started implements Quarantine.
 func (w *crashWatcher) Started(target string, r *wire.Request, _ time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.tracker.Started(fingerprint(r), r.Service, target, w.clock.Now())
 }
 
-// Finished implements Suspects.
+// Finished implements Quarantine.
 func (w *crashWatcher) Finished(target string, r *wire.Request, answered bool, _ time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -142,11 +148,11 @@
 		return
 	}
 	w.counters.cleared.Inc(1)
-	w.journal.Add(stepQuarantine, "cleared: it ran alone and its target lived", r.Customer, r.Service, fingerprintName(c.Fingerprint), r.ID)
+	w.journal.Add(stepQuarantine, "cleared: it ran alone and did not crash its target", r.Customer, r.Service, fingerprintName(c.Fingerprint), r.ID)
 	w.enqueue(quarantineMessage{crashCase: *c})
 }
 
-// Died implements Suspects.
+// Died implements Quarantine.
 func (w *crashWatcher) Died(target string, running []*wire.Request, _ time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -155,7 +161,7 @@
 	service := ""
 	for i, r := range running {
 		fingerprints[i], service = fingerprint(r), r.Service
-		w.journal.Add(stepQuarantine, "suspect: target "+target+" died while it ran", r.Customer, r.Service, fingerprintName(fingerprints[i]), r.ID)
+		w.journal.Add(stepQuarantine, "suspect: target "+target+" died while running it", r.Customer, r.Service, fingerprintName(fingerprints[i]), r.ID)
 	}
 	for _, c := range w.tracker.Died(fingerprints, service, target, w.clock.Now()) {
 		w.journalQuarantine(&c)
@@ -163,7 +169,7 @@
 	}
 }
 
-// journalQuarantine enters a quarantine into the journal, once.
+// journalQuarantine journals a quarantine the first time that it is called for it.
 func (w *crashWatcher) journalQuarantine(c *quarantine.Case) {
 	if !c.Quarantined() || w.journaled[c.Fingerprint] {
 		return
@@ -173,14 +179,14 @@
 	for i, d := range c.Deaths {
 		names[i] = d.Name
 	}
-	w.journal.Add(stepQuarantine, fmt.Sprintf("quarantined for %v: targets died under it: %v", quarantine.Lifetime, names), fingerprintName(c.Fingerprint))
+	w.journal.Add(stepQuarantine, fmt.Sprintf("quarantined for %v: targets died while running it: %v", quarantine.Lifetime, names), fingerprintName(c.Fingerprint))
 }
 
 func fingerprintName(fp quarantine.Fingerprint) string {
 	return fmt.Sprintf("fingerprint %016x", uint64(fp))
 }
 
-// crashState is the section of the dump.
+// crashState is the section "quarantine" of the dump.
 type crashState struct {
 	Suspects    []quarantine.Case `json:"suspects"`
 	Quarantined []quarantine.Case `json:"quarantined"`
--- a/internal/dispatch/crashwatcher_test.go
+++ b/internal/dispatch/crashwatcher_test.go
@@ -16,7 +16,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// newCrashWatchers returns watches that talk over loopback ports.
+// newCrashWatchers returns watchers that call each other on loopback ports.
 func newCrashWatchers(t *testing.T, n int) []*crashWatcher {
 	v := view.Build(nil, nil, nil)
 	logger := &log.Logger{Level: log.PanicLevel}
@@ -36,7 +36,7 @@
 	return out
 }
 
-// drainOutbox carries the rounds that wait.
+// drainOutbox sends the messages that wait in outbox.
 func drainOutbox(t *testing.T, w *crashWatcher) {
 	for w.outbox.Depth() > 0 {
 		w.broadcast(t.Context(), <-w.outbox.Entries())
@@ -47,10 +47,9 @@
 	return &wire.Request{ID: id, Service: "booth", Customer: "narrators", Method: "POST", Path: "/book", Header: map[string][]string{"X-Load-Id": {id}}}
 }
 
-// A request kills its target. Its caller sends it again through another entry,
-// with a new request id; as a suspect it kills a second target. A third sending,
-// that leads to another dispatcher, is refused there as not run, and so it is at
-// one that starts only now.
+// A request crashes its target. Its caller sends it again with a new request id, and as a
+// suspect it crashes a second target. After that it must be refused as not run at all other
+// dispatchers, also at one that has just started.
 func TestQuarantineAppliesAtEveryDispatcher(t *testing.T) {
 	w := newCrashWatchers(t, 3)
 	now := time.Now()
@@ -63,7 +62,7 @@
 	run("first", "booth-1")
 	drainOutbox(t, w[0])
 	admission, _ := w[0].Admit("booth-2", crashingRequest("second"), now)
-	require.Equal(t, AdmitHold, admission, "a suspect waits for its permit")
+	require.Equal(t, AdmitHold, admission, "a suspect must wait for its permit")
 	drainOutbox(t, w[0])
 	run("second", "booth-2")
 	drainOutbox(t, w[0])
@@ -84,8 +83,8 @@
 	require.Equal(t, AdmitRun, admission)
 }
 
-// A suspect runs at one dispatcher; another, whose view differs, holds the same
-// queue and asks for the permit. It does not get it.
+// Two dispatchers with different views hold the queue of the same pool. While a suspect runs at
+// one of them, the other must not get the permit to run it.
 func TestSuspectRunsAtOneDispatcherOnly(t *testing.T) {
 	w := newCrashWatchers(t, 2)
 	now := time.Now()
@@ -111,11 +110,11 @@
 	require.Equal(t, AdmitRun, admission, "cleared everywhere")
 }
 
-// Members views differ, and three dispatchers hold the queue of one pool. A request
-// kills its target; its caller gets unknown, sends it again through another entry to
-// the next dispatcher, and so on. Each answer came before the others had heard of the
-// death, so every dispatcher ran it once as an ordinary request: three targets died,
-// and one more under it as a suspect.
+// Three dispatchers with different views hold the queue of one pool. A request crashes its
+// target, and its caller gets unknown and sends it again to the next dispatcher, and so on.
+// When answers came before the other dispatchers knew of the death, each dispatcher ran the
+// request once as an ordinary one: three targets died, and a fourth ran it as a suspect and
+// died too.
 func TestResentRequestKillsAtMostTwoTargets(t *testing.T) {
 	w := newCrashWatchers(t, 3)
 	now, deaths := time.Now(), 0
@@ -139,38 +138,38 @@
 			d.awaitNotices(t.Context(), crashingRequest("again"))
 			close(answered)
 		}()
-		// What its duty does meanwhile.
+		// Done by crashWatcher.run in a dispatcher.
 		go drainOutbox(t, d)
 		<-answered
 	}
 	require.Equal(t, 2, deaths)
 }
 
-// A dispatcher is replaced while a killer is quarantined. The new one was a member 250
-// ms before it asked the others, and ran the killer meanwhile: a third target died.
-// Now no entry learns its address before it fetched the cases, or before the others
-// were silent for the stated time.
+// A dispatcher is replaced while a request is quarantined. The new dispatcher was a member
+// for 250 ms before it requested the cases, and ran the request in that time, so a third
+// target died. A dispatcher must not be ready before it has fetched the cases, or before the
+// others have not answered for maxReadyDelay.
 func TestDispatcherIsNotReadyBeforeItKnowsTheCases(t *testing.T) {
 	w := newCrashWatchers(t, 2)
 	ready := 0
 	late := newCrashWatcher("vm9", w[0].feed, func() { ready++ }, w[0].journal, w[0].log, metrics.NewRegistry())
 	t.Cleanup(late.peers.Close)
 	v := w[0].feed.Current()
-	require.False(t, late.prepareReady(t.Context(), 2*maxReadyDelay), "no view came yet")
+	require.False(t, late.prepareReady(t.Context(), 2*maxReadyDelay), "no view has been received yet")
 	require.Zero(t, ready)
 	v.Source = "agent"
 	members := v.Members
 	v.Members = []wire.Member{{VM: "vm3", DispatchAddr: "127.0.0.1:1"}}
-	require.False(t, late.prepareReady(t.Context(), 0), "the only other one is silent")
+	require.False(t, late.prepareReady(t.Context(), 0), "the only other dispatcher does not answer")
 	require.Zero(t, ready)
 	require.False(t, late.prepareReady(t.Context(), maxReadyDelay))
-	require.Equal(t, 1, ready, "the stated time passed")
+	require.Equal(t, 1, ready, "maxReadyDelay has passed")
 	v.Members = members
 	require.True(t, late.prepareReady(t.Context(), 0))
 	require.Equal(t, 2, ready)
 	v.Members = nil
-	require.False(t, late.prepareReady(t.Context(), 0), "it goes on asking")
-	require.Equal(t, 3, ready, "alone: nothing to fetch")
+	require.False(t, late.prepareReady(t.Context(), 0), "no other dispatcher has answered")
+	require.Equal(t, 3, ready, "no other dispatcher to fetch from")
 }
 
 func BenchmarkCrashFingerprint(b *testing.B) {
--- a/internal/dispatch/deduplicator.go
+++ b/internal/dispatch/deduplicator.go
@@ -17,37 +17,41 @@
 	"hemlockquay/internal/wire"
 )
 
-// stepIntent is the step of what concerns an Idempotency-Key.
+// stepIntent is the step that is named in problems, logs and journal entries about requests
+// with an Idempotency-Key.
 const stepIntent = "intent"
 
-// Times of the protocol between coordinators and holders.
+// Timeouts and intervals of the protocol between coordinators and holders.
 const (
-	// claimTimeout bounds one round of claims; data centres are 1 to 2 ms apart.
+	// claimTimeout bounds the calls to all holders of a key; the latency between
+	// data centres is 1 to 2 ms.
 	claimTimeout = 300 * time.Millisecond
 	// settleTimeout bounds the wait for holders to store an answer.
 	settleTimeout = 100 * time.Millisecond
-	// claimRetryDelay is the pause before claims are made again, while lists of VMs
-	// differ or copies are on their way; both take less than doubtPatience.
+	// claimRetryDelay is the delay before a claim is repeated while the VMs have
+	// different lists of VMs or are copying records. Both last less than
+	// claimRetryTimeout.
 	claimRetryDelay   = 100 * time.Millisecond
 	claimRetryTimeout = time.Second
-	// syncInterval is how often missing records are asked for, resyncEvery where
-	// the VM answered but had forgotten its own.
+	// syncInterval is how often missing records are requested, resyncInterval how
+	// often if the VM has answered but may have lost records itself.
 	syncInterval   = 250 * time.Millisecond
 	resyncInterval = 5 * time.Second
-	// handoffTimeout bounds the handing over of records in a planned stop; all
-	// records with their answers are 90 MB at most.
+	// handoffTimeout bounds the handoff of records in a planned stop; all records
+	// with their answers are 90 MB at most.
 	handoffTimeout = 2 * time.Second
-	// sweepInterval is how often old records are dropped.
+	// sweepInterval is how often expired records are removed.
 	sweepInterval = 10 * time.Second
 )
 
-// maxKeptAnswer bounds the body of an answer that is kept for repeats.
+// maxKeptAnswer bounds the size of the body of an answer that is kept for repeats.
 const maxKeptAnswer = 256 << 10
 
-// deduplicator runs requests with an Idempotency-Key at most once: as coordinator of
-// those that came here and as holder of records. It is safe for concurrent use.
+// deduplicator runs requests with an Idempotency-Key at most once. It is the coordinator of
+// the requests that arrive here, and a holder of the records of other coordinators too. It
+// is safe for concurrent use.
 //
-// Lock order: mu is held for no call to another process.
+// mu is not held during calls to other processes.
 type deduplicator struct {
 	vm          string
 	incarnation int64
@@ -55,20 +59,22 @@
 	feed        viewSource
 	peers       *peer.Pool
 	log         *log.Logger
-	// journal records takeovers and doubts.
+	// journal records handoffs, changes of holders and repeats of unknown outcome.
 	journal  *journal.Journal
 	counters dedupCounters
 
 	mu      sync.Mutex
 	records *idempotency.RecordStore
-	// claims are the claims that this dispatcher coordinates or has ended.
+	// claims holds the claims of this coordinator by id, also those that ended less
+	// than idempotency.Retention ago.
 	claims map[string]*localClaim
 	seq    uint64
-	// copiedAt is when a VM's records were last asked for.
+	// copiedAt is when the records of a VM were last copied under the same list of
+	// VMs.
 	copiedAt map[string]time.Duration
 }
 
-// localClaim is a claim of this dispatcher; ended is closed with its outcome set.
+// localClaim is a claim of this dispatcher. ended is closed once the other fields are set.
 type localClaim struct {
 	ended    chan struct{}
 	answer   *wire.Answer
@@ -90,8 +96,8 @@
 	}
 }
 
-// runOnce answers a request with an Idempotency-Key: by running it, or by the first
-// answer, or by a problem that says whether it ran.
+// runOnce answers a request with an Idempotency-Key. The answer is that of its run, or that
+// of the first request with the key, or a problem that says whether the request ran.
 func (d *deduplicator) runOnce(ctx context.Context, r *wire.Request, run func(*wire.Request) wire.Answer) wire.Answer {
 	deadline := time.Now().Add(r.Budget)
 	retryUntil := time.Now().Add(min(r.Budget, claimRetryTimeout))
@@ -108,8 +114,8 @@
 	}
 }
 
-// tryRun makes one claim and acts on the vote. again says that the problem in the
-// answer may pass.
+// tryRun makes one claim and acts on the votes. retryable reports whether the answer is a
+// problem that may be temporary.
 func (d *deduplicator) tryRun(ctx context.Context, r *wire.Request, deadline time.Time, run func(*wire.Request) wire.Answer) (answer wire.Answer, retryable bool) {
 	key := idempotency.Key{Customer: r.Customer, Service: r.Service, Name: r.IdempotencyKey}
 	record, holders, claim := d.newClaim(key, idempotencyFingerprint(r))
@@ -145,14 +151,15 @@
 	return record, idempotency.Holders(d.records.Places(), key), claim
 }
 
-// ClaimArgs asks a holder to record a claim. By are the holders in the eyes of
-// the coordinator.
+// ClaimArgs asks a holder to store a claim. By lists the holders as the coordinator computed
+// them.
 type ClaimArgs struct {
 	Record idempotency.Record
 	By     []string
 }
 
-// claim asks all holders at once and stops at the first votes that decide.
+// claim sends the claim to all holders at once, and returns as soon as the votes are
+// sufficient for a decision.
 func (d *deduplicator) claim(ctx context.Context, record idempotency.Record, holders []string) (idempotency.Action, *idempotency.Record) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	args := &ClaimArgs{Record: record, By: holders}
@@ -161,8 +168,8 @@
 	for _, vm := range holders {
 		calls.Go(func() {
 			var vote idempotency.Vote
-			if err := d.callHolder(ctx, vm, wire.MethodClaim, args, &vote); err != nil {
-				d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", vm).Msg("no vote")
+			if err := d.callDispatcher(ctx, vm, wire.MethodClaim, args, &vote); err != nil {
+				d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", vm).Msg("holder did not vote")
 			}
 			votes <- vote
 		})
@@ -181,8 +188,8 @@
 	return idempotency.Decide(received, len(holders), true)
 }
 
-// callHolder calls a holder, or this dispatcher's own book.
-func (d *deduplicator) callHolder(ctx context.Context, vm, method string, args, reply any) error {
+// callDispatcher calls the dispatcher of a VM; for this VM it calls the method directly.
+func (d *deduplicator) callDispatcher(ctx context.Context, vm, method string, args, reply any) error {
 	if vm == d.vm {
 		return d.callLocal(method, args, reply)
 	}
@@ -206,13 +213,14 @@
 	return d.Await(args.(*wire.AwaitArgs), reply.(*wire.AwaitReply))
 }
 
-// replicate sends a record to all holders and waits until a quorum has it.
+// replicate sends a record to all holders and waits until a quorum of the calls have ended,
+// for settleTimeout at most.
 func (d *deduplicator) replicate(ctx context.Context, method string, record *idempotency.Record, holders []string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTimeout)
 	done := make(chan error, len(holders))
 	var calls sync.WaitGroup
 	for _, vm := range holders {
-		calls.Go(func() { done <- d.callHolder(ctx, vm, method, record, &wire.Empty{}) })
+		calls.Go(func() { done <- d.callDispatcher(ctx, vm, method, record, &wire.Empty{}) })
 	}
 	go func() {
 		calls.Wait()
@@ -247,8 +255,8 @@
 	return answer
 }
 
-// release ends a claim whose request surely was not run here, so that the caller
-// can try again.
+// release ends a claim whose request certainly was not run here, so that the caller can send
+// it again with the same key.
 func (d *deduplicator) release(ctx context.Context, record idempotency.Record, holders []string, claim *localClaim) {
 	d.counters.released.Inc(1)
 	d.endClaim(claim, nil, true)
@@ -262,7 +270,8 @@
 	close(claim.ended)
 }
 
-// follow answers a repeat from the record of the first request.
+// follow answers a repeat with the answer of the first request, for which it waits if
+// necessary.
 func (d *deduplicator) follow(ctx context.Context, r *wire.Request, deadline time.Time, record *idempotency.Record, holders []string) (answer wire.Answer, retryable bool) {
 	d.counters.repeated.Inc(1)
 	if record.Done && record.Answer != nil {
@@ -275,10 +284,10 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+claimTimeout)
 	defer cancel()
 	var reply wire.AwaitReply
-	err := d.callHolder(ctx, record.Claim.Coordinator, wire.MethodAwait, &wire.AwaitArgs{Claim: record.Claim.ID, Wait: wait}, &reply)
+	err := d.callDispatcher(ctx, record.Claim.Coordinator, wire.MethodAwait, &wire.AwaitArgs{Claim: record.Claim.ID, Wait: wait}, &reply)
 	switch {
 	case err != nil || !reply.Known:
-		d.journal.Add(stepIntent, "a repeat is in doubt: its first request was at "+record.Claim.Coordinator+", which is gone", r.Customer, r.Service, r.ID)
+		d.journal.Add(stepIntent, "unknown whether the first request of a repeat ran: its dispatcher at "+record.Claim.Coordinator+" cannot be reached or has no record of it", r.Customer, r.Service, r.ID)
 		p := problem.Lost(problem.AnswerLost, stepIntent, record.Claim.Coordinator, "the dispatcher that had the request is gone; it may have run")
 		return wire.Refused(r.ID, p), true
 	case reply.Released:
@@ -291,7 +300,7 @@
 	return answerForRepeat(r, *reply.Answer), false
 }
 
-// answerForRepeat makes the first answer the answer of a repeat.
+// answerForRepeat returns the answer of the first request as the answer to the repeat r.
 func answerForRepeat(r *wire.Request, first wire.Answer) wire.Answer {
 	first.ID = r.ID
 	return first
--- a/internal/dispatch/deduplicator_test.go
+++ b/internal/dispatch/deduplicator_test.go
@@ -20,7 +20,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// setView is a view that the test sets, also while calls of dispatchers read it.
+// setView is a viewSource with a view that tests may replace while dispatchers read it.
 type setView struct{ v atomic.Pointer[view.View] }
 
 func newSetView(v *view.View) *setView {
@@ -32,7 +32,8 @@
 func (f *setView) Current() *view.View      { return f.v.Load() }
 func (f *setView) Changed() <-chan struct{} { return nil }
 
-// dedupFleet is some dispatchers' intents on loopback ports.
+// dedupFleet holds the deduplicators of several dispatchers, which call each other on
+// loopback ports.
 type dedupFleet struct {
 	nodes   []*deduplicator
 	servers []*peer.Server
@@ -78,16 +79,16 @@
 	return r
 }
 
-// book is the target: it counts runs and names the request that ran.
+// book simulates the target: it counts the runs, and the answer names the request that ran.
 func (f *dedupFleet) book(r *wire.Request) wire.Answer {
 	f.runs.Add(1)
 	body := []byte("booked by " + r.ID)
 	return wire.Answer{ID: r.ID, Status: 201, Body: body, Sum: wire.Sum(body)}
 }
 
-// A narrator's app gets no answer in time and books again through other entries,
-// which lead to other dispatchers. Each repeat gets the first answer, whole and as
-// its own, and the booth is booked once.
+// A caller gets no answer in time and repeats a booking through entries that use other
+// dispatchers. Each repeat must get the first answer, complete and with its own request id,
+// and the booking must run once.
 func TestRepeatGetsTheFirstAnswer(t *testing.T) {
 	f := newDedupFleet(t, 4)
 	first := f.nodes[0].runOnce(t.Context(), booking("a", "k1", "10:00"), f.book)
@@ -107,7 +108,7 @@
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// The first request still runs when its repeat comes: the repeat waits for it.
+// A repeat that arrives while the first request is still running must wait for its answer.
 func TestRepeatWaitsForTheFirst(t *testing.T) {
 	f := newDedupFleet(t, 3)
 	started, proceed := make(chan struct{}), make(chan struct{})
@@ -130,8 +131,8 @@
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// The first request was refused as not run. Its caller must be able to try again
-// with the same key, or the booking is lost for ten minutes.
+// After a refusal as not run, the caller must be able to use the same key again. Otherwise
+// the booking could not be made for ten minutes.
 func TestKeyIsReusableAfterRefusal(t *testing.T) {
 	f := newDedupFleet(t, 3)
 	refused := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
@@ -143,8 +144,8 @@
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// The dispatcher is lost while it runs a booking. Whether the booth was booked is
-// not known: the repeat gets unknown, and no second run.
+// A dispatcher is lost while it runs a request. Whether the request ran is unknown, so the
+// repeat must be answered so and must not run.
 func TestRepeatAfterLossOfTheCoordinatorIsUnknown(t *testing.T) {
 	f := newDedupFleet(t, 4)
 	started, never := make(chan struct{}), make(chan struct{})
@@ -158,7 +159,7 @@
 		})
 	}()
 	<-started
-	// The dispatcher's port closes; it forgets everything.
+	// The loss of the dispatcher closes its port.
 	f.servers[0].Close()
 	r := booking("b", "k", "x")
 	answer := f.nodes[1].runOnce(t.Context(), r, f.book)
@@ -169,8 +170,8 @@
 	<-lost
 }
 
-// Two of a key's three holders are lost after a booking. The third alone cannot
-// promise anything: the answer is the first one, or unknown, never a second run.
+// Two of the three holders of a key are lost after a request ran. The third alone is not a
+// quorum: a repeat must get the first answer or unknown, and must never run.
 func TestLossOfTwoHoldersCausesNoSecondRun(t *testing.T) {
 	f := newDedupFleet(t, 6)
 	first := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), f.book)
@@ -193,9 +194,9 @@
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// Two of a key's three holders leave as planned after a booking, one after the
-// other, and the platform drops them. Their records were handed over: a repeat gets
-// the first answer.
+// Two of the three holders of a key shut down as planned after a request ran, one after the
+// other, and are removed from the list of VMs. They handed their records over, so a repeat
+// must get the first answer.
 func TestPlannedLeavesLoseNoRecord(t *testing.T) {
 	f := newDedupFleet(t, 6)
 	first := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), f.book)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -21,16 +21,16 @@
 	"hemlockquay/internal/wire"
 )
 
-// processName is the daemon's name in reports and logs.
+// processName is the name of the daemon in reports and logs.
 const processName = "hq-dispatch"
 
-// casesNotFetched is why a dispatcher that has just started is not ready.
-const casesNotFetched = "the crashing requests that other dispatchers know are not fetched yet"
+// casesNotFetched is the reason for which a dispatcher that has just started is not ready.
+const casesNotFetched = "the cases of crashing requests have not been fetched from the other dispatchers yet"
 
-// Module wires the dispatcher.
+// Module is the fx module of hq-dispatch.
 var Module = fx.Options(fx.Invoke(start))
 
-// dispatcher owns the queues and answers the entries' calls.
+// dispatcher owns the queues and serves the calls of entries and other dispatchers.
 type dispatcher struct {
 	*daemon.Kit[*Settings]
 	server *peer.Server
@@ -39,9 +39,9 @@
 	prober *target.Prober
 	loads  *groupLoads
 	deps   *queueDeps
-	// dedup keeps requests with an Idempotency-Key to one run.
+	// dedup runs requests with an Idempotency-Key at most once.
 	dedup *deduplicator
-	// quarantine watches for requests that crash targets.
+	// quarantine detects requests that crash targets.
 	quarantine *crashWatcher
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -102,9 +102,9 @@
 	return nil
 }
 
-// stop drains: requests are taken until the entries have been notified; then what is
-// sent is answered, and all else is refused as not run at once, so that entries
-// send it to the next dispatcher.
+// stop drains the dispatcher. It admits requests until the entries have been notified.
+// After that, requests that are not sent are refused as not run at once, so that entries
+// send them to another dispatcher, and those that were sent are awaited.
 func (d *dispatcher) stop(ctx context.Context) error {
 	d.Life.BeginDrain()
 	d.Life.Lead(ctx)
@@ -128,14 +128,14 @@
 	return nil
 }
 
-// rpcReceiver holds the methods that net/rpc publishes.
+// rpcReceiver has the methods that net/rpc publishes.
 type rpcReceiver struct {
 	*deduplicator
 	crashes *crashWatcher
 	d       *dispatcher
 }
 
-// Do runs a request and returns its one answer.
+// Do runs a request and returns its answer.
 func (r *rpcReceiver) Do(request *wire.Request, answer *wire.Answer) error {
 	if request.IdempotencyKey == "" {
 		*answer = r.d.do(request)
@@ -145,17 +145,17 @@
 	return nil
 }
 
-// Permit answers another dispatcher about a crashing request.
+// Permit handles the notice or permit request of another dispatcher about a suspect.
 func (r *rpcReceiver) Permit(args *PermitArgs, reply *PermitReply) error {
 	return r.crashes.Permit(args, reply)
 }
 
-// Cases gives all crashing requests that are known here.
+// Cases returns all cases of crashing requests that this dispatcher knows.
 func (r *rpcReceiver) Cases(args *wire.Empty, reply *CaseList) error {
 	return r.crashes.Cases(args, reply)
 }
 
-// Cancel drops a request whose caller went away.
+// Cancel cancels a request whose caller went away.
 func (r *rpcReceiver) Cancel(args *wire.CancelArgs, _ *wire.Empty) error {
 	r.d.mu.Lock()
 	q := r.d.queueByRequest[args.ID]
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// doIdempotent answers a request with an Idempotency-Key. It counts as a call until its
-// record is settled: a planned stop waits for that.
+// doIdempotent answers a request with an Idempotency-Key. It counts as a call in progress
+// until its record is settled, so that a planned stop waits for the record.
 func (d *dispatcher) doIdempotent(r *wire.Request) wire.Answer {
 	d.mu.Lock()
 	if d.draining {
@@ -200,7 +200,8 @@
 	return answer
 }
 
-// register finds the job's queue and counts the call, or refuses it.
+// register returns the queue for the job and counts the call as in progress, or returns the
+// problem with which the job is refused. It creates and starts the queue if necessary.
 func (d *dispatcher) register(j *job) (*queue, *problem.Error) {
 	id, p := d.queueIDFor(d.feed.Current(), j.request)
 	if p != nil {
--- a/internal/dispatch/faults_cell_test.go
+++ b/internal/dispatch/faults_cell_test.go
@@ -25,45 +25,46 @@
 	victim         = "victim"
 	victimWork     = 47 * time.Millisecond
 	victimDeadline = 2 * time.Second
-	// The times of faults are odd numbers, so that no two events fall on one
-	// instant, where their order would be open.
+	// The durations of faults are odd numbers, so that no two events happen at the
+	// same time, where their order would be undefined.
 	//
-	// pauseLength is over the victim's deadline.
+	// pauseLength exceeds the victim's deadline.
 	pauseLength = 3 * time.Second
 )
 
-// cell is one run: a fault at a step, for one kind of request.
+// cell is one run of the fault matrix: a fault at a transition, for one kind of request, the
+// victim.
 type cell struct {
 	*testbed
 	script    script
 	step      statechart.Transition
 	injection injection
 
-	// mu guards what follows; it is never held with bench.mu.
-	cellMu       sync.Mutex
-	ends         []string
-	stepReached  bool
-	injectOnSend bool
-	last         string
-	incarnations map[string]int
-	frozen       map[string]chan struct{}
-	cutUntil     time.Time
-	dead         chan struct{}
-	crashes      bool
-	deaths       int
-	left         map[string]time.Time
+	// cellMu guards the fields below. It is never held together with testbed.mu.
+	cellMu           sync.Mutex
+	outcomes         []string
+	stepReached      bool
+	injectOnSend     bool
+	lastTarget       string
+	incarnations     map[string]int
+	frozen           map[string]chan struct{}
+	partitionedUntil time.Time
+	dead             chan struct{}
+	crashes          bool
+	deaths           int
+	leavingSince     map[string]time.Time
 }
 
-// virtualBoot is the boot clock of virtual time.
-type virtualBoot struct{ begun time.Time }
+// virtualBoot is a boot clock in virtual time.
+type virtualBoot struct{ start time.Time }
 
-func (v virtualBoot) Now() time.Duration { return time.Since(v.begun) }
+func (v virtualBoot) Now() time.Duration { return time.Since(v.start) }
 
-// Send plays the network and the target, and ends the victim's attempts as the
-// script says.
+// Send simulates the network and the target, and ends the attempts of the victim as the
+// script prescribes.
 func (c *cell) Send(ctx context.Context, a *target.Attempt) (*wire.Answer, error) {
 	name := a.Target.Name
-	end, inject, life, err := c.beginAttempt(a)
+	end, inject, incarnation, err := c.beginAttempt(a)
 	if inject {
 		time.AfterFunc(victimWork/2, func() { c.injection.inject(c) })
 	}
@@ -88,26 +89,26 @@
 	}
 	c.cellMu.Lock()
 	defer c.cellMu.Unlock()
-	if end == endLost || c.incarnations[name] != life || c.unreachable() {
+	if end == endLost || c.incarnations[name] != incarnation || c.unreachable() {
 		return nil, errBroken
 	}
 	return answer, nil
 }
 
-// beginAttempt returns how the attempt shall end, and whether the fault comes
-// while it runs.
-func (c *cell) beginAttempt(a *target.Attempt) (end string, inject bool, life int, err error) {
+// beginAttempt returns how the attempt must end, whether the fault is injected while it runs,
+// and the incarnation of the target.
+func (c *cell) beginAttempt(a *target.Attempt) (end string, inject bool, incarnation int, err error) {
 	c.cellMu.Lock()
 	defer c.cellMu.Unlock()
-	if at, ok := c.left[a.Target.Name]; ok && time.Since(at) > leavingNoticed {
-		c.t.Errorf("%s was sent to %s, which leaves", a.Request.ID, a.Target.Name)
+	if at, ok := c.leavingSince[a.Target.Name]; ok && time.Since(at) > leavingNoticed {
+		c.t.Errorf("%s was sent to %s, which is leaving", a.Request.ID, a.Target.Name)
 	}
-	end, life = endAnswer, c.incarnations[a.Target.Name]
+	end, incarnation = endAnswer, c.incarnations[a.Target.Name]
 	if a.Request.ID == victim {
-		c.last = a.Target.Name
+		c.lastTarget = a.Target.Name
 		inject, c.injectOnSend = c.injectOnSend, false
-		if len(c.ends) > 0 {
-			end, c.ends = c.ends[0], c.ends[1:]
+		if len(c.outcomes) > 0 {
+			end, c.outcomes = c.outcomes[0], c.outcomes[1:]
 		}
 	}
 	switch {
@@ -116,12 +117,13 @@
 	case end == endShed:
 		err = &target.RefusedError{Reason: target.RefusedShed}
 	}
-	return end, inject, life, err
+	return end, inject, incarnation, err
 }
 
-// unreachable reports whether the network or the dispatcher is down. cellMu is held.
+// unreachable reports whether the network or the dispatcher is down. The caller must hold
+// cellMu.
 func (c *cell) unreachable() bool {
-	return c.isDead() || time.Now().Before(c.cutUntil)
+	return c.isDead() || time.Now().Before(c.partitionedUntil)
 }
 
 // isDead reports whether the dispatcher is lost.
@@ -134,14 +136,14 @@
 	}
 }
 
-// connectTimeout is how long a connection into a partition takes to fail.
+// connectTimeout is how long a connection attempt takes to fail in a partition.
 const connectTimeout = 23 * time.Millisecond
 
-// leavingNoticed is how long a target that leaves may still be tried.
+// leavingNoticed is how long a leaving target may still get requests.
 const leavingNoticed = 3 * time.Second
 
-// waitWhileFrozen waits while the target is frozen. It runs what it was given when it is
-// back, though nobody waits for it any more.
+// waitWhileFrozen waits until the target is not frozen. If ctx ends first and id is not "",
+// the target still runs the request when it is back.
 func (c *cell) waitWhileFrozen(ctx context.Context, name, id string) error {
 	c.cellMu.Lock()
 	frozen := c.frozen[name]
@@ -178,10 +180,10 @@
 	})
 }
 
-func (c *cell) cutFor(d time.Duration) {
+func (c *cell) partitionFor(d time.Duration) {
 	c.cellMu.Lock()
 	defer c.cellMu.Unlock()
-	c.cutUntil = time.Now().Add(d)
+	c.partitionedUntil = time.Now().Add(d)
 }
 
 // pause stops the queue's goroutine.
@@ -189,13 +191,15 @@
 
 func (c *cell) push(m message) { _ = c.queue.inbox.Push(context.Background(), m) }
 
-// loseDispatcher takes the dispatcher away: its connections break, and it sends no more.
+// loseDispatcher simulates the loss of the dispatcher: its connections break, and it sends
+// no more requests.
 func (c *cell) loseDispatcher() {
 	close(c.dead)
 	c.push(message{drain: true})
 }
 
-// refuseGrantFor has the target refuse the grant until the grantor has granted anew.
+// refuseGrantFor makes the target refuse the grant for the given time, after which it has a
+// new grant.
 func (c *cell) refuseGrantFor(d time.Duration) {
 	c.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
 	time.AfterFunc(d, func() {
@@ -204,14 +208,14 @@
 	})
 }
 
-// victimTarget is the target that the victim was sent to last.
+// victimTarget returns the target to which the victim was sent last.
 func (c *cell) victimTarget() string {
 	c.cellMu.Lock()
 	defer c.cellMu.Unlock()
-	if c.last == "" {
+	if c.lastTarget == "" {
 		return "master-1"
 	}
-	return c.last
+	return c.lastTarget
 }
 
 func (c *cell) otherTarget() string {
@@ -230,13 +234,13 @@
 
 func (c *cell) leave(name string) {
 	c.cellMu.Lock()
-	c.left[name] = time.Now()
+	c.leavingSince[name] = time.Now()
 	c.cellMu.Unlock()
 	c.set(name, func(f *fakeTarget) { f.refusal, f.health.Leaving = target.RefusedLeaving, true })
 }
 
-// race publishes what two operators wrote one after the other: fewer slots, and a
-// service with one target less.
+// race publishes the updates of two operators in quick succession: fewer slots, and then a
+// service without its last target.
 func (c *cell) race() {
 	first, second := *c.service, *c.service
 	first.Slots = 1
@@ -255,7 +259,7 @@
 	c.crashes = true
 }
 
-// crash ends the target under the victim; it restarts after 311 ms.
+// crash ends the target that runs the victim if crashes is set; it restarts after 311 ms.
 func (c *cell) crash(name string) bool {
 	c.cellMu.Lock()
 	crashes := c.crashes
@@ -270,7 +274,7 @@
 	return crashes
 }
 
-// onStep is called at each step of the victim.
+// onStep is called for each transition of the victim.
 func (c *cell) onStep(s statechart.Transition) {
 	if s.Event == c.script.drainAt {
 		c.push(message{drain: true})
@@ -288,7 +292,7 @@
 	c.injection.inject(c)
 }
 
-// send sends a request and checks its answer against what ran.
+// send sends a request and checks that the answer agrees with what ran.
 func (c *cell) send(id string, idempotent bool, budget, work time.Duration) (received string) {
 	s := stream{customer: "listeners", class: model.Interactive, deadline: budget, path: id, idempotent: idempotent}
 	j := newJob(c.request(s, id, work), time.Now())
@@ -300,8 +304,8 @@
 	if c.isDead() {
 		return "unknown"
 	}
-	require.Equal(c.t, id, a.ID, "whole answer")
-	require.Equal(c.t, wire.Sum(a.Body), a.Sum, "whole answer")
+	require.Equal(c.t, id, a.ID, "request id of the answer")
+	require.Equal(c.t, wire.Sum(a.Body), a.Sum, "checksum of the answer")
 	if a.Problem == nil {
 		return "answered"
 	}
@@ -314,19 +318,19 @@
 	return "unknown"
 }
 
-// playCell returns what the victim's caller received.
+// playCell runs a cell and returns what the caller of the victim received.
 func playCell(t *testing.T, step statechart.Transition, b injection, idempotent bool) (received string) {
 	targets := 3
 	if b.keyed {
 		targets = 1
 	}
-	withTestbed(t, targets, b.keyed, func(bench *testbed) {
+	withTestbed(t, targets, b.keyed, func(bed *testbed) {
 		s := scripts[step]
 		c := &cell{
-			testbed: bench, script: s, step: step, injection: b, ends: s.ends, dead: make(chan struct{}),
-			incarnations: make(map[string]int), frozen: make(map[string]chan struct{}), left: make(map[string]time.Time),
+			testbed: bed, script: s, step: step, injection: b, outcomes: s.outcomes, dead: make(chan struct{}),
+			incarnations: make(map[string]int), frozen: make(map[string]chan struct{}), leavingSince: make(map[string]time.Time),
 		}
-		bench.queue.sender = c
+		bed.queue.sender = c
 		stop := c.watchCrashes()
 		defer stop()
 		received = c.play(idempotent)
@@ -334,15 +338,15 @@
 	return received
 }
 
-// watchCrashes puts the real watch over crashing requests in place.
+// watchCrashes installs a real crashWatcher in the queue.
 func (c *cell) watchCrashes() func() {
 	w := newCrashWatcher("vm1", c.testbed, func() {}, journal.New("vm1", processName, 100), &log.Logger{Level: log.PanicLevel}, metrics.NewRegistry())
 	w.clock = virtualBoot{time.Now()}
 	c.queue.quarantine = w
 	ctx, cancel := context.WithCancel(context.Background())
-	var duty sync.WaitGroup
-	duty.Go(func() { w.run(ctx) })
-	return func() { cancel(); duty.Wait(); w.peers.Close() }
+	var loop sync.WaitGroup
+	loop.Go(func() { w.run(ctx) })
+	return func() { cancel(); loop.Wait(); w.peers.Close() }
 }
 
 func (c *cell) play(idempotent bool) string {
@@ -371,7 +375,8 @@
 	return received
 }
 
-// checkAfter checks what must hold once all is over, and that the queue serves on.
+// checkAfter checks what must hold after all requests have ended, and that the queue still
+// serves.
 func (c *cell) checkAfter(idempotent bool) {
 	c.mu.Lock()
 	for id, n := range c.runs {
@@ -382,10 +387,10 @@
 	}
 	c.mu.Unlock()
 	if c.injection.name == faults.None {
-		require.True(c.t, c.stepReached, "the script does not lead to the step")
+		require.True(c.t, c.stepReached, "the script does not lead to the transition")
 	}
-	require.LessOrEqual(c.t, c.deaths, 2, "targets that the request crashed")
+	require.LessOrEqual(c.t, c.deaths, 2, "targets crashed by the request")
 	if !c.injection.stopsDispatcher && c.script.drainAt == "" {
-		require.Equal(c.t, "answered", c.send("later", false, victimDeadline, time.Millisecond), "the queue serves on")
+		require.Equal(c.t, "answered", c.send("later", false, victimDeadline, time.Millisecond), "the queue must still serve")
 	}
 }
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/statechart"
 )
 
-// Ends of an attempt that a script prescribes.
+// Outcomes of an attempt that a script prescribes.
 const (
 	endAnswer = "answer"
 	endShed   = "shed"
@@ -18,16 +18,16 @@
 	endLost   = "lost"
 )
 
-// script leads a request through one step of its chart.
+// script leads a request to one transition of its state chart.
 type script struct {
-	// ends are those of the first attempts; later ones are answered.
-	ends []string
-	// idempotent restricts the request; both kinds are played where neither
-	// is set.
+	// outcomes holds the outcomes of the first attempts; later ones are answered.
+	outcomes []string
+	// idempotent and nonIdempotent restrict the kind of request; if neither is set,
+	// both kinds are tested.
 	idempotent, nonIdempotent bool
-	// busy takes all slots, so that the request waits past its deadline.
+	// busy fills all slots, so that the request waits until its deadline.
 	busy bool
-	// drainAt drains the dispatcher when the event was taken.
+	// drainAt is the event of the request after which the dispatcher drains.
 	drainAt statechart.Event
 }
 
@@ -35,32 +35,32 @@
 	return statechart.Transition{From: statechart.State(from), Event: statechart.Event(event), To: statechart.State(to)}
 }
 
-// scripts has an entry for each step of charts/request.jsonc.
+// scripts has an entry for each transition of charts/request.jsonc.
 var scripts = map[statechart.Transition]script{
 	{To: "queued"}:                              {},
 	transition("queued", "send", "sent"):        {},
 	transition("queued", "refuse", "refused"):   {busy: true},
 	transition("sent", "answer", "answered"):    {},
-	transition("sent", "shed", "queued"):        {ends: []string{endShed}},
-	transition("sent", "unsent", "queued"):      {ends: []string{endUnsent}},
-	transition("sent", "repeat", "unsettled"):   {ends: []string{endLost}, idempotent: true},
-	transition("sent", "lose", "lost"):          {ends: []string{endLost}, nonIdempotent: true},
-	transition("unsettled", "send", "resent"):   {ends: []string{endLost}, idempotent: true},
-	transition("unsettled", "lose", "lost"):     {ends: []string{endLost}, idempotent: true, drainAt: eventSend},
-	transition("resent", "answer", "answered"):  {ends: []string{endLost}, idempotent: true},
-	transition("resent", "shed", "unsettled"):   {ends: []string{endLost, endShed}, idempotent: true},
-	transition("resent", "unsent", "unsettled"): {ends: []string{endLost, endUnsent}, idempotent: true},
-	transition("resent", "repeat", "unsettled"): {ends: []string{endLost, endLost}, idempotent: true},
-	transition("resent", "lose", "lost"):        {ends: []string{endLost, endLost, endLost, endLost, endLost, endLost, endLost, endLost}, idempotent: true},
+	transition("sent", "shed", "queued"):        {outcomes: []string{endShed}},
+	transition("sent", "unsent", "queued"):      {outcomes: []string{endUnsent}},
+	transition("sent", "repeat", "unsettled"):   {outcomes: []string{endLost}, idempotent: true},
+	transition("sent", "lose", "lost"):          {outcomes: []string{endLost}, nonIdempotent: true},
+	transition("unsettled", "send", "resent"):   {outcomes: []string{endLost}, idempotent: true},
+	transition("unsettled", "lose", "lost"):     {outcomes: []string{endLost}, idempotent: true, drainAt: eventSend},
+	transition("resent", "answer", "answered"):  {outcomes: []string{endLost}, idempotent: true},
+	transition("resent", "shed", "unsettled"):   {outcomes: []string{endLost, endShed}, idempotent: true},
+	transition("resent", "unsent", "unsettled"): {outcomes: []string{endLost, endUnsent}, idempotent: true},
+	transition("resent", "repeat", "unsettled"): {outcomes: []string{endLost, endLost}, idempotent: true},
+	transition("resent", "lose", "lost"):        {outcomes: []string{endLost, endLost, endLost, endLost, endLost, endLost, endLost, endLost}, idempotent: true},
 }
 
-// injection is a fault as a dispatcher meets it.
+// injection describes how a fault is injected into a dispatcher.
 type injection struct {
 	name       faults.Fault
 	impossible string
-	// keyed plays it on a keyed service of one target.
+	// keyed runs the test with a keyed service of one target.
 	keyed bool
-	// stopsDispatcher says that the dispatcher takes no work afterwards.
+	// stopsDispatcher reports whether the dispatcher admits no requests afterwards.
 	stopsDispatcher bool
 	inject          func(c *cell)
 }
@@ -70,7 +70,7 @@
 // injections has an entry for each fault.
 var injections = map[faults.Fault]injection{
 	faults.None:            {inject: func(*cell) {}},
-	faults.Partition:       {inject: func(c *cell) { c.cutFor(211 * time.Millisecond) }},
+	faults.Partition:       {inject: func(c *cell) { c.partitionFor(211 * time.Millisecond) }},
 	faults.Pause:           {inject: (*cell).pause},
 	faults.EntryLost:       {inject: func(c *cell) { c.push(message{cancel: victim}) }},
 	faults.DispatchLost:    {stopsDispatcher: true, inject: (*cell).loseDispatcher},
@@ -91,8 +91,8 @@
 		time.AfterFunc(103*time.Millisecond, func() { c.lose(c.otherTarget()) })
 	}},
 	faults.PartitionTwice: {inject: func(c *cell) {
-		c.cutFor(53 * time.Millisecond)
-		time.AfterFunc(171*time.Millisecond, func() { c.cutFor(199 * time.Millisecond) })
+		c.partitionFor(53 * time.Millisecond)
+		time.AfterFunc(171*time.Millisecond, func() { c.partitionFor(199 * time.Millisecond) })
 	}},
 	faults.TargetAndStore: {impossible: noStore},
 	faults.AgentAndTarget: {keyed: true, inject: func(c *cell) {
@@ -102,11 +102,10 @@
 			c.own("master-1")
 		})
 	}},
-	faults.PauseInPartition: {inject: func(c *cell) { c.cutFor(211 * time.Millisecond); c.pause() }},
+	faults.PauseInPartition: {inject: func(c *cell) { c.partitionFor(211 * time.Millisecond); c.pause() }},
 }
 
-// planned are the rows in which nothing breaks: somebody stops or changes
-// something on purpose.
+// planned holds the rows that are no failures but planned stops or changes.
 var planned = map[faults.Fault]bool{faults.VMLeaves: true, faults.TargetLeaves: true, faults.OperatorsRace: true}
 
 const requestAbout = `A dispatcher's queue runs in virtual time: three targets of 2 slots (one keyed
@@ -122,9 +121,9 @@
 nothing after 3 s; where a VM or target leaves or operators race, no request in flight was lost; a request crashed two targets at most; nothing was left in the queue; a later
 request is answered, unless the dispatcher left.`
 
-// A caller books while something breaks, at any moment in the life of the
-// request: it is told that it did not run and it did, or it ran twice, or another's
-// answer came. docs/faults/request.md shows each fault at each step.
+// Injects each fault at each transition of a request. Guards against requests that are
+// refused as not run but have run, non-idempotent requests that run twice, and answers of
+// other requests. docs/faults/request.md shows the results.
 func TestFaultsAtStepsOfRequest(t *testing.T) {
 	m := faults.New(requestChart, requestAbout)
 	for _, step := range faults.Steps(requestChart) {
@@ -133,7 +132,7 @@
 		var baseline string
 		for _, f := range faults.All() {
 			b, ok := injections[f]
-			require.True(t, ok, "no entry for %s", f)
+			require.True(t, ok, "no injection for %s", f)
 			b.name = f
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
@@ -146,7 +145,7 @@
 					baseline = got
 				}
 				if planned[f] && baseline != "unknown" {
-					require.NotContains(t, got, "unknown", "a planned stop cut off a request in flight")
+					require.NotContains(t, got, "unknown", "a planned stop or change lost a request in flight")
 				}
 				m.Set(f, step, got)
 			})
--- a/internal/dispatch/fingerprint.go
+++ b/internal/dispatch/fingerprint.go
@@ -10,9 +10,10 @@
 	"hemlockquay/internal/wire"
 )
 
-// idempotencyFingerprint reports whether a repeat with the same Idempotency-Key is the same
-// request: service, method, path, key and body. Headers may differ between a
-// caller's repeats.
+// idempotencyFingerprint returns a hash by which a repeat with the same
+// Idempotency-Key is recognised as the same request. It covers service, method,
+// path, key and body, but not the headers, which may differ between a caller's
+// repeats.
 func idempotencyFingerprint(r *wire.Request) uint64 {
 	d := xxhash.New()
 	writeParts(d, r.Service, r.Method, r.Path, r.Key)
@@ -20,10 +21,10 @@
 	return d.Sum64()
 }
 
-// crashFingerprint names a request that may crash targets: service, method, path, key,
-// headers and body. The customer is left out: what kills a target for one caller
-// kills it for another. Headers that name the occurrence are left out, since they
-// differ between repeats of the same request.
+// crashFingerprint returns a hash that identifies a request that may crash targets.
+// It covers service, method, path, key, headers and body. The customer is left out,
+// since a request that crashes a target for one caller does so for another too.
+// Headers that differ each time the same request is sent are left out as well.
 func crashFingerprint(r *wire.Request) uint64 {
 	d := xxhash.New()
 	writeParts(d, r.Service, r.Method, r.Path, r.Key)
@@ -42,14 +43,15 @@
 	return d.Sum64()
 }
 
-// perSendHeaders are headers that differ on each sending of the same request.
+// perSendHeaders are headers that differ each time the same request is sent.
 var perSendHeaders = []string{"Date", "Traceparent", "Tracestate", "Baggage", "Idempotency-Key", "X-Request-Start"}
 
 func isPerSendHeader(header string) bool {
 	return strings.HasSuffix(header, "-Id") || slices.Contains(perSendHeaders, header)
 }
 
-// writeParts separates the parts by their length: ("ab", "c") is not ("a", "bc").
+// writeParts writes each part with its length, so that ("ab", "c") and ("a", "bc")
+// give different hashes.
 func writeParts(d *xxhash.Digest, parts ...string) {
 	for _, p := range parts {
 		writeUint64(d, uint64(len(p)))
--- a/internal/dispatch/guarantees_test.go
+++ b/internal/dispatch/guarantees_test.go
@@ -16,7 +16,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// step is one event of a drawn history.
+// step is one event of a generated history.
 type step struct {
 	after      time.Duration
 	kind       string
@@ -44,10 +44,10 @@
 	}), 1, 80).Draw(t, "steps")
 }
 
-// A caller books a session while targets die, shed, leave and lose answers, callers
-// go away, and the dispatcher drains at the end. Whatever the order: each request
-// gets one answer, its own; none refused as not run has run; no booking runs twice;
-// no slot idles while a request waits that it could run.
+// Targets die, shed, leave and lose answers, callers go away, and the dispatcher may drain
+// at the end. For any order of these events, each request must get one answer, its own; no
+// request that was refused as not run may have run; no non-idempotent request may run twice;
+// and no slot may be idle while a request waits that could use it.
 func TestGuaranteesOverAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps, drain := drawSteps(rt), rapid.Bool().Draw(rt, "drain")
@@ -65,7 +65,7 @@
 			}
 		})
 		if t.Failed() {
-			rt.Fatal("a promise was broken; see above")
+			rt.Fatal("a guarantee was violated; see above")
 		}
 	})
 }
@@ -112,7 +112,8 @@
 	}
 }
 
-// checkWorkConserved runs while nothing is in flight to the queue.
+// checkWorkConserved checks that no target is idle while a job waits that it could run. No
+// message to the queue may be pending.
 func (b *testbed) checkWorkConserved(q *queue) {
 	now := time.Now()
 	for _, t := range q.pool.targets {
@@ -122,14 +123,15 @@
 		}
 		for _, j := range q.jobs {
 			if j.item.Waiting() && j.lastTarget != t && !j.item.Long {
-				b.t.Errorf("%s idles while %s waits", t.Name, j.request.ID)
+				b.t.Errorf("%s is idle while %s waits", t.Name, j.request.ID)
 			}
 		}
 	}
 }
 
-// Two targets, one taken by a long request. The other sheds a request, which is next
-// in the order and waits for the first; the ones behind it must not wait with it.
+// One of two targets is full of long requests. The other one sheds a request, which is then
+// first in the order and waits for the full target. The requests behind it must not wait
+// too.
 func TestWaitingHeadDoesNotBlockOthers(t *testing.T) {
 	withTestbed(t, 2, false, func(b *testbed) {
 		s := stream{customer: "listeners", deadline: 5 * time.Second}
@@ -139,68 +141,68 @@
 			time.Sleep(time.Millisecond)
 		}
 		b.set("master-2", func(f *fakeTarget) { f.refusal = "" })
-		begun := time.Now()
+		start := time.Now()
 		b.call(s, "behind", time.Millisecond)
-		require.Less(t, time.Since(begun), 100*time.Millisecond)
+		require.Less(t, time.Since(start), 100*time.Millisecond)
 	})
 }
 
-// A slice moves: its owner refuses new work, for 200 ms nobody owns it, then another
-// target does. Callers must see no refusal: what waited goes back to the entry as
-// not run, for the dispatcher of the new owner.
+// In a planned move of a slice the old owner refuses requests, then nobody owns the slice,
+// and after 200 ms another target does. Waiting requests must be held during that time and
+// then be returned to the entry as not run, which sends them to the new owner.
 func TestPlannedMoveHoldsRequests(t *testing.T) {
 	withTestbed(t, 2, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedReleased })
 		s := stream{customer: "listeners", deadline: time.Second}
 		var a wire.Answer
-		begun := time.Now()
+		start := time.Now()
 		b.callers.Go(func() { a = b.call(s, "early", time.Millisecond) })
 		time.Sleep(100 * time.Millisecond)
 		b.own("")
 		time.Sleep(100 * time.Millisecond)
 		b.own("master-2")
 		b.callers.Wait()
-		require.Equal(t, 200*time.Millisecond, time.Since(begun))
+		require.Equal(t, 200*time.Millisecond, time.Since(start))
 		require.Equal(t, problem.NoOwner, a.Problem.Kind)
 		require.Equal(t, problem.RanNo, a.Problem.Ran)
 	})
 }
 
-// The owner dies. Its connections are refused, so that it rests, longer each time,
-// and by the fourth failure for 400 ms. The standby owns the keys meanwhile; a child
-// still waits for the end of the rest before the story goes on. Cause: a queue whose
-// only target rested did not look at what waited.
+// The owner dies and refuses connections, so its back-off grows, to 400 ms at the fourth
+// failure. When a standby has taken over the keys, requests must not wait for the end of the
+// back-off. They did, since a queue whose only target is in back-off did not examine its
+// waiting jobs.
 func TestTakeoverDoesNotWaitForBackoff(t *testing.T) {
 	withTestbed(t, 2, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.down = true })
 		s := stream{customer: "listeners", deadline: 2 * time.Second}
 		var a wire.Answer
-		begun := time.Now()
+		start := time.Now()
 		b.callers.Go(func() { a = b.call(s, "early", time.Millisecond) })
 		time.Sleep(400 * time.Millisecond)
 		b.own("master-2")
 		b.callers.Wait()
-		require.Equal(t, 400*time.Millisecond, time.Since(begun))
+		require.Equal(t, 400*time.Millisecond, time.Since(start))
 		require.Equal(t, problem.NoOwner, a.Problem.Kind)
 		require.Equal(t, problem.RanNo, a.Problem.Ran)
 
 		a = b.call(s, "late", time.Millisecond)
-		require.Equal(t, problem.NoOwner, a.Problem.Kind, "an entry that does not know the new owner yet")
-		require.Equal(t, 400*time.Millisecond, time.Since(begun))
+		require.Equal(t, problem.NoOwner, a.Problem.Kind, "sent by an entry that does not know the new owner yet")
+		require.Equal(t, 400*time.Millisecond, time.Since(start))
 	})
 }
 
-// A slice moves while a request is in flight to the old owner. The view with the
-// new owner arrives first, the refusal 50 ms later. The caller waited for a second
-// and was refused. Cause: the job waited for the next view, and none was due.
+// A slice moves while a request is in flight to the old owner. The view with the new owner
+// arrives before the refusal of the old one, which takes 50 ms. The job then waited for the
+// next view, though none was due, and was refused after a second.
 func TestRefusalAfterNewViewReturnsRequest(t *testing.T) {
 	withTestbed(t, 2, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal, f.refuseAfter = target.RefusedReleased, 50*time.Millisecond })
-		begun := time.Now()
+		start := time.Now()
 		var a wire.Answer
 		b.callers.Go(func() {
 			a = b.call(stream{customer: "listeners", deadline: 2 * time.Second}, "r", time.Millisecond)
-			require.Equal(t, 50*time.Millisecond, time.Since(begun))
+			require.Equal(t, 50*time.Millisecond, time.Since(start))
 		})
 		time.Sleep(20 * time.Millisecond)
 		b.own("master-2")
@@ -209,24 +211,24 @@
 	})
 }
 
-// A grantor stalls until its grant is out, and renews it 100 ms later at the same
-// rank. No view changes, as nobody else was granted. All that came meanwhile was
-// refused after a second, though the owner served again.
+// A grant expires and is renewed 100 ms later at the same rank, which changes no view.
+// Requests that arrived in the meantime were refused after a second, though the owner served
+// again.
 func TestRenewedGrantServesWaitingRequests(t *testing.T) {
 	withTestbed(t, 1, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
-		begun := time.Now()
+		start := time.Now()
 		b.burst(stream{customer: "listeners", deadline: 5 * time.Second}, 5)
 		time.Sleep(100 * time.Millisecond)
 		b.set("master-1", func(f *fakeTarget) { f.refusal = "" })
 		b.callers.Wait()
 		require.Equal(t, 5, b.tallies["listeners"].answered)
-		require.Less(t, time.Since(begun), 200*time.Millisecond)
+		require.Less(t, time.Since(start), 200*time.Millisecond)
 	})
 }
 
-// The same owner gets a grant of a higher rank after it refused: what waited is sent
-// to it, not refused.
+// The owner refuses requests and then gets a grant of a higher rank. Waiting requests must be
+// sent to it and not be refused.
 func TestRegrantedOwnerServesWaitingRequests(t *testing.T) {
 	withTestbed(t, 1, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
@@ -239,20 +241,20 @@
 	})
 }
 
-// No owner comes. The caller must be answered after the stated second, not at the end of
-// its patience of 20 s.
+// A key gets no owner. The caller must be answered after maxOwnerWait, and not only at its
+// deadline of 20 s.
 func TestMissingOwnerIsReportedWithinASecond(t *testing.T) {
 	withTestbed(t, 1, true, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.refusal = target.RefusedFence })
-		begun := time.Now()
+		start := time.Now()
 		a := b.call(stream{customer: "listeners", deadline: 20 * time.Second}, "r", time.Millisecond)
 		require.Equal(t, problem.NoOwner, a.Problem.Kind)
-		require.InDelta(t, maxOwnerWait.Seconds(), time.Since(begun).Seconds(), 0.05)
+		require.InDelta(t, maxOwnerWait.Seconds(), time.Since(start).Seconds(), 0.05)
 	})
 }
 
-// All slots are taken and the dispatcher leaves. What waits goes back at once, what
-// runs is answered.
+// The dispatcher drains while all slots are taken. Waiting requests must be returned at once,
+// and running ones must be answered.
 func TestDrainReturnsWaitingRequestsAtOnce(t *testing.T) {
 	withTestbed(t, 1, false, func(b *testbed) {
 		s := stream{customer: "listeners", deadline: 5 * time.Second}
@@ -260,10 +262,10 @@
 		b.callers.Go(func() { sent = b.call(s, "r1", time.Second) })
 		b.callers.Go(func() { b.call(s, "r2", time.Second) })
 		time.Sleep(10 * time.Millisecond)
-		begun := time.Now()
+		start := time.Now()
 		b.callers.Go(func() {
 			waiting = b.call(s, "r3", time.Second)
-			require.Less(b.t, time.Since(begun), 20*time.Millisecond)
+			require.Less(b.t, time.Since(start), 20*time.Millisecond)
 		})
 		time.Sleep(10 * time.Millisecond)
 		_ = b.queue.inbox.Push(context.Background(), message{drain: true})
@@ -274,8 +276,8 @@
 	})
 }
 
-// Three requests run on a target when it dies. The watch over crashing requests must
-// are notified of one death with all of them, and of no other end.
+// Two requests run on a target when it dies. The quarantine must be notified of one death with
+// both of them, and of no other end.
 func TestDeathIsReportedOnceWithAllRunningRequests(t *testing.T) {
 	withTestbed(t, 1, false, func(b *testbed) {
 		d := &deathRecorder{}
--- a/internal/dispatch/hints.go
+++ b/internal/dispatch/hints.go
@@ -9,7 +9,7 @@
 	"hemlockquay/internal/target"
 )
 
-// hint is what a target said of itself.
+// hint is what a target reports about itself.
 type hint struct {
 	target string
 	health target.Health
@@ -17,22 +17,22 @@
 }
 
 const (
-	// hintInterval is how often targets of a queue in use are asked. A target
-	// that leaves is to get no new work after 3 s, also where it does not
-	// refuse it.
+	// hintInterval is how often the targets of a queue in use are polled. A target
+	// that is leaving must get no new work after 3 s, even if it does not refuse
+	// any.
 	hintInterval = time.Second
-	// hintTimeout bounds the question.
+	// hintTimeout bounds one poll of all targets.
 	hintTimeout = 500 * time.Millisecond
-	// hintActivePeriod is how long after its last request a queue counts as in use.
+	// hintActivePeriod is how long a queue counts as in use after its last request.
 	hintActivePeriod = 10 * time.Second
-	// deathCheckTimeout bounds the question whether a target died. Its caller waits
-	// meanwhile; a target that lives answers in milliseconds.
+	// deathCheckTimeout bounds the check whether a target died. The caller of the
+	// request waits for it; a target that is up answers in milliseconds.
 	deathCheckTimeout = 100 * time.Millisecond
-	// maxConcurrentHints bounds the questions on their way.
-	maxConcurrentHints = 16
+	// maxConcurrentPolls bounds the number of targets that are polled at once.
+	maxConcurrentPolls = 16
 )
 
-// pollHints asks the targets of the queue for hints while it is in use.
+// pollHints polls the targets of the queue for hints while the queue is in use.
 func (q *queue) pollHints(ctx context.Context) {
 	ticker := time.NewTicker(hintInterval)
 	defer ticker.Stop()
@@ -60,7 +60,7 @@
 		probes sync.WaitGroup
 		hints  []hint
 	)
-	semaphore := make(chan struct{}, maxConcurrentHints)
+	semaphore := make(chan struct{}, maxConcurrentPolls)
 	for _, t := range s.Targets {
 		if q.id.Target != "" && t.Name != q.id.Target {
 			continue
@@ -83,7 +83,7 @@
 	return hints
 }
 
-// applyHints takes hints over. They never make a target more attractive than its
+// applyHints applies the hints. They never make a target more attractive than its
 // measured answers; see package balance.
 func (q *queue) applyHints(hints []hint, now time.Time) {
 	for _, h := range hints {
@@ -95,9 +95,9 @@
 		t.measured.Hint = h.load.Running
 		if h.health.Leaving != t.measured.HintLeaving {
 			t.measured.HintLeaving = h.health.Leaving
-			text := "says that it leaves: no new work while others serve"
+			text := "reports that it is leaving: gets no new work while others serve"
 			if !h.health.Leaving {
-				text = "says that it stays: takes part again"
+				text = "reports that it is no longer leaving: gets work again"
 				t.measured.Returned()
 			}
 			q.journal.Add("hint", text, q.id.String(), h.target)
@@ -105,9 +105,9 @@
 	}
 }
 
-// targetDied reports whether the target behind a broken connection died: nothing listens
-// at its address, or another incarnation does.
-// A broken connection alone is no death: all that runs there would become suspect.
+// targetDied reports whether a target whose connection broke has ended: nothing listens
+// at its address any more, or another incarnation does. A broken connection alone does
+// not count, since all requests that run on the target would become suspects.
 func (q *queue) targetDied(addr, incarnation string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), deathCheckTimeout)
 	defer cancel()
--- a/internal/dispatch/holder.go
+++ b/internal/dispatch/holder.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// Claim votes on another coordinator's claim.
+// Claim votes, as a holder, on the claim of a coordinator.
 func (d *deduplicator) Claim(args *ClaimArgs, vote *idempotency.Vote) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// Settle records the end of a request.
+// Settle stores the outcome of a claimed request.
 func (d *deduplicator) Settle(r *idempotency.Record, _ *wire.Empty) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// Release forgets a claim whose request was not run.
+// Release removes a claim whose request was not run.
 func (d *deduplicator) Release(r *idempotency.Record, _ *wire.Empty) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Await waits for the end of a claim of this dispatcher.
+// Await waits for the end of a claim that this dispatcher coordinates.
 func (d *deduplicator) Await(args *wire.AwaitArgs, reply *wire.AwaitReply) error {
 	d.mu.Lock()
 	claim := d.claims[args.Claim]
@@ -53,10 +53,10 @@
 	return nil
 }
 
-// CopyArgs names the dispatcher that asks for its records.
+// CopyArgs requests a copy of the records for the dispatcher of a VM.
 type CopyArgs struct{ VM string }
 
-// CopyIntents gives the records of which the asking VM is a holder.
+// CopyIntents returns the records of which the requesting VM is a holder.
 func (d *deduplicator) CopyIntents(args *CopyArgs, reply *idempotency.Copy) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,23 +64,23 @@
 	return nil
 }
 
-// HandoffArgs hands over the records of a dispatcher that leaves.
+// HandoffArgs holds the records of a dispatcher that is shutting down.
 type HandoffArgs struct {
 	VM      string
 	Records idempotency.Copy
 }
 
-// Handoff takes over the records of a dispatcher that leaves.
+// Handoff takes over the records of a dispatcher that is shutting down.
 func (d *deduplicator) Handoff(args *HandoffArgs, _ *wire.Empty) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.records.Handoff(args.VM, args.Records, d.clock.Now())
-	d.journal.Add(stepIntent, "took over the records of a dispatcher that leaves", args.VM)
+	d.journal.Add(stepIntent, "took over the records of a dispatcher that is shutting down", args.VM)
 	return nil
 }
 
-// handOverRecords hands the records over in a planned stop. One that does not arrive makes
-// the stop count like a loss at the VM that it was for.
+// handOverRecords sends the records to all other dispatchers during a planned stop. A
+// dispatcher that does not receive them treats the stop like the loss of this VM.
 func (d *deduplicator) handOverRecords(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoffTimeout)
 	defer cancel()
@@ -94,14 +94,15 @@
 		}
 		calls.Go(func() {
 			if err := d.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodHandoff, args, &wire.Empty{}); err != nil {
-				d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("records not handed over")
+				d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("handoff of records failed")
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// runSync is the duty that follows the list of VMs and fetches missing records.
+// runSync applies changes of the list of VMs, fetches missing records and removes expired
+// ones, until the context ends.
 func (d *deduplicator) runSync(ctx context.Context) {
 	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
@@ -122,7 +123,8 @@
 	}
 }
 
-// membersToCopy returns the members whose records are to be asked for now.
+// membersToCopy applies the current list of VMs and returns the members from which records
+// are to be copied now.
 func (d *deduplicator) membersToCopy() []wire.Member {
 	v := d.feed.Current()
 	d.mu.Lock()
@@ -132,7 +134,7 @@
 	d.records.SetPlaces(v.Listed, now)
 	if !slices.Equal(previous, d.records.Places()) {
 		clear(d.copiedAt)
-		d.journal.Add(stepIntent, "holders of intents follow a new list of VMs", d.vm)
+		d.journal.Add(stepIntent, "holders of records recomputed for a new list of VMs", d.vm)
 	}
 	var out []wire.Member
 	for _, vm := range d.records.Missing() {
@@ -150,7 +152,7 @@
 	defer cancel()
 	var reply idempotency.Copy
 	if err := d.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodCopy, &CopyArgs{VM: d.vm}, &reply); err != nil {
-		d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("no copy of records")
+		d.log.Debug().Err(err).Str("step", stepIntent).Str("peer", m.VM).Msg("copying records failed")
 		return
 	}
 	d.mu.Lock()
@@ -173,7 +175,7 @@
 	}
 }
 
-// dedupState is the section of the dump.
+// dedupState is the section "intents" of the dump.
 type dedupState struct {
 	Records int      `json:"records"`
 	Bytes   int      `json:"answerBytes"`
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// requestChart is the life of a request; see charts/request.jsonc.
+// requestChart is the state chart of a request; see charts/request.jsonc.
 var requestChart = charts.MustLoad("request")
 
 // Events and states of the chart.
@@ -29,7 +29,8 @@
 	stateUnsettled statechart.State = "unsettled"
 )
 
-// job is a request in a queue. Its queue's goroutine owns it, except for done.
+// job is a request in a queue. It is owned by the goroutine of the queue, except for
+// done.
 type job struct {
 	request  *wire.Request
 	deadline time.Time
@@ -37,29 +38,31 @@
 	kind     duration.Kind
 	// item is its place in the fair queue.
 	item fairqueue.Item[*job]
-	// expected is the service time that the kind is expected to take.
+	// expected is the expected service time of the request's kind.
 	expected time.Duration
 	// arrivedAt is when it entered the queue.
 	arrivedAt time.Time
-	// parkedAt is when it first waited for an owner; zero if it never did.
+	// parkedAt is when the job first waited for an owner; zero if it never did.
 	parkedAt time.Time
-	// giveUp is when it is ended if it was not sent; wait is its place in the
-	// heap of these moments, -1 for none.
+	// giveUp is when the job fails if it has not been sent until then; giveUpIndex
+	// is its index in the queue's giveUpHeap, -1 if it is not in there.
 	giveUp      time.Time
 	giveUpIndex int
 
 	attempts int
-	// lostBefore says that an earlier attempt may have run.
+	// lostBefore reports whether the answer of an earlier attempt was lost, so that
+	// it may have run.
 	lostBefore bool
-	// lastTarget was tried lastTarget; another is preferred.
+	// lastTarget is the target of the last attempt; the next one prefers another.
 	lastTarget *poolTarget
-	// grant is what the last attempt was sent by; nil where unkeyed.
+	// grant is the grant that the last attempt was sent with; nil for an unkeyed
+	// service.
 	grant *wire.Grant
-	// sentAt is when the attempt in flight was begun.
+	// sentAt is when the last attempt was sent.
 	sentAt time.Time
-	// cancel ends the attempt that is in flight.
+	// cancel cancels the attempt in flight.
 	cancel context.CancelFunc
-	// done receives the one answer; it has room for it.
+	// done receives the only answer; it is buffered, so that sending does not block.
 	done chan wire.Answer
 }
 
@@ -77,7 +80,7 @@
 	return j
 }
 
-// estimateCost fills in what the order needs.
+// estimateCost sets the expected service time and the fields that determine the order.
 func (j *job) estimateCost(t *duration.Table, fifo bool) {
 	j.expected = t.Expect(j.kind)
 	j.item.Cost, j.item.Weight = j.expected.Seconds(), 1
@@ -91,19 +94,19 @@
 	}
 }
 
-// mayHaveRun reports whether an earlier attempt was lost.
+// mayHaveRun reports whether the answer of an earlier attempt was lost.
 func (j *job) mayHaveRun() bool { return j.state.State() == stateUnsettled }
 
-// answer ends the job with a whole answer.
+// answer ends the job with the answer of a target.
 func (j *job) answer(a wire.Answer) {
 	if j.state.Fire(eventAnswer) == nil {
 		j.done <- a
 	}
 }
 
-// fail ends a job that waits. It is refused as not run, unless an earlier attempt
-// may have run: the chart has no way from there to a refusal, since a promise that
-// cannot be kept is not made.
+// fail ends a waiting job. It is refused as not run, unless an earlier attempt may have
+// run: in that case the state chart has no transition to a refusal, and the answer says
+// that it is unknown whether the request ran.
 func (j *job) fail(p *problem.Error) {
 	if j.mayHaveRun() {
 		lost := *p
@@ -116,14 +119,14 @@
 	}
 }
 
-// failUnknown ends a job that may have run.
+// failUnknown ends a job that may have run; the problem p says so.
 func (j *job) failUnknown(p *problem.Error) {
 	if j.state.Fire(eventLose) == nil {
 		j.done <- wire.Refused(j.request.ID, p)
 	}
 }
 
-// giveUpHeap orders jobs by the moment at which they are given up. It implements
+// giveUpHeap orders jobs by the time at which they are given up. It implements
 // heap.Interface.
 type giveUpHeap []*job
 
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -16,8 +16,8 @@
 	capacity = 20 / 0.008
 )
 
-// overload offers load times the capacity from two customers and returns what came
-// of the 4 s after the first.
+// overload offers load times the capacity from two customers. It returns the number of
+// answers and the 99th percentiles of latencies and refusals, in 4 s after the first second.
 func overload(t *testing.T, load float64) (answered int, p99, refused99 time.Duration) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		for _, customer := range []string{"listeners", "walkers"} {
@@ -41,9 +41,9 @@
 	return answered, p99, refused99
 }
 
-// At bedtime three times as many listeners come as the pool can serve, for as long
-// as the evening lasts. Those who are served must be served as quickly as just
-// before, all slots must do useful work, and the others must be refused at once.
+// Up to three times as many requests arrive as the pool can serve, for a long time. Requests
+// that are served must be served about as quickly as at 90% load, all slots must do useful
+// work, and the other requests must be refused at once.
 func TestSustainedOverload(t *testing.T) {
 	_, calm, _ := overload(t, 0.9)
 	for _, load := range []float64{1.5, 3} {
@@ -55,8 +55,8 @@
 	}
 }
 
-// A thousand requests come at one moment to a pool that idles. All fit into their
-// deadline, so none may be refused.
+// A thousand requests arrive at once at an idle pool. All can be served before their
+// deadlines, so none may be refused.
 func TestBurstIsServed(t *testing.T) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		b.burst(stream{customer: "listeners", deadline: 2 * time.Second}, 1000)
@@ -65,8 +65,8 @@
 	})
 }
 
-// One customer sends ten times its share of the pool, two others what they always
-// send. The others must not notice: under 1% refused, and quick answers.
+// One customer sends ten times its share of the pool, and two others stay below theirs. Less
+// than 1% of the others' requests may be refused, and their answers must stay quick.
 func TestHotCustomerDoesNotAffectOthers(t *testing.T) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "hot", rate: 10 * capacity / 3, lasts: 3 * time.Second})
@@ -81,8 +81,8 @@
 	})
 }
 
-// All of one customer's requests name one hot key, and its owner is one server with
-// two slots. Another customer's keys on the same server must still be served.
+// All requests of one customer are for one hot key, whose owner has two slots. Another
+// customer's keys with the same owner must still be served.
 func TestHotKey(t *testing.T) {
 	withTestbed(t, 1, true, func(b *testbed) {
 		b.offer(stream{customer: "hot", rate: 5 * capacity / 10, lasts: 4 * time.Second})
@@ -94,8 +94,8 @@
 	})
 }
 
-// One server of ten turns ten times slower at 60% load. Callers of the pool must
-// hardly see it: 99 in 100 within 1.5 times of what they had.
+// One target of ten is ten times slower, at 60% load. The 99th percentile of the pool's
+// latency may grow by a factor of 1.5 at most.
 func TestSlowTarget(t *testing.T) {
 	p99 := func(factor float64) (d time.Duration) {
 		withTestbed(t, 10, false, func(b *testbed) {
@@ -111,8 +111,8 @@
 	require.LessOrEqual(t, slow, even*3/2)
 }
 
-// The only owner of the keys turns ten times slower, and so does a whole pool. There
-// is no better target to wait for: the slots must stay busy.
+// All targets become ten times slower: the only owner of the keys, or a whole pool. There is
+// no better target to wait for, so the slots must stay busy.
 func TestSlowTargetsAreUsedIfAllAreSlow(t *testing.T) {
 	for _, targets := range []int{1, 3} {
 		withTestbed(t, targets, targets == 1, func(b *testbed) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// A server recovers from slowness. It must get its share again, by trials.
+// A slow target recovers. It is probed, and must then get its share of requests again.
 func TestSlowTargetRecovers(t *testing.T) {
 	withTestbed(t, 4, false, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.factor = 10 })
@@ -142,8 +142,8 @@
 	})
 }
 
-// A slow target says on its load endpoint that it is idle, and on its health
-// endpoint that all is well. Believed, it would draw all requests.
+// A slow target wrongly reports that it is idle and healthy. A choice by such reports would
+// send all requests to it.
 func TestWrongLoadReportAttractsNoLoad(t *testing.T) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		for name, f := range b.targets {
@@ -158,8 +158,8 @@
 	})
 }
 
-// Every target says that it leaves, though all serve: endpoints that mislead must
-// not empty the pool.
+// All targets report that they are leaving, though they serve. Wrong reports must not leave
+// the pool without targets.
 func TestPoolServesIfAllTargetsReportLeaving(t *testing.T) {
 	withTestbed(t, 3, false, func(b *testbed) {
 		for _, f := range b.targets {
@@ -171,8 +171,8 @@
 	})
 }
 
-// One customer's exports take a hundred times as long as the listeners' requests and
-// would fill every slot of the pool. Listeners must still get theirs.
+// The exports of one customer take a hundred times as long as the requests of another, and
+// would fill all slots of the pool. The other customer must still be served.
 func TestLongJobsDoNotFillAllSlots(t *testing.T) {
 	withTestbed(t, 5, false, func(b *testbed) {
 		b.offer(stream{customer: "listeners", rate: 150, lasts: 10 * time.Second})
@@ -184,8 +184,8 @@
 	})
 }
 
-// Nightly audits run beside a full interactive load. They get their floor of 20%,
-// and interactive callers keep the rest.
+// Background requests arrive beside a full interactive load. They must get their floor of 20%
+// of the slots.
 func TestBackgroundFloorBesideFullLoad(t *testing.T) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "ci", rate: 1.5 * capacity, lasts: 5 * time.Second})
@@ -198,9 +198,8 @@
 	})
 }
 
-// A data centre returns after all its targets were down for 700 ms. All callers
-// repeat at once. Nobody may be hurt by repeats to targets that refuse connections,
-// and the pool must serve again at once.
+// All targets are down for 700 ms, and then callers reconnect at once. While the targets refuse
+// connections there must be few attempts, and afterwards the pool must serve again at once.
 func TestMassReconnect(t *testing.T) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "listeners", rate: 0.3 * capacity, lasts: 4 * time.Second, idempotent: true})
@@ -223,8 +222,8 @@
 	})
 }
 
-// Three of ten answers are lost on their way. Repeats must help, but may not add
-// more than a tenth to the load of the targets.
+// Three of ten answers are lost. Requests must be repeated, but this may add at most a tenth to
+// the load of the targets.
 func TestRetryAmplification(t *testing.T) {
 	withTestbed(t, 10, false, func(b *testbed) {
 		for _, f := range b.targets {
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -8,8 +8,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// groupLoads counts the requests of each group for the service's assigner. It is safe
-// for concurrent use.
+// groupLoads measures the request rate of each group, for the assigner of the
+// service. It is safe for concurrent use.
 type groupLoads struct {
 	clock boottime.System
 
@@ -25,7 +25,7 @@
 	l.meter.Add(loadmeter.Group{Service: service, Group: group}, 1, l.clock.Now())
 }
 
-// hottest returns the groups for a report to the agent.
+// hottest returns the groups with the highest rates, for the report to the agent.
 func (l *groupLoads) hottest() []wire.GroupLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -9,10 +9,10 @@
 	"hemlockquay/internal/view"
 )
 
-// failMoved hands the jobs that wait for a target back to their entries where
-// another target owns their key by now.
-// A queue whose only target rests examines no job, so each new view is compared with all that waits.
-// The jobs were not sent, so entries may send them on.
+// failMoved refuses the waiting jobs whose keys are now owned by another target. They
+// were not sent, so entries may send them to the new owner.
+// It is called for each new view, since a queue whose only target is in back-off examines
+// no jobs otherwise.
 func (q *queue) failMoved() {
 	if q.id.Target == "" {
 		return
@@ -29,7 +29,7 @@
 	}
 }
 
-// ownedElsewhere reports whether another target than the queue's owns the job's key.
+// ownedElsewhere reports whether a target other than that of the queue owns the job's key.
 func (q *queue) ownedElsewhere(v *view.View, j *job) bool {
 	if q.id.Target == "" {
 		return false
@@ -42,10 +42,11 @@
 	return problem.Refuse(problem.NoOwner, "grant", q.id.Target, "another target owns the key now")
 }
 
-// parkUnlessRegranted parks a job that a target refused for its grant, unless the view
-// in force is newer than the one that it was sent by.
-// The refusal of an old owner may arrive after the view with the new one; waiting for the next view
-// would then last until some other group changes.
+// parkUnlessRegranted parks a job that the target refused because of its grant, unless
+// the current view already has a newer grant: it then returns the job to the entry or
+// requeues it.
+// The refusal of the old owner may arrive after the view that has the new one. Waiting for
+// the next view would then last until the owner of some other group changes.
 func (q *queue) parkUnlessRegranted(j *job, now time.Time) {
 	v := q.feed.Current()
 	grant := v.Owner(q.id.Service, keyspace.Of(j.request.Key))
@@ -60,10 +61,10 @@
 	}
 }
 
-// retryParked tries as many parked jobs again as the target has slots; the first that
-// is answered brings all others back.
-// A grant that expired and is renewed at the same rank changes no view, so nothing else would end the
-// wait.
+// retryParked requeues as many parked jobs as the target has slots. The first one that is
+// answered requeues all others.
+// It is needed because an expired grant that is renewed at the same rank changes no view,
+// so that nothing else would end the wait.
 func (q *queue) retryParked() {
 	left := q.maxParkedRetries()
 	for j := range q.parked {
@@ -77,7 +78,7 @@
 	}
 }
 
-// maxParkedRetries is how many parked jobs are tried at once.
+// maxParkedRetries returns how many parked jobs are retried at once.
 func (q *queue) maxParkedRetries() int {
 	if q.pool.service == nil {
 		return 0
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -9,20 +9,20 @@
 	"hemlockquay/internal/wire"
 )
 
-// poolTarget is a target of a queue with what was measured of it.
+// poolTarget is a target of a queue with its measurements.
 type poolTarget struct {
 	model.Target
 	measured balance.Target
 	limit    slots.Limit
-	// incarnation is what its health endpoint said last.
+	// incarnation is the one that its health endpoint reported last.
 	incarnation string
-	// running holds the jobs whose attempts are on their way.
+	// running holds the jobs with an attempt in flight to the target.
 	running map[*job]struct{}
-	// diedAt is when it was last found dead.
+	// diedAt is when the target was last found to have ended.
 	diedAt time.Time
 }
 
-// requests lists what runs on the target.
+// requests returns the requests in flight to the target.
 func (t *poolTarget) requests() []*wire.Request {
 	out := make([]*wire.Request, 0, len(t.running))
 	for j := range t.running {
@@ -31,17 +31,19 @@
 	return out
 }
 
-// pool is the targets of a queue: one for a keyed service, all for an unkeyed one.
+// pool holds the targets of a queue: one target of a keyed service, or all targets of
+// an unkeyed one.
 type pool struct {
 	service *model.Service
 	targets []*poolTarget
-	// measured is targets' part for the choice, in the same order.
+	// measured holds the measurements of targets, in the same order, as input for the
+	// choice of a target.
 	measured   []*balance.Target
 	fixedSlots bool
 }
 
-// sync takes over the service object in force. What was measured of a target
-// stays with its name and address.
+// sync applies a new version of the service. A target whose name and address have not
+// changed keeps its measurements. A targetName other than "" selects that target only.
 func (p *pool) sync(s *model.Service, targetName string) {
 	if p.service == s {
 		return
@@ -67,7 +69,7 @@
 	}
 }
 
-// update renews the number that may be in flight at the target.
+// update recomputes how many requests may be in flight to the target.
 func (p *pool) update(t *poolTarget) {
 	t.measured.Limit = p.service.Slots
 	if !p.fixedSlots {
@@ -75,8 +77,8 @@
 	}
 }
 
-// capacity returns the slots of targets that serve, a slow one counting for what
-// it does, and the plain number of slots.
+// capacity returns the slots of the targets that serve: effective, where those of a slow
+// target are divided by its slowness, and in total.
 func (p *pool) capacity(now time.Time) (effective float64, total int) {
 	for _, t := range p.targets {
 		if !t.measured.Serves(now) {
@@ -92,8 +94,9 @@
 	return effective, total
 }
 
-// nextBackoffEnd is how long until the rest of a target ends, tickEvery where none
-// rests. A queue that noticed it at its next tick only would leave a slot idle.
+// nextBackoffEnd returns the time until the next back-off of a target ends, at most
+// tickInterval. A queue that noticed the end only at its next tick would leave a slot
+// idle until then.
 func (p *pool) nextBackoffEnd(now time.Time) time.Duration {
 	next := tickInterval
 	for _, t := range p.targets {
@@ -104,8 +107,8 @@
 	return next
 }
 
-// mostlySlow reports whether over half of the targets count as slow. Then it is the
-// expectation that is wrong.
+// mostlySlow reports whether more than half of the targets count as slow. In that case
+// the expected service times are wrong rather than the targets slow.
 func (p *pool) mostlySlow() bool {
 	n := 0
 	for _, t := range p.targets {
@@ -125,7 +128,8 @@
 	return nil
 }
 
-// index returns the target's place, -1 for nil or one that is gone.
+// index returns the index of the target, or -1 for nil and for a target that has been
+// removed.
 func (p *pool) index(t *poolTarget) int {
 	for i, other := range p.targets {
 		if other == t {
--- a/internal/dispatch/quarantine_test.go
+++ b/internal/dispatch/quarantine_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// noQuarantine lets everything run.
+// noQuarantine is a Quarantine that admits all requests.
 type noQuarantine struct{}
 
 func (noQuarantine) Admit(string, *wire.Request, time.Time) (Admission, *problem.Error) {
@@ -20,9 +20,9 @@
 func (noQuarantine) Finished(string, *wire.Request, bool, time.Time) {}
 func (noQuarantine) Died(string, []*wire.Request, time.Time)         {}
 
-// A target restarts between two looks at its health, and answers ordinary requests.
-// Each whole answer was taken for a death of the target, since it came from another
-// incarnation than was known; the ordinary request was quarantined.
+// A target restarts between two health checks, and answers ordinary requests. Each answer was
+// taken for a death of the target, since the incarnation was not the known one, and ordinary
+// requests were quarantined.
 func TestAnswerOfRestartedTargetIsNotADeath(t *testing.T) {
 	withTestbed(t, 1, false, func(b *testbed) {
 		d := &deathRecorder{}
--- a/internal/dispatch/quarantinemessage.go
+++ b/internal/dispatch/quarantinemessage.go
@@ -9,42 +9,43 @@
 	"hemlockquay/internal/wire"
 )
 
-// quarantineMessage is one round with all other dispatchers: a notice, or the question for a
-// permit.
+// quarantineMessage is a message to all other dispatchers: a notice of a case, or a request
+// for the permit to run a suspect.
 type quarantineMessage struct {
 	crashCase quarantine.Case
-	// pool is set where a permit is asked for, asked is when it was wanted.
+	// pool is the pool for which a permit is requested, "" for a notice; requestedAt
+	// is the time of the request.
 	pool        string
 	requestedAt time.Duration
 }
 
-// enqueue queues a round. A round that finds no room is lost like a message: a permit
-// is asked for again, and a notice goes along with the next permit. The caller
-// holds mu.
+// enqueue puts a message into outbox. If outbox is full, the message is dropped, which has
+// the same effect as its loss on the network: a permit is requested again, and a case is
+// sent again with the next permit request. The caller must hold mu.
 func (w *crashWatcher) enqueue(g quarantineMessage) {
 	if w.outbox.Push(context.Background(), g) == nil {
 		w.queued++
 	}
 }
 
-// PermitArgs requests the consent of another dispatcher to the run of a suspect, or reports
-// a case where Pool is "".
+// PermitArgs asks another dispatcher to permit the run of a suspect. If Pool is "", it only
+// reports a case.
 type PermitArgs struct {
 	From string
 	Pool string
 	Case quarantine.Case
 }
 
-// PermitReply answers PermitArgs with what the other knows.
+// PermitReply is the reply to PermitArgs, with the case as the other dispatcher knows it.
 type PermitReply struct {
 	Granted bool
 	Case    quarantine.Case
 }
 
-// CaseList is all cases of a dispatcher.
+// CaseList holds all cases of a dispatcher.
 type CaseList struct{ Cases []quarantine.Case }
 
-// Permit implements the RPC for other dispatchers.
+// Permit implements the RPC with which other dispatchers report cases and request permits.
 func (w *crashWatcher) Permit(args *PermitArgs, reply *PermitReply) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// Cases implements the RPC for dispatchers that have just started.
+// Cases implements the RPC with which a dispatcher that has just started fetches the cases.
 func (w *crashWatcher) Cases(_ *wire.Empty, reply *CaseList) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,13 +75,14 @@
 	w.journalQuarantine(&merged)
 }
 
-// run is the duty that talks to the other dispatchers.
+// run sends the messages in outbox and fetches the cases of the other dispatchers, until the
+// context ends.
 func (w *crashWatcher) run(ctx context.Context) {
 	tick := time.NewTicker(fetchInterval)
 	defer tick.Stop()
 	changed := w.feed.Changed()
 	start := w.clock.Now()
-	join := func() {
+	prepare := func() {
 		if w.prepareReady(ctx, w.clock.Now()-start) {
 			tick.Stop()
 			changed = nil
@@ -92,20 +94,21 @@
 			w.broadcast(ctx, g)
 		case <-changed:
 			changed = w.feed.Changed()
-			join()
+			prepare()
 		case <-tick.C:
-			join()
+			prepare()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// prepareReady fetches what the others know and then lets requests come. It returns true
-// once one of them answered.
-// A dispatcher that does not know the quarantines would run what the others refuse, so entries get its
-// address only once it is ready. A first view that names no other dispatcher leaves nothing to fetch; a
-// silent one delays the start by catchUpFor at most.
+// prepareReady fetches the cases of the other dispatchers and then reports this one as ready.
+// It returns whether one of the others answered.
+// A dispatcher that does not know the quarantines would run requests that the others refuse,
+// so entries get its address only once it is ready. If the view lists no other dispatcher,
+// there is nothing to fetch. Dispatchers that do not answer delay the start by maxReadyDelay
+// at most.
 func (w *crashWatcher) prepareReady(ctx context.Context, waited time.Duration) bool {
 	if w.feed.Current().Source == "" {
 		return false
@@ -127,8 +130,8 @@
 	return out
 }
 
-// broadcast queries or notifies all other dispatchers at once. A permit needs the consent of
-// each that counts as a member: one that does not answer may be running the
+// broadcast sends a message to all other dispatchers at once. A permit must be granted by
+// every dispatcher that is a member, since one that does not answer may be running the
 // suspect.
 func (w *crashWatcher) broadcast(ctx context.Context, g quarantineMessage) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
@@ -141,7 +144,7 @@
 		calls.Go(func() {
 			var reply PermitReply
 			if err := w.peers.Get(m.DispatchAddr).Call(ctx, wire.MethodPermit, args, &reply); err != nil {
-				w.log.Debug().Err(err).Str("step", stepQuarantine).Str("peer", m.VM).Msg("no answer")
+				w.log.Debug().Err(err).Str("step", stepQuarantine).Str("peer", m.VM).Msg("dispatcher did not answer")
 				return
 			}
 			replies[i] = reply
@@ -174,7 +177,8 @@
 	w.counters.denied.Inc(1)
 }
 
-// fetchCases fetches the cases that others know. It returns true once one answered.
+// fetchCases fetches the cases from the first other dispatcher that answers, and returns
+// whether one did.
 func (w *crashWatcher) fetchCases(ctx context.Context) bool {
 	for _, m := range w.otherDispatchers() {
 		callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -21,25 +21,26 @@
 	"hemlockquay/internal/wire"
 )
 
-// inboxLength is how many messages may wait for a queue's goroutine.
+// inboxLength bounds the messages that wait for the goroutine of a queue.
 const inboxLength = 4096
 
-// tickInterval is how often a queue that is not empty looks after what no message
-// announces: a target whose rest is over, a held request.
+// tickInterval is how often a queue that is not empty checks for changes that no message
+// reports, such as the end of a target's back-off or a permit for a held request.
 const tickInterval = 20 * time.Millisecond
 
-// maxOwnerWait bounds how long a request waits for an owner or for any target of
-// its pool. A takeover takes under a second; longer means that nobody can say when.
+// maxOwnerWait bounds how long a request waits for an owner, or for any target of its
+// pool. A takeover takes less than a second; if it takes longer, its end cannot be
+// predicted.
 const maxOwnerWait = time.Second
 
-// queueID names a queue: a target of a keyed service, or a whole pool.
+// queueID identifies a queue by the target of a keyed service or by an unkeyed service.
 type queueID struct {
 	Service string
-	// Target is "" for the pool of an unkeyed service.
+	// Target is "" for an unkeyed service.
 	Target string
 }
 
-// String returns the name for logs and metrics.
+// String returns the name of the queue in logs and metrics.
 func (id queueID) String() string {
 	if id.Target == "" {
 		return id.Service
@@ -47,18 +48,18 @@
 	return id.Service + "." + id.Target
 }
 
-// message is what a queue's goroutine receives; one field is set.
+// message is a message to the goroutine of a queue. One field is set.
 type message struct {
 	arrive *job
 	cancel string
 	result *result
 	hints  []hint
 	drain  bool
-	// inspect reads the queue's state.
+	// inspect is called on the goroutine of the queue, to read its state.
 	inspect func()
 }
 
-// queueDeps are what all queues of a dispatcher share.
+// queueDeps holds the dependencies that all queues of a dispatcher share.
 type queueDeps struct {
 	vm         string
 	limit      int
@@ -91,32 +92,34 @@
 	Load(ctx context.Context, addr string) (target.Load, error)
 }
 
-// queue is the queue of one target or pool. Its state belongs to one goroutine,
-// run; all else speaks to it through the ring.
+// queue is the queue of one target or pool. Its state is owned by the goroutine that
+// executes run; others send messages to it through inbox.
 type queue struct {
 	*queueDeps
 	id    queueID
 	inbox *ring.Ring[message]
-	// active is when a request came last, nanoseconds; for the prober.
+	// active is when the last request arrived, in Unix nanoseconds. pollHints reads it.
 	active atomic.Int64
 
-	// jobs are all that wait or are sent, by request id.
+	// jobs holds all waiting and sent jobs by request id.
 	jobs    map[string]*job
 	waiting *fairqueue.Queue[*job]
-	// parked wait for the next view, held until suspects are permitted.
+	// parked holds the jobs that wait for an owner, held those that the quarantine holds
+	// back.
 	parked, held map[*job]struct{}
-	// unsent orders all that are not sent by the moment they are unsent up.
+	// unsent holds all jobs that are not sent, by the time at which they are given up.
 	unsent giveUpHeap
 	pool   pool
-	// worker pool runs the attempts.
+	// workers runs the attempts.
 	workers      *workerPool
 	serviceTimes *duration.Table
 	budget       *retry.Budget
 	standing     deadline.StandingQueue
 	isStanding   bool
-	// interactiveRate is the rate of interactive work.
+	// interactiveRate is the rate at which interactive work is sent.
 	interactiveRate deadline.Rate
-	// unreachableSince is when the last target that served failed; zero while one serves.
+	// unreachableSince is when the last target that served failed; zero while a target
+	// answers.
 	unreachableSince time.Time
 	longRunning      int
 	draining         bool
@@ -166,8 +169,8 @@
 	}
 }
 
-// resetTimer sets the timer to the next moment at which something is due. An empty
-// queue sleeps.
+// resetTimer sets the timer to the next time at which something is due. It stops the
+// timer if no job waits.
 func (q *queue) resetTimer(timer *time.Timer, now time.Time) {
 	if len(q.unsent) == 0 {
 		timer.Stop()
@@ -194,7 +197,7 @@
 	}
 }
 
-// arrive takes a job in or refuses it at once.
+// arrive adds a job to the queue or refuses it at once.
 func (q *queue) arrive(j *job, now time.Time) {
 	q.active.Store(now.UnixNano())
 	q.syncService()
@@ -218,7 +221,8 @@
 	}
 }
 
-// reservedServiceTime is how much of the deadline is set aside for the service.
+// reservedServiceTime returns how much of the time to the deadline is reserved for the
+// service. It is 0 while there are no estimates.
 func (q *queue) reservedServiceTime(j *job) time.Duration {
 	if q.fifo || !q.serviceTimes.Known() {
 		return 0
@@ -226,7 +230,7 @@
 	return j.expected
 }
 
-// scheduleGiveUp notes when a job that is not sent is given up.
+// scheduleGiveUp sets the time at which the job is given up if it has not been sent.
 func (q *queue) scheduleGiveUp(j *job, giveUp time.Time) {
 	j.giveUp = giveUp
 	if j.giveUpIndex >= 0 {
@@ -236,7 +240,7 @@
 	heap.Push(&q.unsent, j)
 }
 
-// removeWaiting takes a job out of all that waits.
+// removeWaiting removes a job from all collections of waiting jobs.
 func (q *queue) removeWaiting(j *job) {
 	if j.giveUpIndex >= 0 {
 		heap.Remove(&q.unsent, j.giveUpIndex)
@@ -246,15 +250,15 @@
 	delete(q.held, j)
 }
 
-// fail forgets a job that waits and gives it its answer.
+// fail removes a waiting job and answers it with the problem.
 func (q *queue) fail(j *job, p *problem.Error) {
 	q.removeWaiting(j)
 	delete(q.jobs, j.request.ID)
 	j.fail(p)
 }
 
-// cancel ends a job whose caller went away. An attempt in flight is cancelled at
-// the target; its result ends the job.
+// cancel handles a caller that went away. It ends the job if it waits; otherwise it
+// cancels the attempt in flight, whose result then ends the job.
 func (q *queue) cancel(id string) {
 	j := q.jobs[id]
 	switch {
@@ -266,7 +270,8 @@
 	}
 }
 
-// drain refuses all that is not sent, at once, so that entries send it on.
+// drain refuses at once all jobs that are not sent, so that entries send them to another
+// dispatcher.
 func (q *queue) drain() {
 	q.draining = true
 	for len(q.unsent) > 0 {
@@ -278,7 +283,7 @@
 	return problem.Refuse(problem.Leaving, stepQueue, q.vm, "the dispatcher is leaving")
 }
 
-// expire ends the jobs that are past hope.
+// expire ends the jobs whose time to give up has come.
 func (q *queue) expire(now time.Time) {
 	for len(q.unsent) > 0 && !q.unsent[0].giveUp.After(now) {
 		j := q.unsent[0]
@@ -292,7 +297,7 @@
 	}
 }
 
-// requeue puts jobs back that were set aside.
+// requeue moves parked or held jobs back into the queue.
 func (q *queue) requeue(jobs map[*job]struct{}) {
 	for j := range jobs {
 		delete(jobs, j)
@@ -301,7 +306,7 @@
 	}
 }
 
-// syncService takes over the service object in force.
+// syncService applies the current version of the service to the pool and the queue.
 func (q *queue) syncService() {
 	s := q.feed.Current().Service(q.id.Service)
 	if s == nil || s == q.pool.service {
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -11,17 +11,17 @@
 	"hemlockquay/internal/problem"
 )
 
-// stepQueue is the step of refusals before the sending.
+// stepQueue is the step that is named in refusals of requests that were not sent.
 const stepQueue = "queue"
 
-// counters are the dispatcher's counters.
+// counters holds the counters of the dispatcher.
 type counters struct {
-	// sent counts attempts, repeated those after the first.
+	// sent counts all attempts, repeated those after the first of a request.
 	sent, repeated metrics.Counter
-	// full, early, standing, late, ownerless and dead count refusals.
+	// full, early, standing, late, ownerless and dead count refusals by reason.
 	full, early, standing, late, ownerless, dead metrics.Counter
-	// lost counts requests that may have run, abandoned attempts whose answer
-	// nobody waits for any more.
+	// lost counts requests that ended without an answer and may have run,
+	// abandoned counts attempts whose deadline passed or whose caller went away.
 	lost, abandoned metrics.Counter
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// admissionProblem returns why a job that comes is not taken in, or nil.
+// admissionProblem returns why an arriving job is refused, or nil if it is admitted.
 func (q *queue) admissionProblem(j *job, now time.Time) *problem.Error {
 	switch {
 	case q.draining:
@@ -61,7 +61,7 @@
 	return problem.Refuse(problem.Full, stepQueue, q.vm, detail).After(max(wait, time.Second))
 }
 
-// estimateWait estimates how long a job that comes now waits for a slot.
+// estimateWait estimates how long a job that arrives now will wait for a slot.
 func (q *queue) estimateWait(j *job, now time.Time) time.Duration {
 	slots, _ := q.pool.capacity(now)
 	ahead := q.waiting.Ahead(j.item.Customer, j.item.Class)
@@ -78,7 +78,7 @@
 	return deadline.Wait(ahead, slots)
 }
 
-// unreachable reports whether no target has served for longer than a request may wait.
+// unreachable reports whether no target has served for at least maxOwnerWait.
 func (q *queue) unreachable(now time.Time) bool {
 	if q.unreachableSince.IsZero() || now.Sub(q.unreachableSince) < maxOwnerWait {
 		return false
@@ -91,14 +91,16 @@
 	return problem.Refuse(problem.Full, stepQueue, q.vm, "no target can be reached").After(time.Second)
 }
 
-// dropThreshold is the wait, in bounds, over which requests that wait already give way
-// until it is met. Between it and the bound only requests that just came are refused:
-// bound and slots are estimates that move by a fifth, and to follow each movement
-// refuses requests that have waited for 20 ms.
+// dropThreshold is the wait of a standing queue, as a multiple of the bound, above which
+// requests that already wait are dropped. Between the bound and the threshold only
+// requests that have just arrived are refused: the bound and the slots are estimates that
+// vary by a fifth, and following each variation would refuse requests that have already
+// waited for 20 ms.
 const dropThreshold = 1.5
 
-// limitStandingQueue keeps a standing queue of interactive work at its bound, and ends all that
-// waits for targets which cannot be reached. came is the request that just came, or nil.
+// limitStandingQueue keeps a standing queue of interactive work at its bound. If no target
+// can be reached, it refuses all jobs that are not sent. arrived is the job that has just
+// arrived, or nil.
 func (q *queue) limitStandingQueue(now time.Time, arrived *job) {
 	if len(q.unsent) == 0 {
 		q.updateStanding(now, 0, 0, 0)
@@ -127,8 +129,8 @@
 	}
 }
 
-// dropNewestOverShare refuses the newest request of the customers that hold more of the queue than
-// their shares.
+// dropNewestOverShare refuses the newest request of a customer that holds more of the queue
+// than its share.
 func (q *queue) dropNewestOverShare() {
 	q.refuseStanding(q.waiting.DropNewestOverShare(fairqueue.Interactive).Value)
 }
@@ -142,7 +144,7 @@
 	return problem.Refuse(problem.Full, stepQueue, q.vm, "more work comes than the targets can do, and this customer holds more of the queue than its share").After(time.Second)
 }
 
-// failUnsent ends all that is not sent.
+// failUnsent ends all jobs that are not sent.
 func (q *queue) failUnsent(count metrics.Counter, p *problem.Error) {
 	for len(q.unsent) > 0 {
 		count.Inc(1)
@@ -150,20 +152,21 @@
 	}
 }
 
-// interactiveWait is how long the interactive work takes that waits.
+// interactiveWait returns how long the slots need for the waiting interactive work.
 func (q *queue) interactiveWait(slots float64) time.Duration {
 	return deadline.Wait(q.waiting.Work(fairqueue.Interactive), slots)
 }
 
-// updateStanding follows whether the queue stands, and journals the change.
+// updateStanding updates and returns whether the queue is a standing queue, and journals
+// changes.
 func (q *queue) updateStanding(now time.Time, wait, bound time.Duration, slots float64) bool {
 	isStanding := q.standing.Update(now, wait, bound, slots)
 	if isStanding != q.isStanding {
 		q.isStanding = isStanding
 		if isStanding {
-			q.journal.Add(stepQueue, fmt.Sprintf("the queue stands at %v of work: kept at %v from now on", wait.Round(time.Millisecond), bound.Round(time.Millisecond)), q.id.String())
+			q.journal.Add(stepQueue, fmt.Sprintf("standing queue with a wait of %v: limited to a wait of %v from now on", wait.Round(time.Millisecond), bound.Round(time.Millisecond)), q.id.String())
 		} else {
-			q.journal.Add(stepQueue, "the queue was empty: bursts may wait up to their deadlines again", q.id.String())
+			q.journal.Add(stepQueue, "the standing queue has emptied: requests may wait up to their deadlines again", q.id.String())
 		}
 	}
 	return isStanding
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -19,18 +19,19 @@
 	"hemlockquay/internal/wire"
 )
 
-// result is the end of one attempt.
+// result is the result of one attempt.
 type result struct {
 	job    *job
 	target *poolTarget
 	answer *wire.Answer
 	err    error
 	took   time.Duration
-	// died says that the target was gone right after the connection broke.
+	// died reports whether the target was found to have ended right after the
+	// connection broke.
 	died bool
 }
 
-// sendWaiting sends waiting requests while slots are free.
+// sendWaiting sends waiting jobs while slots are free.
 func (q *queue) sendWaiting(ctx context.Context, now time.Time) {
 	if q.waiting.Len() == 0 {
 		return
@@ -41,7 +42,7 @@
 		q.failWaiting(problem.Refuse(problem.UnknownService, stepQueue, q.vm, "the service or target is gone"))
 		return
 	}
-	// skipped holds requests that only the target just tried could take now.
+	// skipped holds jobs for which only the target of their last attempt is free now.
 	var skipped []*job
 	for q.waiting.Len() > 0 && q.chooseTarget(nil, now) != nil {
 		item := q.waiting.Next(q.mayStartLong(now))
@@ -60,21 +61,21 @@
 	}
 }
 
-// failWaiting ends everything that waits for a slot.
+// failWaiting ends all jobs that wait for a slot.
 func (q *queue) failWaiting(p *problem.Error) {
 	for item := q.waiting.Next(true); item != nil; item = q.waiting.Next(true) {
 		q.fail(item.Value, p)
 	}
 }
 
-// mayStartLong reports whether a long job may take a slot now.
+// mayStartLong reports whether another long job may be sent now.
 func (q *queue) mayStartLong(now time.Time) bool {
 	_, total := q.pool.capacity(now)
 	return q.fifo || q.longRunning < slots.MaxLongJobs(total)
 }
 
-// chooseTarget returns the target for the job, or nil if it must wait; j nil asks
-// whether any target is free.
+// chooseTarget returns the target for the job, or nil if the job must wait. If j is nil, it
+// returns a target that is free for some job.
 func (q *queue) chooseTarget(j *job, now time.Time) *poolTarget {
 	effective, _ := q.pool.capacity(now)
 	c := balance.Choice{Now: now, Avoid: -1, Service: q.serviceTimes.Mean()}
@@ -89,7 +90,7 @@
 	return q.pool.targets[i]
 }
 
-// sendOrHold sends the job, unless it is held, refused or without an owner.
+// sendOrHold sends the job, unless quarantine holds or refuses it or its key has no owner.
 func (q *queue) sendOrHold(ctx context.Context, v *view.View, t *poolTarget, j *job, now time.Time) {
 	switch admission, p := q.quarantine.Admit(t.Name, j.request, now); admission {
 	case AdmitHold:
@@ -114,9 +115,10 @@
 	q.send(ctx, t, grant, j, now)
 }
 
-// park lets a job wait for the next view.
-// During a planned move no target has the slice for a moment. The wait is bounded by the queue's limit
-// and by ownerlessFor, counted from when the job first waited.
+// park makes a job wait for the next view.
+// During a planned move no target owns the slice for a moment. The number of parked jobs
+// is bounded by the limit of the queue, and the wait by maxOwnerWait from when the job was
+// first parked.
 func (q *queue) park(j *job, now time.Time) {
 	if j.parkedAt.IsZero() {
 		j.parkedAt = now
@@ -169,7 +171,7 @@
 	_ = q.inbox.Push(context.Background(), message{result: r})
 }
 
-// outcomeOf classes the end of an attempt that brought no answer.
+// outcomeOf classifies the error of an attempt that ended without an answer.
 func outcomeOf(err error) retry.Outcome {
 	var refused *target.RefusedError
 	switch {
@@ -185,7 +187,8 @@
 	return retry.Lost
 }
 
-// handleResult ends an attempt: with the answer, or with the rules of repeating.
+// handleResult ends an attempt. It answers the job, or retries or fails it according to
+// the outcome.
 func (q *queue) handleResult(r *result, now time.Time) {
 	j, t := r.job, r.target
 	t.measured.InFlight--
@@ -208,10 +211,11 @@
 	q.retryOrFail(j, out, r.err, now)
 }
 
-// reportToQuarantine reports the end of the attempt to the watch over crashing requests.
+// reportToQuarantine reports the end of the attempt to the quarantine.
 //
-// A target that dies breaks all its connections. The first result to come reports
-// them together; the others belong to the same death and are not reported again.
+// A target that dies breaks all its connections. The first such result reports the death
+// with all requests in flight; the results of the others belong to the same death and are
+// not reported again.
 func (q *queue) reportToQuarantine(r *result, now time.Time) {
 	switch {
 	case r.died && r.job.sentAt.After(r.target.diedAt):
@@ -228,7 +232,7 @@
 	wasSlow := t.measured.Slow()
 	t.measured.Answered(r.took, j.expected)
 	if slow := t.measured.Slow(); slow != wasSlow {
-		q.journal.Add("send", fmt.Sprintf("slow is now %v: answers take %.1f times what is expected", slow, t.measured.Slowness()), q.id.String(), t.Name)
+		q.journal.Add("send", fmt.Sprintf("slow is now %v: service times are %.1f times the expected ones", slow, t.measured.Slowness()), q.id.String(), t.Name)
 	}
 	if !t.measured.Slow() || q.pool.mostlySlow() {
 		q.serviceTimes.Add(j.kind, r.took)
@@ -242,7 +246,7 @@
 	j.answer(*r.answer)
 }
 
-// recordFailure notes what a failed attempt says of its target.
+// recordFailure updates the measurements of the target after a failed attempt.
 func (q *queue) recordFailure(r *result, out retry.Outcome, now time.Time) {
 	t := r.target
 	switch {
@@ -251,20 +255,20 @@
 		q.pool.update(t)
 	case out == retry.Unsent || r.died:
 		backoff := t.measured.Failed(now)
-		q.journal.Add("send", fmt.Sprintf("connection failed, no work for %v: %v", backoff, r.err), q.id.String(), t.Name)
+		q.journal.Add("send", fmt.Sprintf("connection failed, in back-off for %v: %v", backoff, r.err), q.id.String(), t.Name)
 		if free, _ := q.pool.capacity(now); free == 0 && q.unreachableSince.IsZero() {
 			q.unreachableSince = now
 		}
 	case out == retry.NotServing && !q.pool.service.Keyed:
 		t.measured.RefusedLeaving(now)
-		q.journal.Add("send", "gets no new work: "+r.err.Error(), q.id.String(), t.Name)
+		q.journal.Add("send", "is leaving, gets no new work: "+r.err.Error(), q.id.String(), t.Name)
 	case out == retry.Abandoned:
 		q.counters.abandoned.Inc(1)
 		t.measured.Overdue(r.took, r.job.expected)
 	}
 }
 
-// handleNotServing parks a job that a target refused for its grant.
+// handleNotServing parks a job that the target refused because of its grant.
 func (q *queue) handleNotServing(j *job, now time.Time) {
 	if j.state.Fire(eventShed) != nil {
 		return
@@ -276,7 +280,7 @@
 	q.parkUnlessRegranted(j, now)
 }
 
-// retryOrFail repeats a failed job or ends it.
+// retryOrFail requeues a job whose attempt failed, or ends it.
 func (q *queue) retryOrFail(j *job, out retry.Outcome, err error, now time.Time) {
 	verdict := q.budget.Decide(retry.Attempt{
 		Outcome: out, Idempotent: j.request.Idempotent, Attempts: j.attempts,
@@ -301,7 +305,7 @@
 	q.waiting.Requeue(&j.item)
 }
 
-// failUnknown ends a job that may have run.
+// failUnknown ends a job that may have run, with an answer that says so.
 func (q *queue) failUnknown(j *job, out retry.Outcome, err error) {
 	q.counters.lost.Inc(1)
 	delete(q.jobs, j.request.ID)
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -1,6 +1,7 @@
-// Package dispatch holds the queues in front of targets: one for each target of
-// a keyed service, one for each pool of an unkeyed one. It decides the order,
-// fills the slots, sends, and returns each request's one answer.
+// Package dispatch queues requests in front of targets: it has one queue for each
+// target of a keyed service, and one for the whole pool of an unkeyed service. It
+// orders the requests, sends them when slots are free, and returns exactly one
+// answer for each.
 package dispatch
 
 import (
@@ -8,29 +9,29 @@
 	"hemlockquay/internal/settings"
 )
 
-// Order names how waiting requests are ordered.
+// Order is the order in which waiting requests are sent.
 type Order string
 
 // The orders.
 const (
-	// OrderFair: by class, contract and deadline, with early refusal and
-	// adaptive slots.
+	// OrderFair orders requests by class, contract and deadline, refuses requests
+	// early and adapts the number of slots.
 	OrderFair Order = "fair"
-	// OrderFIFO: first come, first served, fixed slots and no early refusal;
-	// the baseline of measurements.
+	// OrderFIFO sends requests in the order of arrival, with fixed slots and
+	// without early refusal. It is the baseline for measurements.
 	OrderFIFO Order = "fifo"
 )
 
-// Settings are the dispatcher's settings.
+// Settings are the settings of hq-dispatch.
 type Settings struct {
 	daemon.Base
-	// Listen is the IP:PORT for entries.
+	// Listen is the IP:PORT on which entries and other dispatchers connect.
 	Listen string `json:"listen"`
 	// Agent is the IP:PORT of the VM's agent.
 	Agent string `json:"agent"`
 	// Order is fair or fifo. Default fair.
 	Order Order `json:"order,omitempty"`
-	// QueueLength bounds one queue, requests. Default 1024.
+	// QueueLength bounds the number of requests in one queue. Default 1024.
 	QueueLength int `json:"queueLength,omitempty"`
 	// TargetConnections bounds this VM's connections to one target.
 	// Default 12.
@@ -41,7 +42,7 @@
 	defaultQueueLength = 1024
 	maxQueueLength     = 1 << 20
 	// defaultTargetConnections is a ninth of the 110 connections that a target
-	// takes: nine VMs together stay below them.
+	// accepts, so that nine VMs together stay below that number.
 	defaultTargetConnections = 12
 	maxTargetConnections     = 100_000
 )
--- a/internal/dispatch/state.go
+++ b/internal/dispatch/state.go
@@ -7,27 +7,29 @@
 	"hemlockquay/internal/decide/fairqueue"
 )
 
-// inspectTimeout bounds how long a dump waits for a queue's goroutine.
+// inspectTimeout bounds how long a state dump waits for the goroutine of a queue.
 const inspectTimeout = 200 * time.Millisecond
 
-// QueueState is a queue's part of the dump.
+// QueueState is the state of a queue in the dump.
 type QueueState struct {
 	Service     string `json:"service"`
 	Target      string `json:"target,omitempty"`
 	Inbox       int    `json:"inbox"`
 	Interactive int    `json:"interactive"`
 	Background  int    `json:"background"`
-	// Parked wait for an owner, Held for the word on crashing requests.
+	// Parked is the number of requests that wait for an owner, Held of those that the
+	// quarantine holds back.
 	Parked int `json:"parked"`
 	Held   int `json:"held"`
-	// Standing says that the queue is kept at its bound.
+	// Standing reports whether the queue is a standing queue, which is kept at its
+	// bound.
 	Standing bool `json:"standing"`
-	// MeanMs is the mean service time.
+	// MeanMs is the mean service time in milliseconds.
 	MeanMs  float64       `json:"meanMs"`
 	Targets []TargetState `json:"targets"`
 }
 
-// TargetState is a target as its queue sees it.
+// TargetState is the state of a target in the dump, as measured by its queue.
 type TargetState struct {
 	Name     string  `json:"name"`
 	InFlight int     `json:"inFlight"`
@@ -38,7 +40,8 @@
 	Leaving  bool    `json:"leaving"`
 }
 
-// inspect runs do on the queue's goroutine, which alone may read its state.
+// inspect runs do on the goroutine of the queue, the only one that may read its state. It
+// may return without having run do.
 func (q *queue) inspect(ctx context.Context, do func(q *queue)) {
 	ctx, cancel := context.WithTimeout(ctx, inspectTimeout)
 	defer cancel()
@@ -56,8 +59,8 @@
 	}
 }
 
-// state returns the queue's part of the dump; only the depth of the ring where
-// the goroutine does not answer.
+// state returns the state of the queue for the dump. If the goroutine of the queue does
+// not answer in time, the state has only the depth of the inbox.
 func (q *queue) state(ctx context.Context) QueueState {
 	states := make(chan QueueState, 1)
 	q.inspect(ctx, func(q *queue) { states <- q.describe(time.Now()) })
--- a/internal/dispatch/testbed_test.go
+++ b/internal/dispatch/testbed_test.go
@@ -25,8 +25,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// testbed runs one real queue in virtual time against targets that are a few lines
-// of queueing model each. Tests judge it by what callers receive.
+// testbed runs a real queue in virtual time against simulated targets. Tests check what
+// callers receive.
 type testbed struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -42,11 +42,11 @@
 	callers sync.WaitGroup
 }
 
-// fakeTarget is a server with slots.
+// fakeTarget simulates a target with a number of slots.
 type fakeTarget struct {
 	slots, running, served, most int
 	factor                       float64
-	// loseShare of its answers are lost after the work.
+	// loseShare is the share of answers that are lost after the request has run.
 	loseShare   float64
 	down        bool
 	refuseAfter time.Duration
@@ -55,7 +55,7 @@
 	load        target.Load
 }
 
-// tally is what one customer received.
+// tally counts the answers that one customer received.
 type tally struct {
 	answered, refused, unknown, late int
 	latencies, refusals              []time.Duration
@@ -72,7 +72,8 @@
 	return d[int(q*float64(len(d)-1))]
 }
 
-// withTestbed runs a scenario on a pool of so many targets with 2 slots each.
+// withTestbed runs a scenario on the given number of targets with 2 slots each. If keyed is
+// set, the queue is that of master-1.
 func withTestbed(t *testing.T, targets int, keyed bool, scenario func(b *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &testbed{
@@ -96,18 +97,18 @@
 			journal: journal.New("vm1", processName, 100), registry: registry, counters: newCounters(registry),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		var duties sync.WaitGroup
-		duties.Go(func() { b.queue.run(ctx) })
-		duties.Go(func() { b.queue.pollHints(ctx) })
+		var loops sync.WaitGroup
+		loops.Go(func() { b.queue.run(ctx) })
+		loops.Go(func() { b.queue.pollHints(ctx) })
 		scenario(b)
 		b.callers.Wait()
 		cancel()
-		duties.Wait()
+		loops.Wait()
 		b.checkGuarantees()
 	})
 }
 
-// own publishes a view in which the target owns all keys; "" is nobody.
+// own publishes a view in which the target owns all keys, or nobody for "".
 func (b *testbed) own(name string) { b.publish(b.t, name) }
 
 func (b *testbed) publish(t testing.TB, name string) {
@@ -143,7 +144,7 @@
 	do(b.targets[name])
 }
 
-// sent counts the attempts so far.
+// sent returns the number of attempts so far.
 func (b *testbed) sent() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,10 +153,10 @@
 
 var errBroken = errors.New("connection broke")
 
-// workHeader is the service time of a request.
+// workHeader is the header that holds the service time of a request.
 const workHeader = "Work"
 
-// Send plays the target.
+// Send simulates the target.
 func (b *testbed) Send(ctx context.Context, a *target.Attempt) (*wire.Answer, error) {
 	f := b.targets[a.Target.Name]
 	work, _ := time.ParseDuration(a.Request.Header.Get(workHeader))
@@ -226,7 +227,7 @@
 	return b.at(addr).load, nil
 }
 
-// stream is one customer's requests.
+// stream describes the requests of one customer.
 type stream struct {
 	customer   string
 	class      model.Class
@@ -238,7 +239,7 @@
 	idempotent bool
 }
 
-// offer begins a stream with Poisson arrivals and exponential service times.
+// offer starts a stream with Poisson arrivals and exponential service times.
 func (b *testbed) offer(s stream) {
 	if s.deadline == 0 {
 		s.deadline = 2 * time.Second
@@ -260,7 +261,7 @@
 	})
 }
 
-// burst sends n requests at one moment.
+// burst sends n requests at once.
 func (b *testbed) burst(s stream, n int) {
 	random := rand.New(rand.NewPCG(9, uint64(n)))
 	for i := range n {
@@ -280,11 +281,11 @@
 }
 
 func (b *testbed) call(s stream, id string, work time.Duration) wire.Answer {
-	begun := time.Now()
-	j := newJob(b.request(s, id, work), begun)
+	start := time.Now()
+	j := newJob(b.request(s, id, work), start)
 	_ = b.queue.inbox.Push(b.t.Context(), message{arrive: j})
 	a := <-j.done
-	b.note(s, id, a, time.Since(begun))
+	b.note(s, id, a, time.Since(start))
 	return a
 }
 
@@ -312,11 +313,12 @@
 	y.refused++
 	y.refusals = append(y.refusals, took)
 	if b.runs[id] > 0 {
-		b.t.Errorf("%s was refused as not run and ran", id)
+		b.t.Errorf("%s was refused as not run, but has run", id)
 	}
 }
 
-// checkGuarantees: no answer after its deadline, memory of nothing that is over.
+// checkGuarantees checks that no answer came after its deadline, and that the queue holds
+// no job any more.
 func (b *testbed) checkGuarantees() {
 	for customer, y := range b.tallies {
 		require.Zero(b.t, y.late, customer)
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// workerIdleTimeout is how long a goroutine of a worker pool waits for work: longer than the gaps
-// of a queue in use, and short beside the memory that it holds, some 16 KB.
+// workerIdleTimeout is how long an idle worker waits for work. It is longer than the
+// usual gaps between requests of a queue in use, and short enough for the 16 KB or so of
+// stack that an idle worker holds.
 const workerIdleTimeout = time.Second
 
-// worker pool runs attempts in goroutines that are used again.
+// workerPool runs attempts in reusable goroutines.
 //
-// Load pattern: a goroutine for each attempt. A new one starts with 2 KB of stack
-// and grows it three times in the HTTP transport, copying it each
-// time: copies were 9 % of the dispatcher's processor time at 900 requests a second.
+// A new goroutine for each attempt would start with 2 KB of stack and grow it three
+// times in the HTTP transport, and each growth copies the stack. These copies took 9 %
+// of the dispatcher's processor time at 900 requests per second.
 type workerPool struct{ work chan func() }
 
 func newWorkerPool() *workerPool { return &workerPool{work: make(chan func())} }
 
-// run hands the work to a goroutine that rests, or to a new one, which rests until the
-// context ends. It does not block.
+// run hands the work to an idle worker or, if there is none, to a new one. It does not
+// block. Idle workers end when the context ends or after workerIdleTimeout.
 func (p *workerPool) run(ctx context.Context, work func()) {
 	select {
 	case p.work <- work:
--- a/internal/dispatch/workers_test.go
+++ b/internal/dispatch/workers_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Attempts hang at a target that is frozen. Were an attempt to wait for a goroutine
-// that runs another, one such target would hold up all others of its pool.
+// Attempts hang at a frozen target. If other attempts waited for their goroutines, one frozen
+// target would block the whole pool.
 func TestWorkerPoolRunsConcurrentlyAndStopsIdleGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -29,14 +29,14 @@
 			<-done
 		}
 		synctest.Wait()
-		// Those who rest take the next work, and are gone after their rest.
+		// Idle goroutines take the next work, and end after workerIdleTimeout.
 		p.run(ctx, func() { started++ })
 		synctest.Wait()
 		require.Equal(t, 1, started)
 		time.Sleep(2 * workerIdleTimeout)
 		select {
 		case p.work <- func() { started++ }:
-			t.Fatal("a goroutine rests for ever")
+			t.Fatal("an idle goroutine has not ended")
 		default:
 		}
 		p.run(ctx, func() { started++ })
