--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/deduplicator_test.go
@@ -20,7 +20,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// setView is a view that the test sets, also while calls of dispatchers read it.
+// setView is a viewSource with a view that tests may replace while dispatchers read it.
 type setView struct{ v atomic.Pointer[view.View] }
 
 func newSetView(v *view.View) *setView {
@@ -32,23 +32,24 @@
 func (f *setView) Current() *view.View      { return f.v.Load() }
 func (f *setView) Changed() <-chan struct{} { return nil }
 
-// intentFleet is some dispatchers' intents on loopback ports.
-type intentFleet struct {
-	nodes   []*intents
+// dedupFleet holds the deduplicators of several dispatchers, which call each other on
+// loopback ports.
+type dedupFleet struct {
+	nodes   []*deduplicator
 	servers []*peer.Server
 	runs    atomic.Int64
 }
 
-func newIntentFleet(t *testing.T, n int) *intentFleet {
-	f := &intentFleet{}
+func newDedupFleet(t *testing.T, n int) *dedupFleet {
+	f := &dedupFleet{}
 	v := view.Build(nil, nil, nil)
 	logger := &log.Logger{Level: log.PanicLevel}
 	for i := range n {
 		server, err := peer.Listen("127.0.0.1:0")
 		require.NoError(t, err)
 		name := fmt.Sprintf("vm%d", i+1)
-		node := newIntents(name, newSetView(v), journal.New(name, processName, 16), logger, metrics.NewRegistry())
-		node.book = idempotency.NewRecordStore(name, node.clock.Now()-time.Second)
+		node := newDeduplicator(name, newSetView(v), journal.New(name, processName, 16), logger, metrics.NewRegistry())
+		node.records = idempotency.NewRecordStore(name, node.clock.Now()-time.Second)
 		require.NoError(t, server.Register("Dispatch", node))
 		go func() { _ = server.Serve() }()
 		t.Cleanup(server.Close)
@@ -62,10 +63,10 @@
 	return f
 }
 
-func (f *intentFleet) copyAll(t *testing.T) {
+func (f *dedupFleet) copyAll(t *testing.T) {
 	for range 2 {
 		for _, node := range f.nodes {
-			for _, m := range node.toCopy() {
+			for _, m := range node.membersToCopy() {
 				node.copyFrom(t.Context(), m)
 			}
 		}
@@ -78,49 +79,49 @@
 	return r
 }
 
-// book is the target: it counts runs and names the request that ran.
-func (f *intentFleet) book(r *wire.Request) wire.Answer {
+// book simulates the target: it counts the runs, and the answer names the request that ran.
+func (f *dedupFleet) book(r *wire.Request) wire.Answer {
 	f.runs.Add(1)
 	body := []byte("booked by " + r.ID)
 	return wire.Answer{ID: r.ID, Status: 201, Body: body, Sum: wire.Sum(body)}
 }
 
-// A narrator's app gets no answer in time and books again through other entries,
-// which lead to other dispatchers. Each repeat gets the first answer, whole and as
-// its own, and the booth is booked once.
+// A caller gets no answer in time and repeats a booking through entries that use other
+// dispatchers. Each repeat must get the first answer, complete and with its own request id,
+// and the booking must run once.
 func TestRepeatGetsTheFirstAnswer(t *testing.T) {
-	f := newIntentFleet(t, 4)
-	first := f.nodes[0].once(t.Context(), booking("a", "k1", "10:00"), f.book)
+	f := newDedupFleet(t, 4)
+	first := f.nodes[0].runOnce(t.Context(), booking("a", "k1", "10:00"), f.book)
 	require.Equal(t, 201, first.Status)
 	for i, node := range f.nodes {
 		id := fmt.Sprintf("repeat-%d", i)
-		answer := node.once(t.Context(), booking(id, "k1", "10:00"), f.book)
+		answer := node.runOnce(t.Context(), booking(id, "k1", "10:00"), f.book)
 		require.Nil(t, answer.Problem)
 		require.True(t, answer.Whole(id))
 		require.Equal(t, "booked by a", string(answer.Body))
 	}
 	require.EqualValues(t, 1, f.runs.Load())
 
-	other := f.nodes[1].once(t.Context(), booking("b", "k1", "11:00"), f.book)
+	other := f.nodes[1].runOnce(t.Context(), booking("b", "k1", "11:00"), f.book)
 	require.Equal(t, problem.BadRequest, other.Problem.Kind)
 	require.Equal(t, problem.RanNo, other.Problem.Ran)
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// The first request still runs when its repeat comes: the repeat waits for it.
+// A repeat that arrives while the first request is still running must wait for its answer.
 func TestRepeatWaitsForTheFirst(t *testing.T) {
-	f := newIntentFleet(t, 3)
+	f := newDedupFleet(t, 3)
 	started, proceed := make(chan struct{}), make(chan struct{})
 	done := make(chan wire.Answer)
 	go func() {
-		done <- f.nodes[0].once(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
+		done <- f.nodes[0].runOnce(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
 			close(started)
 			<-proceed
 			return f.book(r)
 		})
 	}()
 	<-started
-	go func() { done <- f.nodes[1].once(context.Background(), booking("b", "k", "x"), f.book) }()
+	go func() { done <- f.nodes[1].runOnce(context.Background(), booking("b", "k", "x"), f.book) }()
 	close(proceed)
 	for range 2 {
 		answer := <-done
@@ -130,38 +131,38 @@
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// The first request was refused as not run. Its caller must be able to try again
-// with the same key, or the booking is lost for ten minutes.
-func TestKeyIsFreeAfterARefusal(t *testing.T) {
-	f := newIntentFleet(t, 3)
-	refused := f.nodes[0].once(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
+// After a refusal as not run, the caller must be able to use the same key again. Otherwise
+// the booking could not be made for ten minutes.
+func TestKeyIsReusableAfterRefusal(t *testing.T) {
+	f := newDedupFleet(t, 3)
+	refused := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
 		return wire.Refused(r.ID, problem.Refuse(problem.Full, "queue", "vm1", "full"))
 	})
 	require.Equal(t, problem.RanNo, refused.Problem.Ran)
-	answer := f.nodes[1].once(t.Context(), booking("b", "k", "x"), f.book)
+	answer := f.nodes[1].runOnce(t.Context(), booking("b", "k", "x"), f.book)
 	require.Nil(t, answer.Problem)
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// The dispatcher is lost while it runs a booking. Whether the booth was booked is
-// not known: the repeat gets unknown, and no second run.
+// A dispatcher is lost while it runs a request. Whether the request ran is unknown, so the
+// repeat must be answered so and must not run.
 func TestRepeatAfterLossOfTheCoordinatorIsUnknown(t *testing.T) {
-	f := newIntentFleet(t, 4)
+	f := newDedupFleet(t, 4)
 	started, never := make(chan struct{}), make(chan struct{})
 	lost := make(chan struct{})
 	go func() {
 		defer close(lost)
-		f.nodes[0].once(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
+		f.nodes[0].runOnce(context.Background(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
 			close(started)
 			<-never
 			return f.book(r)
 		})
 	}()
 	<-started
-	// The dispatcher's port closes; it forgets everything.
+	// The loss of the dispatcher closes its port.
 	f.servers[0].Close()
 	r := booking("b", "k", "x")
-	answer := f.nodes[1].once(t.Context(), r, f.book)
+	answer := f.nodes[1].runOnce(t.Context(), r, f.book)
 	require.NotNil(t, answer.Problem)
 	require.Equal(t, problem.RanUnknown, answer.Problem.Ran)
 	require.EqualValues(t, 0, f.runs.Load())
@@ -169,44 +170,44 @@
 	<-lost
 }
 
-// Two of a key's three holders are lost after a booking. The third alone cannot
-// promise anything: the answer is the first one, or unknown, never a second run.
-func TestTwoHoldersLost(t *testing.T) {
-	f := newIntentFleet(t, 6)
-	first := f.nodes[0].once(t.Context(), booking("a", "k", "x"), f.book)
+// Two of the three holders of a key are lost after a request ran. The third alone is not a
+// quorum: a repeat must get the first answer or unknown, and must never run.
+func TestLossOfTwoHoldersCausesNoSecondRun(t *testing.T) {
+	f := newDedupFleet(t, 6)
+	first := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), f.book)
 	require.Nil(t, first.Problem)
-	by := idempotency.Holders(f.nodes[0].book.Places(), idempotency.Key{Customer: "narrators", Service: "booth", Name: "k"})
-	asker := -1
+	holders := idempotency.Holders(f.nodes[0].records.Places(), idempotency.Key{Customer: "narrators", Service: "booth", Name: "k"})
+	repeater := -1
 	for i, node := range f.nodes {
 		switch node.vm {
-		case by[0], by[1]:
+		case holders[0], holders[1]:
 			f.servers[i].Close()
-		case by[2]:
+		case holders[2]:
 		default:
-			asker = i
+			repeater = i
 		}
 	}
-	answer := f.nodes[asker].once(t.Context(), booking("b", "k", "x"), f.book)
+	answer := f.nodes[repeater].runOnce(t.Context(), booking("b", "k", "x"), f.book)
 	if answer.Problem != nil {
 		require.Equal(t, problem.RanUnknown, answer.Problem.Ran)
 	}
 	require.EqualValues(t, 1, f.runs.Load())
 }
 
-// Two of a key's three holders leave as planned after a booking, one after the
-// other, and the platform drops them. Their records were handed over: a repeat gets
-// the first answer.
+// Two of the three holders of a key shut down as planned after a request ran, one after the
+// other, and are removed from the list of VMs. They handed their records over, so a repeat
+// must get the first answer.
 func TestPlannedLeavesLoseNoRecord(t *testing.T) {
-	f := newIntentFleet(t, 6)
-	first := f.nodes[0].once(t.Context(), booking("a", "k", "x"), f.book)
+	f := newDedupFleet(t, 6)
+	first := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), f.book)
 	require.Nil(t, first.Problem)
 	key := idempotency.Key{Customer: "narrators", Service: "booth", Name: "k"}
-	by := idempotency.Holders(f.nodes[0].book.Places(), key)[:2]
+	leaving := idempotency.Holders(f.nodes[0].records.Places(), key)[:2]
 	v := *f.nodes[0].feed.Current()
-	for _, name := range by {
+	for _, name := range leaving {
 		for i, node := range f.nodes {
 			if node.vm == name {
-				node.leave(t.Context())
+				node.handOverRecords(t.Context())
 				f.servers[i].Close()
 			}
 		}
@@ -220,10 +221,10 @@
 		f.copyAll(t)
 	}
 	for i, node := range f.nodes {
-		if slices.Contains(by, node.vm) {
+		if slices.Contains(leaving, node.vm) {
 			continue
 		}
-		answer := node.once(t.Context(), booking(fmt.Sprint("r", i), "k", "x"), f.book)
+		answer := node.runOnce(t.Context(), booking(fmt.Sprint("r", i), "k", "x"), f.book)
 		require.Nil(t, answer.Problem)
 		require.Equal(t, "booked by a", string(answer.Body))
 	}
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/statechart"
 )
 
-// Ends of an attempt that a script prescribes.
+// Outcomes of an attempt that a script prescribes.
 const (
 	endAnswer = "answer"
 	endShed   = "shed"
@@ -18,81 +18,81 @@
 	endLost   = "lost"
 )
 
-// script leads a request through one step of its chart.
+// script leads a request to one transition of its state chart.
 type script struct {
-	// ends are those of the first attempts; later ones are answered.
-	ends []string
-	// idempotent restricts the request; both kinds are played where neither
-	// is set.
+	// outcomes holds the outcomes of the first attempts; later ones are answered.
+	outcomes []string
+	// idempotent and nonIdempotent restrict the kind of request; if neither is set,
+	// both kinds are tested.
 	idempotent, nonIdempotent bool
-	// busy takes all slots, so that the request waits past its deadline.
+	// busy fills all slots, so that the request waits until its deadline.
 	busy bool
-	// drainAt drains the dispatcher when the event was taken.
+	// drainAt is the event of the request after which the dispatcher drains.
 	drainAt statechart.Event
 }
 
-func step3(from, event, to string) statechart.Transition {
+func transition(from, event, to string) statechart.Transition {
 	return statechart.Transition{From: statechart.State(from), Event: statechart.Event(event), To: statechart.State(to)}
 }
 
-// scripts has an entry for each step of charts/request.jsonc.
+// scripts has an entry for each transition of charts/request.jsonc.
 var scripts = map[statechart.Transition]script{
-	{To: "queued"}:                         {},
-	step3("queued", "send", "sent"):        {},
-	step3("queued", "refuse", "refused"):   {busy: true},
-	step3("sent", "answer", "answered"):    {},
-	step3("sent", "shed", "queued"):        {ends: []string{endShed}},
-	step3("sent", "unsent", "queued"):      {ends: []string{endUnsent}},
-	step3("sent", "repeat", "unsettled"):   {ends: []string{endLost}, idempotent: true},
-	step3("sent", "lose", "lost"):          {ends: []string{endLost}, nonIdempotent: true},
-	step3("unsettled", "send", "resent"):   {ends: []string{endLost}, idempotent: true},
-	step3("unsettled", "lose", "lost"):     {ends: []string{endLost}, idempotent: true, drainAt: eventSend},
-	step3("resent", "answer", "answered"):  {ends: []string{endLost}, idempotent: true},
-	step3("resent", "shed", "unsettled"):   {ends: []string{endLost, endShed}, idempotent: true},
-	step3("resent", "unsent", "unsettled"): {ends: []string{endLost, endUnsent}, idempotent: true},
-	step3("resent", "repeat", "unsettled"): {ends: []string{endLost, endLost}, idempotent: true},
-	step3("resent", "lose", "lost"):        {ends: []string{endLost, endLost, endLost, endLost, endLost, endLost, endLost, endLost}, idempotent: true},
+	{To: "queued"}:                              {},
+	transition("queued", "send", "sent"):        {},
+	transition("queued", "refuse", "refused"):   {busy: true},
+	transition("sent", "answer", "answered"):    {},
+	transition("sent", "shed", "queued"):        {outcomes: []string{endShed}},
+	transition("sent", "unsent", "queued"):      {outcomes: []string{endUnsent}},
+	transition("sent", "repeat", "unsettled"):   {outcomes: []string{endLost}, idempotent: true},
+	transition("sent", "lose", "lost"):          {outcomes: []string{endLost}, nonIdempotent: true},
+	transition("unsettled", "send", "resent"):   {outcomes: []string{endLost}, idempotent: true},
+	transition("unsettled", "lose", "lost"):     {outcomes: []string{endLost}, idempotent: true, drainAt: eventSend},
+	transition("resent", "answer", "answered"):  {outcomes: []string{endLost}, idempotent: true},
+	transition("resent", "shed", "unsettled"):   {outcomes: []string{endLost, endShed}, idempotent: true},
+	transition("resent", "unsent", "unsettled"): {outcomes: []string{endLost, endUnsent}, idempotent: true},
+	transition("resent", "repeat", "unsettled"): {outcomes: []string{endLost, endLost}, idempotent: true},
+	transition("resent", "lose", "lost"):        {outcomes: []string{endLost, endLost, endLost, endLost, endLost, endLost, endLost, endLost}, idempotent: true},
 }
 
-// breakage is a fault as a dispatcher meets it.
-type breakage struct {
+// injection describes how a fault is injected into a dispatcher.
+type injection struct {
 	name       faults.Fault
 	impossible string
-	// keyed plays it on a keyed service of one target.
+	// keyed runs the test with a keyed service of one target.
 	keyed bool
-	// ends says that the dispatcher takes no work afterwards.
-	ends   bool
-	inject func(c *cell)
+	// stopsDispatcher reports whether the dispatcher admits no requests afterwards.
+	stopsDispatcher bool
+	inject          func(c *cell)
 }
 
 const noStore = "a dispatcher calls no store; what its agent told it stays in force, see agent lost"
 
-// breakages has an entry for each fault.
-var breakages = map[faults.Fault]breakage{
+// injections has an entry for each fault.
+var injections = map[faults.Fault]injection{
 	faults.None:            {inject: func(*cell) {}},
-	faults.Partition:       {inject: func(c *cell) { c.cutFor(211 * time.Millisecond) }},
+	faults.Partition:       {inject: func(c *cell) { c.partitionFor(211 * time.Millisecond) }},
 	faults.Pause:           {inject: (*cell).pause},
 	faults.EntryLost:       {inject: func(c *cell) { c.push(message{cancel: victim}) }},
-	faults.DispatchLost:    {ends: true, inject: (*cell).die},
-	faults.AgentLost:       {keyed: true, inject: func(c *cell) { c.fencedFor(1493 * time.Millisecond) }},
-	faults.TargetFrozen:    {inject: func(c *cell) { c.freeze(c.where(), 997*time.Millisecond) }},
-	faults.TargetLost:      {inject: func(c *cell) { c.lose(c.where()) }},
+	faults.DispatchLost:    {stopsDispatcher: true, inject: (*cell).loseDispatcher},
+	faults.AgentLost:       {keyed: true, inject: func(c *cell) { c.refuseGrantFor(1493 * time.Millisecond) }},
+	faults.TargetFrozen:    {inject: func(c *cell) { c.freeze(c.victimTarget(), 997*time.Millisecond) }},
+	faults.TargetLost:      {inject: func(c *cell) { c.lose(c.victimTarget()) }},
 	faults.StoreDown:       {impossible: noStore},
 	faults.StoreSlow:       {impossible: noStore},
 	faults.StoreAnswerLost: {impossible: noStore},
-	faults.LeaseLapsed:     {keyed: true, inject: func(c *cell) { c.fencedFor(307 * time.Millisecond) }},
+	faults.LeaseLapsed:     {keyed: true, inject: func(c *cell) { c.refuseGrantFor(307 * time.Millisecond) }},
 	faults.OperatorsRace:   {inject: (*cell).race},
 	faults.CrashingRequest: {inject: (*cell).beginCrashing},
-	faults.VMLeaves:        {ends: true, inject: func(c *cell) { c.push(message{drain: true}) }},
-	faults.TargetLeaves:    {inject: func(c *cell) { c.leave(c.where()) }},
-	faults.DataCentreLost:  {inject: func(c *cell) { c.lose(c.where()); c.lose(c.another()) }},
+	faults.VMLeaves:        {stopsDispatcher: true, inject: func(c *cell) { c.push(message{drain: true}) }},
+	faults.TargetLeaves:    {inject: func(c *cell) { c.leave(c.victimTarget()) }},
+	faults.DataCentreLost:  {inject: func(c *cell) { c.lose(c.victimTarget()); c.lose(c.otherTarget()) }},
 	faults.TargetLostTwice: {inject: func(c *cell) {
-		c.lose(c.where())
-		time.AfterFunc(103*time.Millisecond, func() { c.lose(c.another()) })
+		c.lose(c.victimTarget())
+		time.AfterFunc(103*time.Millisecond, func() { c.lose(c.otherTarget()) })
 	}},
 	faults.PartitionTwice: {inject: func(c *cell) {
-		c.cutFor(53 * time.Millisecond)
-		time.AfterFunc(171*time.Millisecond, func() { c.cutFor(199 * time.Millisecond) })
+		c.partitionFor(53 * time.Millisecond)
+		time.AfterFunc(171*time.Millisecond, func() { c.partitionFor(199 * time.Millisecond) })
 	}},
 	faults.TargetAndStore: {impossible: noStore},
 	faults.AgentAndTarget: {keyed: true, inject: func(c *cell) {
@@ -102,11 +102,10 @@
 			c.own("master-1")
 		})
 	}},
-	faults.PauseInPartition: {inject: func(c *cell) { c.cutFor(211 * time.Millisecond); c.pause() }},
+	faults.PauseInPartition: {inject: func(c *cell) { c.partitionFor(211 * time.Millisecond); c.pause() }},
 }
 
-// planned are the rows in which nothing breaks: somebody stops or changes
-// something on purpose.
+// planned holds the rows that are no failures but planned stops or changes.
 var planned = map[faults.Fault]bool{faults.VMLeaves: true, faults.TargetLeaves: true, faults.OperatorsRace: true}
 
 const requestAbout = `A dispatcher's queue runs in virtual time: three targets of 2 slots (one keyed
@@ -122,18 +121,18 @@
 nothing after 3 s; where a VM or target leaves or operators race, no request in flight was lost; a request crashed two targets at most; nothing was left in the queue; a later
 request is answered, unless the dispatcher left.`
 
-// A caller books while something breaks, at any moment in the life of the
-// request: it is told that it did not run and it did, or it ran twice, or another's
-// answer came. docs/faults/request.md shows each fault at each step.
+// Injects each fault at each transition of a request. Guards against requests that are
+// refused as not run but have run, non-idempotent requests that run twice, and answers of
+// other requests. docs/faults/request.md shows the results.
 func TestFaultsAtStepsOfRequest(t *testing.T) {
 	m := faults.New(requestChart, requestAbout)
 	for _, step := range faults.Steps(requestChart) {
 		s, ok := scripts[step]
 		require.True(t, ok, "no script leads to %s", faults.Name(step))
-		var without string
+		var baseline string
 		for _, f := range faults.All() {
-			b, ok := breakages[f]
-			require.True(t, ok, "no entry for %s", f)
+			b, ok := injections[f]
+			require.True(t, ok, "no injection for %s", f)
 			b.name = f
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
@@ -143,10 +142,10 @@
 			t.Run(name, func(t *testing.T) {
 				got := s.received(t, step, b)
 				if f == faults.None {
-					without = got
+					baseline = got
 				}
-				if planned[f] && without != "unknown" {
-					require.NotContains(t, got, "unknown", "a planned stop cut off a request in flight")
+				if planned[f] && baseline != "unknown" {
+					require.NotContains(t, got, "unknown", "a planned stop or change lost a request in flight")
 				}
 				m.Set(f, step, got)
 			})
@@ -155,7 +154,7 @@
 	require.NoError(t, m.Compare("../.."))
 }
 
-func (s script) received(t *testing.T, step statechart.Transition, b breakage) string {
+func (s script) received(t *testing.T, step statechart.Transition, b injection) string {
 	var got []string
 	for _, idempotent := range []bool{false, true} {
 		if idempotent && s.nonIdempotent || !idempotent && s.idempotent {
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// requestChart is the life of a request; see charts/request.jsonc.
+// requestChart is the state chart of a request; see charts/request.jsonc.
 var requestChart = charts.MustLoad("request")
 
 // Events and states of the chart.
@@ -29,7 +29,8 @@
 	stateUnsettled statechart.State = "unsettled"
 )
 
-// job is a request in a queue. Its queue's goroutine owns it, except for done.
+// job is a request in a queue. It is owned by the goroutine of the queue, except for
+// done.
 type job struct {
 	request  *wire.Request
 	deadline time.Time
@@ -37,48 +38,50 @@
 	kind     duration.Kind
 	// item is its place in the fair queue.
 	item fairqueue.Item[*job]
-	// expected is the service time that the kind is expected to take.
+	// expected is the expected service time of the request's kind.
 	expected time.Duration
-	// came is when it entered the queue.
-	came time.Time
-	// parkedAt is when it first waited for an owner; zero if it never did.
+	// arrivedAt is when it entered the queue.
+	arrivedAt time.Time
+	// parkedAt is when the job first waited for an owner; zero if it never did.
 	parkedAt time.Time
-	// giveUp is when it is ended if it was not sent; wait is its place in the
-	// heap of these moments, -1 for none.
-	giveUp time.Time
-	wait   int
+	// giveUp is when the job fails if it has not been sent until then; giveUpIndex
+	// is its index in the queue's giveUpHeap, -1 if it is not in there.
+	giveUp      time.Time
+	giveUpIndex int
 
 	attempts int
-	// lostBefore says that an earlier attempt may have run.
+	// lostBefore reports whether the answer of an earlier attempt was lost, so that
+	// it may have run.
 	lostBefore bool
-	// last was tried last; another is preferred.
-	last *pooled
-	// grant is what the last attempt was sent by; nil where unkeyed.
+	// lastTarget is the target of the last attempt; the next one prefers another.
+	lastTarget *poolTarget
+	// grant is the grant that the last attempt was sent with; nil for an unkeyed
+	// service.
 	grant *wire.Grant
-	// sentAt is when the attempt in flight was begun.
+	// sentAt is when the last attempt was sent.
 	sentAt time.Time
-	// cancel ends the attempt that is in flight.
+	// cancel cancels the attempt in flight.
 	cancel context.CancelFunc
-	// done receives the one answer; it has room for it.
+	// done receives the only answer; it is buffered, so that sending does not block.
 	done chan wire.Answer
 }
 
 func newJob(r *wire.Request, now time.Time) *job {
 	j := &job{
-		request:  r,
-		deadline: now.Add(r.Budget),
-		state:    requestChart.Start(),
-		kind:     duration.KindOf(r.Customer, r.Method, r.Path),
-		came:     now,
-		wait:     -1,
-		done:     make(chan wire.Answer, 1),
+		request:     r,
+		deadline:    now.Add(r.Budget),
+		state:       requestChart.Start(),
+		kind:        duration.KindOf(r.Customer, r.Method, r.Path),
+		arrivedAt:   now,
+		giveUpIndex: -1,
+		done:        make(chan wire.Answer, 1),
 	}
 	j.item.Value = j
 	return j
 }
 
-// settle fills in what the order needs.
-func (j *job) settle(t *duration.Table, fifo bool) {
+// estimateCost sets the expected service time and the fields that determine the order.
+func (j *job) estimateCost(t *duration.Table, fifo bool) {
 	j.expected = t.Expect(j.kind)
 	j.item.Cost, j.item.Weight = j.expected.Seconds(), 1
 	if fifo {
@@ -91,24 +94,24 @@
 	}
 }
 
-// mayHaveRun reports whether an earlier attempt was lost.
+// mayHaveRun reports whether the answer of an earlier attempt was lost.
 func (j *job) mayHaveRun() bool { return j.state.State() == stateUnsettled }
 
-// answer ends the job with a whole answer.
+// answer ends the job with the answer of a target.
 func (j *job) answer(a wire.Answer) {
 	if j.state.Fire(eventAnswer) == nil {
 		j.done <- a
 	}
 }
 
-// end ends a job that waits. It is refused as not run, unless an earlier attempt
-// may have run: the chart has no way from there to a refusal, since a promise that
-// cannot be kept is not made.
-func (j *job) end(p *problem.Error) {
+// fail ends a waiting job. It is refused as not run, unless an earlier attempt may have
+// run: in that case the state chart has no transition to a refusal, and the answer says
+// that it is unknown whether the request ran.
+func (j *job) fail(p *problem.Error) {
 	if j.mayHaveRun() {
 		lost := *p
 		lost.Ran = problem.RanUnknown
-		j.lose(&lost)
+		j.failUnknown(&lost)
 		return
 	}
 	if j.state.Fire(eventRefuse) == nil {
@@ -116,36 +119,36 @@
 	}
 }
 
-// lose ends a job that may have run.
-func (j *job) lose(p *problem.Error) {
+// failUnknown ends a job that may have run; the problem p says so.
+func (j *job) failUnknown(p *problem.Error) {
 	if j.state.Fire(eventLose) == nil {
 		j.done <- wire.Refused(j.request.ID, p)
 	}
 }
 
-// waitHeap orders jobs by the moment at which they are given up. It implements
+// giveUpHeap orders jobs by the time at which they are given up. It implements
 // heap.Interface.
-type waitHeap []*job
+type giveUpHeap []*job
 
-func (h waitHeap) Len() int           { return len(h) }
-func (h waitHeap) Less(a, b int) bool { return h[a].giveUp.Before(h[b].giveUp) }
+func (h giveUpHeap) Len() int           { return len(h) }
+func (h giveUpHeap) Less(a, b int) bool { return h[a].giveUp.Before(h[b].giveUp) }
 
-func (h waitHeap) Swap(a, b int) {
+func (h giveUpHeap) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
-	h[a].wait, h[b].wait = a, b
+	h[a].giveUpIndex, h[b].giveUpIndex = a, b
 }
 
-func (h *waitHeap) Push(x any) {
+func (h *giveUpHeap) Push(x any) {
 	j := x.(*job)
-	j.wait = len(*h)
+	j.giveUpIndex = len(*h)
 	*h = append(*h, j)
 }
 
-func (h *waitHeap) Pop() any {
+func (h *giveUpHeap) Pop() any {
 	old := *h
 	j := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	j.wait = -1
+	j.giveUpIndex = -1
 	return j
 }
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -16,10 +16,10 @@
 	capacity = 20 / 0.008
 )
 
-// overload offers load times the capacity from two customers and returns what came
-// of the 4 s after the first.
+// overload offers load times the capacity from two customers. It returns the number of
+// answers and the 99th percentiles of latencies and refusals, in 4 s after the first second.
 func overload(t *testing.T, load float64) (answered int, p99, refused99 time.Duration) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		for _, customer := range []string{"listeners", "walkers"} {
 			b.offer(stream{customer: customer, rate: load * capacity / 2, lasts: 5 * time.Second})
 		}
@@ -41,9 +41,9 @@
 	return answered, p99, refused99
 }
 
-// At bedtime three times as many listeners come as the pool can serve, for as long
-// as the evening lasts. Those who are served must be served as quickly as just
-// before, all slots must do useful work, and the others must be refused at once.
+// Up to three times as many requests arrive as the pool can serve, for a long time. Requests
+// that are served must be served about as quickly as at 90% load, all slots must do useful
+// work, and the other requests must be refused at once.
 func TestSustainedOverload(t *testing.T) {
 	_, calm, _ := overload(t, 0.9)
 	for _, load := range []float64{1.5, 3} {
@@ -55,20 +55,20 @@
 	}
 }
 
-// A thousand requests come at one moment to a pool that idles. All fit into their
-// deadline, so none may be refused.
+// A thousand requests arrive at once at an idle pool. All can be served before their
+// deadlines, so none may be refused.
 func TestBurstIsServed(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.burst(stream{customer: "listeners", deadline: 2 * time.Second}, 1000)
 		b.callers.Wait()
 		require.Equal(t, 1000, b.tallies["listeners"].answered)
 	})
 }
 
-// One customer sends ten times its share of the pool, two others what they always
-// send. The others must not notice: under 1% refused, and quick answers.
-func TestHotCallerPaysForItself(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+// One customer sends ten times its share of the pool, and two others stay below theirs. Less
+// than 1% of the others' requests may be refused, and their answers must stay quick.
+func TestHotCustomerDoesNotAffectOthers(t *testing.T) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "hot", rate: 10 * capacity / 3, lasts: 3 * time.Second})
 		b.offer(stream{customer: "calm", rate: 0.25 * capacity, lasts: 3 * time.Second})
 		b.offer(stream{customer: "quiet", rate: 0.25 * capacity, lasts: 3 * time.Second})
@@ -81,10 +81,10 @@
 	})
 }
 
-// All of one customer's requests name one hot key, and its owner is one server with
-// two slots. Another customer's keys on the same server must still be served.
+// All requests of one customer are for one hot key, whose owner has two slots. Another
+// customer's keys with the same owner must still be served.
 func TestHotKey(t *testing.T) {
-	inBench(t, 1, true, func(b *bench) {
+	withTestbed(t, 1, true, func(b *testbed) {
 		b.offer(stream{customer: "hot", rate: 5 * capacity / 10, lasts: 4 * time.Second})
 		b.offer(stream{customer: "calm", rate: 0.3 * capacity / 10, lasts: 4 * time.Second})
 		b.callers.Wait()
@@ -94,11 +94,11 @@
 	})
 }
 
-// One server of ten turns ten times slower at 60% load. Callers of the pool must
-// hardly see it: 99 in 100 within 1.5 times of what they had.
+// One target of ten is ten times slower, at 60% load. The 99th percentile of the pool's
+// latency may grow by a factor of 1.5 at most.
 func TestSlowTarget(t *testing.T) {
 	p99 := func(factor float64) (d time.Duration) {
-		inBench(t, 10, false, func(b *bench) {
+		withTestbed(t, 10, false, func(b *testbed) {
 			b.set("master-1", func(f *fakeTarget) { f.factor = factor })
 			b.offer(stream{customer: "listeners", rate: 0.6 * capacity, lasts: 10 * time.Second})
 			b.callers.Wait()
@@ -111,11 +111,11 @@
 	require.LessOrEqual(t, slow, even*3/2)
 }
 
-// The only owner of the keys turns ten times slower, and so does a whole pool. There
-// is no better target to wait for: the slots must stay busy.
-func TestNothingBetterThanSlow(t *testing.T) {
+// All targets become ten times slower: the only owner of the keys, or a whole pool. There is
+// no better target to wait for, so the slots must stay busy.
+func TestSlowTargetsAreUsedIfAllAreSlow(t *testing.T) {
 	for _, targets := range []int{1, 3} {
-		inBench(t, targets, targets == 1, func(b *bench) {
+		withTestbed(t, targets, targets == 1, func(b *testbed) {
 			rate := float64(targets) * capacity / 10
 			b.offer(stream{customer: "listeners", rate: 0.05 * rate, lasts: 10 * time.Second})
 			time.Sleep(2 * time.Second)
@@ -129,9 +129,9 @@
 	}
 }
 
-// A server recovers from slowness. It must get its share again, by trials.
+// A slow target recovers. It is probed, and must then get its share of requests again.
 func TestSlowTargetRecovers(t *testing.T) {
-	inBench(t, 4, false, func(b *bench) {
+	withTestbed(t, 4, false, func(b *testbed) {
 		b.set("master-1", func(f *fakeTarget) { f.factor = 10 })
 		b.offer(stream{customer: "listeners", rate: 0.25 * capacity, lasts: 20 * time.Second})
 		time.Sleep(5 * time.Second)
@@ -142,10 +142,10 @@
 	})
 }
 
-// A slow target says on its load endpoint that it is idle, and on its health
-// endpoint that all is well. Believed, it would draw all requests.
-func TestLiarAttractsNoLoad(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+// A slow target wrongly reports that it is idle and healthy. A choice by such reports would
+// send all requests to it.
+func TestWrongLoadReportAttractsNoLoad(t *testing.T) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		for name, f := range b.targets {
 			f.load.Running = 2
 			if name == "master-1" {
@@ -158,10 +158,10 @@
 	})
 }
 
-// Every target says that it leaves, though all serve: endpoints that mislead must
-// not empty the pool.
-func TestAllClaimToLeave(t *testing.T) {
-	inBench(t, 3, false, func(b *bench) {
+// All targets report that they are leaving, though they serve. Wrong reports must not leave
+// the pool without targets.
+func TestPoolServesIfAllTargetsReportLeaving(t *testing.T) {
+	withTestbed(t, 3, false, func(b *testbed) {
 		for _, f := range b.targets {
 			f.health.Leaving = true
 		}
@@ -171,10 +171,10 @@
 	})
 }
 
-// One customer's exports take a hundred times as long as the listeners' requests and
-// would fill every slot of the pool. Listeners must still get theirs.
-func TestLongJobsLeaveRoom(t *testing.T) {
-	inBench(t, 5, false, func(b *bench) {
+// The exports of one customer take a hundred times as long as the requests of another, and
+// would fill all slots of the pool. The other customer must still be served.
+func TestLongJobsDoNotFillAllSlots(t *testing.T) {
+	withTestbed(t, 5, false, func(b *testbed) {
 		b.offer(stream{customer: "listeners", rate: 150, lasts: 10 * time.Second})
 		b.offer(stream{customer: "listeners2", path: "export", rate: 20, work: 800 * time.Millisecond, deadline: 20 * time.Second, lasts: 10 * time.Second})
 		b.callers.Wait()
@@ -184,10 +184,10 @@
 	})
 }
 
-// Nightly audits run beside a full interactive load. They get their floor of 20%,
-// and interactive callers keep the rest.
+// Background requests arrive beside a full interactive load. They must get their floor of 20%
+// of the slots.
 func TestBackgroundFloorBesideFullLoad(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "ci", rate: 1.5 * capacity, lasts: 5 * time.Second})
 		b.burst(stream{customer: "audit", class: model.Background, deadline: 60 * time.Second}, 900)
 		b.callers.Wait()
@@ -198,11 +198,10 @@
 	})
 }
 
-// A data centre returns after all its targets were down for 700 ms. All callers
-// repeat at once. Nobody may be hurt by repeats to targets that refuse connections,
-// and the pool must serve again at once.
+// All targets are down for 700 ms, and then callers reconnect at once. While the targets refuse
+// connections there must be few attempts, and afterwards the pool must serve again at once.
 func TestMassReconnect(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		b.offer(stream{customer: "listeners", rate: 0.3 * capacity, lasts: 4 * time.Second, idempotent: true})
 		time.Sleep(time.Second)
 		down := func(down bool) {
@@ -223,10 +222,10 @@
 	})
 }
 
-// Three of ten answers are lost on their way. Repeats must help, but may not add
-// more than a tenth to the load of the targets.
+// Three of ten answers are lost. Requests must be repeated, but this may add at most a tenth to
+// the load of the targets.
 func TestRetryAmplification(t *testing.T) {
-	inBench(t, 10, false, func(b *bench) {
+	withTestbed(t, 10, false, func(b *testbed) {
 		for _, f := range b.targets {
 			f.loseShare = 0.3
 		}
--- a/internal/dispatch/lab_test.go
+++ b/internal/dispatch/testbed_test.go
@@ -25,9 +25,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// bench runs one real queue in virtual time against targets that are a few lines
-// of queueing model each. Tests judge it by what callers receive.
-type bench struct {
+// testbed runs a real queue in virtual time against simulated targets. Tests check what
+// callers receive.
+type testbed struct {
 	t       *testing.T
 	mu      sync.Mutex
 	view    *view.View
@@ -42,11 +42,11 @@
 	callers sync.WaitGroup
 }
 
-// fakeTarget is a server with slots.
+// fakeTarget simulates a target with a number of slots.
 type fakeTarget struct {
 	slots, running, served, most int
 	factor                       float64
-	// loseShare of its answers are lost after the work.
+	// loseShare is the share of answers that are lost after the request has run.
 	loseShare   float64
 	down        bool
 	refuseAfter time.Duration
@@ -55,7 +55,7 @@
 	load        target.Load
 }
 
-// tally is what one customer received.
+// tally counts the answers that one customer received.
 type tally struct {
 	answered, refused, unknown, late int
 	latencies, refusals              []time.Duration
@@ -72,10 +72,11 @@
 	return d[int(q*float64(len(d)-1))]
 }
 
-// inBench runs a scenario on a pool of so many targets with 2 slots each.
-func inBench(t *testing.T, targets int, keyed bool, scenario func(b *bench)) {
+// withTestbed runs a scenario on the given number of targets with 2 slots each. If keyed is
+// set, the queue is that of master-1.
+func withTestbed(t *testing.T, targets int, keyed bool, scenario func(b *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{
+		b := &testbed{
 			t: t, changed: make(chan struct{}), random: rand.New(rand.NewPCG(1, 2)),
 			targets: make(map[string]*fakeTarget), runs: make(map[string]int), tallies: make(map[string]*tally),
 		}
@@ -91,26 +92,26 @@
 			id.Target = "master-1"
 		}
 		registry := metrics.NewRegistry()
-		b.queue = newQueue(id, &parts{
-			vm: "vm1", limit: 1024, feed: b, sender: b, prober: b, suspects: noSuspects{},
-			journal: journal.New("vm1", processName, 100), registry: registry, counts: newCounts(registry),
+		b.queue = newQueue(id, &queueDeps{
+			vm: "vm1", limit: 1024, feed: b, sender: b, prober: b, quarantine: noQuarantine{},
+			journal: journal.New("vm1", processName, 100), registry: registry, counters: newCounters(registry),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		var duties sync.WaitGroup
-		duties.Go(func() { b.queue.run(ctx) })
-		duties.Go(func() { b.queue.watch(ctx) })
+		var loops sync.WaitGroup
+		loops.Go(func() { b.queue.run(ctx) })
+		loops.Go(func() { b.queue.pollHints(ctx) })
 		scenario(b)
 		b.callers.Wait()
 		cancel()
-		duties.Wait()
-		b.checkPromises()
+		loops.Wait()
+		b.checkGuarantees()
 	})
 }
 
-// own publishes a view in which the target owns all keys; "" is nobody.
-func (b *bench) own(name string) { b.publish(b.t, name) }
+// own publishes a view in which the target owns all keys, or nobody for "".
+func (b *testbed) own(name string) { b.publish(b.t, name) }
 
-func (b *bench) publish(t testing.TB, name string) {
+func (b *testbed) publish(t testing.TB, name string) {
 	spec, err := json.Marshal(b.service)
 	require.NoError(t, err)
 	var grants []wire.Grant
@@ -125,26 +126,26 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *bench) Current() *view.View {
+func (b *testbed) Current() *view.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
 }
 
-func (b *bench) Changed() <-chan struct{} {
+func (b *testbed) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-func (b *bench) set(name string, do func(f *fakeTarget)) {
+func (b *testbed) set(name string, do func(f *fakeTarget)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	do(b.targets[name])
 }
 
-// sent counts the attempts so far.
-func (b *bench) sent() int {
+// sent returns the number of attempts so far.
+func (b *testbed) sent() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.sends
@@ -152,11 +153,11 @@
 
 var errBroken = errors.New("connection broke")
 
-// workHeader is the service time of a request.
+// workHeader is the header that holds the service time of a request.
 const workHeader = "Work"
 
-// Send plays the target.
-func (b *bench) Send(ctx context.Context, a *target.Attempt) (*wire.Answer, error) {
+// Send simulates the target.
+func (b *testbed) Send(ctx context.Context, a *target.Attempt) (*wire.Answer, error) {
 	f := b.targets[a.Target.Name]
 	work, _ := time.ParseDuration(a.Request.Header.Get(workHeader))
 	if err := b.begin(f, a, &work); err != nil {
@@ -182,7 +183,7 @@
 	return &wire.Answer{ID: a.Request.ID, Status: 200, Sum: wire.Sum(nil), Target: a.Target.Name}, nil
 }
 
-func (b *bench) begin(f *fakeTarget, a *target.Attempt, work *time.Duration) error {
+func (b *testbed) begin(f *fakeTarget, a *target.Attempt, work *time.Duration) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sends++
@@ -201,7 +202,7 @@
 	return nil
 }
 
-func (b *bench) at(addr string) *fakeTarget {
+func (b *testbed) at(addr string) *fakeTarget {
 	for _, t := range b.service.Targets {
 		if t.Addr == addr {
 			return b.targets[t.Name]
@@ -210,7 +211,7 @@
 	return nil
 }
 
-func (b *bench) Health(_ context.Context, addr string) (target.Health, error) {
+func (b *testbed) Health(_ context.Context, addr string) (target.Health, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f := b.at(addr)
@@ -220,13 +221,13 @@
 	return f.health, nil
 }
 
-func (b *bench) Load(_ context.Context, addr string) (target.Load, error) {
+func (b *testbed) Load(_ context.Context, addr string) (target.Load, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.at(addr).load, nil
 }
 
-// stream is one customer's requests.
+// stream describes the requests of one customer.
 type stream struct {
 	customer   string
 	class      model.Class
@@ -238,8 +239,8 @@
 	idempotent bool
 }
 
-// offer begins a stream with Poisson arrivals and exponential service times.
-func (b *bench) offer(s stream) {
+// offer starts a stream with Poisson arrivals and exponential service times.
+func (b *testbed) offer(s stream) {
 	if s.deadline == 0 {
 		s.deadline = 2 * time.Second
 	}
@@ -260,8 +261,8 @@
 	})
 }
 
-// burst sends n requests at one moment.
-func (b *bench) burst(s stream, n int) {
+// burst sends n requests at once.
+func (b *testbed) burst(s stream, n int) {
 	random := rand.New(rand.NewPCG(9, uint64(n)))
 	for i := range n {
 		work := time.Duration(random.ExpFloat64() * float64(meanWork))
@@ -269,7 +270,7 @@
 	}
 }
 
-func (b *bench) request(s stream, id string, work time.Duration) *wire.Request {
+func (b *testbed) request(s stream, id string, work time.Duration) *wire.Request {
 	r := &wire.Request{
 		ID: id, Service: "master", Customer: s.customer, Class: s.class, Weight: 1, Key: "k",
 		Method: "GET", Path: "/" + s.path, Budget: s.deadline, Idempotent: s.idempotent,
@@ -279,16 +280,16 @@
 	return r
 }
 
-func (b *bench) call(s stream, id string, work time.Duration) wire.Answer {
-	begun := time.Now()
-	j := newJob(b.request(s, id, work), begun)
+func (b *testbed) call(s stream, id string, work time.Duration) wire.Answer {
+	start := time.Now()
+	j := newJob(b.request(s, id, work), start)
 	_ = b.queue.inbox.Push(b.t.Context(), message{arrive: j})
 	a := <-j.done
-	b.note(s, id, a, time.Since(begun))
+	b.note(s, id, a, time.Since(start))
 	return a
 }
 
-func (b *bench) note(s stream, id string, a wire.Answer, took time.Duration) {
+func (b *testbed) note(s stream, id string, a wire.Answer, took time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	y := b.tallies[s.customer]
@@ -312,16 +313,17 @@
 	y.refused++
 	y.refusals = append(y.refusals, took)
 	if b.runs[id] > 0 {
-		b.t.Errorf("%s was refused as not run and ran", id)
+		b.t.Errorf("%s was refused as not run, but has run", id)
 	}
 }
 
-// checkPromises: no answer after its deadline, memory of nothing that is over.
-func (b *bench) checkPromises() {
+// checkGuarantees checks that no answer came after its deadline, and that the queue holds
+// no job any more.
+func (b *testbed) checkGuarantees() {
 	for customer, y := range b.tallies {
 		require.Zero(b.t, y.late, customer)
 	}
 	require.Empty(b.t, b.queue.jobs)
 	require.Zero(b.t, b.queue.waiting.Len())
-	require.Empty(b.t, b.queue.given)
+	require.Empty(b.t, b.queue.unsent)
 }
--- a/internal/dispatch/workers_test.go
+++ b/internal/dispatch/workers_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Attempts hang at a target that is frozen. Were an attempt to wait for a goroutine
-// that runs another, one such target would hold up all others of its pool.
-func TestCrewRunsAllAtOnceAndRests(t *testing.T) {
+// Attempts hang at a frozen target. If other attempts waited for their goroutines, one frozen
+// target would block the whole pool.
+func TestWorkerPoolRunsConcurrentlyAndStopsIdleGoroutines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		c, begun := newWorkerPool(), 0
+		p, started := newWorkerPool(), 0
 		release, done := make(chan struct{}), make(chan struct{}, 3)
 		for range 3 {
-			c.run(ctx, func() {
+			p.run(ctx, func() {
 				<-release
 				done <- struct{}{}
 			})
@@ -29,18 +29,18 @@
 			<-done
 		}
 		synctest.Wait()
-		// Those who rest take the next work, and are gone after their rest.
-		c.run(ctx, func() { begun++ })
+		// Idle goroutines take the next work, and end after workerIdleTimeout.
+		p.run(ctx, func() { started++ })
 		synctest.Wait()
-		require.Equal(t, 1, begun)
+		require.Equal(t, 1, started)
 		time.Sleep(2 * workerIdleTimeout)
 		select {
-		case c.work <- func() { begun++ }:
-			t.Fatal("a goroutine rests for ever")
+		case p.work <- func() { started++ }:
+			t.Fatal("an idle goroutine has not ended")
 		default:
 		}
-		c.run(ctx, func() { begun++ })
+		p.run(ctx, func() { started++ })
 		synctest.Wait()
-		require.Equal(t, 2, begun)
+		require.Equal(t, 2, started)
 	})
 }
