--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -39,11 +39,11 @@
 	peers       *peer.Pool
 	assigner    *assigner
 	commander   *target.Commander
-	grantor     *grantorDuty
-	// grantsPushed notifies the heartbeater that the grants changed.
-	grantsPushed chan struct{}
-	cancel       context.CancelFunc
-	duties       sync.WaitGroup
+	grantor     *grantor
+	// grantsChanged notifies the heartbeater that the grants changed.
+	grantsChanged chan struct{}
+	cancel        context.CancelFunc
+	tasks         sync.WaitGroup
 }
 
 func start(k *daemon.Kit[*Settings]) error {
@@ -71,7 +71,7 @@
 		peers:       peer.NewPool(1),
 		commander:   target.NewCommander(),
 	}
-	a.build()
+	a.initComponents()
 	if err := server.Register("Agent", a.relay); err != nil {
 		return nil, err
 	}
@@ -79,36 +79,36 @@
 	return a, nil
 }
 
-// build creates the parts, which notify the relay of their changes.
-func (a *agent) build() {
+// initComponents creates the parts, which notify the relay of their changes.
+func (a *agent) initComponents() {
 	s := a.Settings
 	a.relay = newRelay(a.incarnation)
 	self := wire.Member{VM: s.VM, DataCentre: s.DataCentre, Incarnation: a.incarnation, AgentAddr: a.server.Addr(), AdminAddr: a.Life.AdminAddr()}
-	a.members = newMembers(self, boottime.System{}, s.Silence.D(), a.relay.refreshLive)
+	a.members = newMembers(self, boottime.System{}, s.Silence.D(), a.relay.refreshMembers)
 	a.members.grantsChanged = a.relay.refresh
-	a.grantsPushed = make(chan struct{}, 1)
+	a.grantsChanged = make(chan struct{}, 1)
 	a.grants = newGrantTable(func() {
 		a.relay.refresh()
 		select {
-		case a.grantsPushed <- struct{}{}:
+		case a.grantsChanged <- struct{}{}:
 		default:
 		}
 	})
-	a.grantor = newGrantorDuty(a)
+	a.grantor = newGrantor(a)
 	a.config = newConfiguration(func() {
-		a.relay.configured()
-		a.grantor.wake()
+		a.relay.configurationChanged()
+		a.grantor.notifyConfigChanged()
 	})
 	a.grantor.config = a.config
 	a.relay.config, a.relay.members, a.relay.grants = a.config, a.members, a.grants
 }
 
-// tag names one write, so that a lost answer can be settled.
-func (a *agent) tag() string { return fmt.Sprintf("%s/%d", a.incarnation, a.writes.Add(1)) }
+// newWriteTag names one write, so that a lost answer can be settled.
+func (a *agent) newWriteTag() string { return fmt.Sprintf("%s/%d", a.incarnation, a.writes.Add(1)) }
 
-// counted returns the store for one cause. Calls that the guard refuses never
-// reach the store and are not counted.
-func (a *agent) counted(c platform.Cause) platform.Store {
+// storeFor returns the store for one cause. Calls that the guard refuses never
+// reach the store and are not storeFor.
+func (a *agent) storeFor(c platform.Cause) platform.Store {
 	return a.guard.Wrap(platform.Count(a.store, c, a.Registry))
 }
 
@@ -118,28 +118,28 @@
 	s := a.Settings
 	timeout := s.StoreTimeout.D()
 	w := &watcher{
-		store: a.counted(platform.CauseConfig), config: a.config, members: a.members, timeout: timeout, log: a.Log,
-		refused: metrics.GetOrRegisterCounter("config.refused.older", a.Registry),
+		store: a.storeFor(platform.CauseConfig), config: a.config, members: a.members, timeout: timeout, log: a.Log,
+		olderRefused: metrics.GetOrRegisterCounter("config.refused.older", a.Registry),
 	}
 	a.assigner = &assigner{
-		elections: a.counted(platform.CauseAssigner), plans: a.counted(platform.CauseAssignment),
-		config: a.config, members: a.members, relay: a.relay, peers: a.peers, hints: newTargetHints(),
-		tag: a.tag, timeout: timeout, clock: boottime.System{}, journal: a.Journal, log: a.Log,
+		electionStore: a.storeFor(platform.CauseAssigner), planStore: a.storeFor(platform.CauseAssignment),
+		config: a.config, members: a.members, relay: a.relay, peers: a.peers, targetHealth: newHealthMonitor(),
+		newWriteTag: a.newWriteTag, timeout: timeout, clock: boottime.System{}, journal: a.Journal, log: a.Log,
 	}
-	duties := []func(context.Context){
+	tasks := []func(context.Context){
 		w.run,
 		newPuller(a, w).run,
 		newReporter(a).run,
-		(&lister{a.counted(platform.CauseMembership), a.members, timeout, a.Log}).run,
-		(&heartbeater{members: a.members, peers: a.peers, every: s.Heartbeat.D(), seeds: s.Peers, grants: a.grants, pushes: a.grantsPushed, log: a.Log, busy: make(map[string]bool)}).run,
+		(&lister{a.storeFor(platform.CauseMembership), a.members, timeout, a.Log}).run,
+		(&heartbeater{members: a.members, peers: a.peers, interval: s.Heartbeat.D(), seedAddrs: s.Peers, grants: a.grants, grantsChanged: a.grantsChanged, log: a.Log, inFlight: make(map[string]bool)}).run,
 		a.assigner.run,
-		a.shareBudget,
+		a.updateStoreShare,
 		a.grantor.run,
 		a.seedGrants,
-		a.becomeReady,
+		a.awaitReady,
 	}
-	for _, duty := range duties {
-		a.duties.Go(func() { duty(ctx) })
+	for _, task := range tasks {
+		a.tasks.Go(func() { task(ctx) })
 	}
 	go func() {
 		if err := a.server.Serve(); err != nil {
@@ -149,23 +149,23 @@
 	return nil
 }
 
-// shareBudget keeps this VM to its part of the store's rates.
-func (a *agent) shareBudget(ctx context.Context) {
+// updateStoreShare keeps this VM to its part of the store's rates.
+func (a *agent) updateStoreShare(ctx context.Context) {
 	for ctx.Err() == nil {
-		a.guard.Share(len(a.members.addrs()) + 1)
-		pause.For(ctx, listEvery)
+		a.guard.Share(len(a.members.peerAddrs()) + 1)
+		pause.For(ctx, listInterval)
 	}
 }
 
-// becomeReady waits for the first configuration.
-func (a *agent) becomeReady(ctx context.Context) {
+// awaitReady waits for the first configuration.
+func (a *agent) awaitReady(ctx context.Context) {
 	for ctx.Err() == nil {
-		if _, ready := a.config.state(); ready && a.members.settled() && a.relay.seeded.Load() {
+		if _, ready := a.config.heldRevision(); ready && a.members.settled() && a.relay.grantsSeeded.Load() {
 			a.Life.Ready()
 			return
 		}
 		a.Life.NotReadyBecause(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers holds one",
-			a.Settings.Store, len(a.members.addrs())))
+			a.Settings.Store, len(a.members.peerAddrs())))
 		pause.For(ctx, a.Settings.Heartbeat.D())
 	}
 }
@@ -175,11 +175,11 @@
 	a.members.updateSelf(func(m *wire.Member) { m.Leaving = true })
 	a.awaitDaemons()
 	a.cancel()
-	a.duties.Wait()
+	a.tasks.Wait()
 	a.server.Close()
 	a.peers.Close()
 	a.commander.Close()
-	a.assigner.hints.close()
+	a.assigner.targetHealth.close()
 	a.Life.Drained()
 	return nil
 }
@@ -204,7 +204,7 @@
 }
 
 func (a *agent) dump() any {
-	revision, _ := a.config.state()
+	revision, _ := a.config.heldRevision()
 	objects, granted := a.config.list(), a.grants.list()
 	return dump{
 		a.incarnation, revision, totals{len(objects), len(granted)},
--- a/internal/agent/assigner.go
+++ b/internal/agent/assigner.go
@@ -23,60 +23,60 @@
 )
 
 const (
-	// planEvery is how often elections and plans are looked at.
-	planEvery = 500 * time.Millisecond
-	// loadsEvery is how often a VM reports its load to assigners.
-	loadsEvery = time.Second
+	// planInterval is how often elections and plans are looked at.
+	planInterval = 500 * time.Millisecond
+	// loadReportInterval is how often a VM reports its load to assigners.
+	loadReportInterval = time.Second
 )
 
 // assigner takes part in the election of each keyed service's assigner, and
 // plans the services that it holds. It is one goroutine.
 type assigner struct {
-	elections platform.Store
-	plans     platform.Store
-	config    *configuration
-	members   *members
-	relay     *relay
-	peers     *peer.Pool
-	hints     *targetHints
-	tag       func() string
-	timeout   time.Duration
-	clock     boottime.Clock
-	journal   *journal.Journal
-	log       *log.Logger
+	electionStore platform.Store
+	planStore     platform.Store
+	config        *configuration
+	members       *members
+	relay         *relay
+	peers         *peer.Pool
+	targetHealth  *healthMonitor
+	newWriteTag   func() string
+	timeout       time.Duration
+	clock         boottime.Clock
+	journal       *journal.Journal
+	log           *log.Logger
 
-	services    map[string]*assigned
-	observation observation
+	services    map[string]*assignedService
+	decoded     decodedConfig
 	loadsSentAt time.Duration
 }
 
-// assigned is what the assigner keeps of one service.
-type assigned struct {
-	election *ownership.Election
-	planner  *placement.Planner
-	held     bool
-	// written is the version of the assignment that this agent wrote last; it
+// assignedService is what the assigner keeps of one service.
+type assignedService struct {
+	election   *ownership.Election
+	planner    *placement.Planner
+	isAssigner bool
+	// writtenVersion is the version of the assignment that this agent wrote last; it
 	// plans on nothing older.
-	written uint64
+	writtenVersion uint64
 }
 
 func (a *assigner) run(ctx context.Context) {
-	a.services = make(map[string]*assigned)
+	a.services = make(map[string]*assignedService)
 	for ctx.Err() == nil {
-		pause.For(ctx, planEvery)
-		a.refreshObservation()
-		for _, s := range a.observation.view.Services() {
+		pause.For(ctx, planInterval)
+		a.refreshDecoded()
+		for _, s := range a.decoded.view.Services() {
 			if s.Keyed {
-				a.serve(ctx, s, a.observation.objects, a.observation.view.Assignment(s.Name), a.observation.versions)
+				a.updateService(ctx, s, a.decoded.objects, a.decoded.view.Assignment(s.Name), a.decoded.versions)
 			}
 		}
 		a.sendLoads(ctx)
 	}
 }
 
-// observation is the configuration as the assigner read it last. It is decoded only where
+// decodedConfig is the configuration as the assigner read it last. It is decoded only where
 // the revision has changed: most checks, two a second on every agent, find nothing new.
-type observation struct {
+type decodedConfig struct {
 	revision uint64
 	objects  []platform.Object
 	view     *view.View
@@ -84,17 +84,17 @@
 	cache    view.Cache
 }
 
-// refreshObservation brings the observation up to date.
-func (a *assigner) refreshObservation() {
+// refreshDecoded brings the observation up to date.
+func (a *assigner) refreshDecoded() {
 	// The revision comes first: a change in between is then seen again.
-	revision, _ := a.config.state()
-	if a.observation.view != nil && revision == a.observation.revision {
+	revision, _ := a.config.heldRevision()
+	if a.decoded.view != nil && revision == a.decoded.revision {
 		return
 	}
-	a.observation.revision = revision
-	a.observation.objects = a.config.list()
-	a.observation.view = a.observation.cache.Build(a.observation.objects, nil, nil)
-	a.observation.versions = versionsOf(a.observation.objects)
+	a.decoded.revision = revision
+	a.decoded.objects = a.config.list()
+	a.decoded.view = a.decoded.cache.Build(a.decoded.objects, nil, nil)
+	a.decoded.versions = versionsOf(a.decoded.objects)
 }
 
 func versionsOf(objects []platform.Object) map[platform.ID]uint64 {
@@ -105,35 +105,35 @@
 	return versions
 }
 
-// serve looks after one service: first who plans it, then the plan.
-func (a *assigner) serve(ctx context.Context, s *model.Service, objects []platform.Object, held *model.Assignment, versions map[platform.ID]uint64) {
+// updateService looks after one service: first who plans it, then the plan.
+func (a *assigner) updateService(ctx context.Context, s *model.Service, objects []platform.Object, held *model.Assignment, versions map[platform.ID]uint64) {
 	now := a.clock.Now()
-	me := a.members.me()
-	p := a.services[s.Name]
-	if p == nil {
-		p = &assigned{election: ownership.NewElection(s.Name, me.VM, me.Incarnation, now), planner: placement.New()}
-		a.services[s.Name] = p
+	me := a.members.selfMember()
+	svc := a.services[s.Name]
+	if svc == nil {
+		svc = &assignedService{election: ownership.NewElection(s.Name, me.VM, me.Incarnation, now), planner: placement.New()}
+		a.services[s.Name] = svc
 	}
-	a.observe(p, s.Name, objects, now)
-	if c := p.election.Step(now, a.rank(s.Name, me)); c != nil {
-		a.claim(ctx, p, c)
+	a.observeElection(svc, s.Name, objects, now)
+	if c := svc.election.Step(now, a.rank(s.Name, me)); c != nil {
+		a.writeClaim(ctx, svc, c)
 	}
-	a.noteHold(p, s.Name)
+	a.recordElectionResult(svc, s.Name)
 	version := versions[platform.ID{Kind: model.KindAssignment, Name: s.Name}]
-	if !p.election.Holds(a.clock.Now()) || version < p.written {
+	if !svc.election.Holds(a.clock.Now()) || version < svc.writtenVersion {
 		return
 	}
-	a.hints.probe(ctx, s)
-	a.plan(ctx, p, s, held, version)
+	a.targetHealth.probe(ctx, s)
+	a.plan(ctx, svc, s, held, version)
 }
 
-func (a *assigner) observe(p *assigned, service string, objects []platform.Object, now time.Duration) {
+func (a *assigner) observeElection(svc *assignedService, service string, objects []platform.Object, now time.Duration) {
 	i := slices.IndexFunc(objects, func(o platform.Object) bool { return o.Kind == model.KindAssigner && o.Name == service })
 	if i < 0 {
 		return
 	}
 	if object, err := model.Decode(objects[i].Kind, objects[i].Name, objects[i].Spec); err == nil {
-		p.election.Observe(now, *object.(*model.Assigner), objects[i].Version)
+		svc.election.Observe(now, *object.(*model.Assigner), objects[i].Version)
 	}
 }
 
@@ -147,24 +147,24 @@
 	return slices.IndexFunc(order, func(i int) bool { return candidates[i].VM == me.VM })
 }
 
-func (a *assigner) claim(ctx context.Context, p *assigned, c *ownership.Claim) {
-	written, err := a.write(ctx, a.elections, model.KindAssigner, c.Object.Service, c.Version, &c.Object)
+func (a *assigner) writeClaim(ctx context.Context, svc *assignedService, c *ownership.Claim) {
+	written, err := a.write(ctx, a.electionStore, model.KindAssigner, c.Object.Service, c.Version, &c.Object)
 	if err == nil || errors.Is(err, platform.ErrConflict) {
-		p.election.Done(a.clock.Now(), c, written, err == nil)
+		svc.election.Done(a.clock.Now(), c, written, err == nil)
 		return
 	}
-	p.election.OutcomeUnknown(a.clock.Now())
+	svc.election.OutcomeUnknown(a.clock.Now())
 	a.log.Debug().Err(err).Str("step", "elect").Str("peer", "store").Str("service", c.Object.Service).Msg("claim not written")
 }
 
-// noteHold records that the agent became a service's assigner, or is no more.
-func (a *assigner) noteHold(p *assigned, service string) {
-	holds := p.election.Holds(a.clock.Now())
-	if holds == p.held {
+// recordElectionResult records that the agent became a service's assigner, or is no more.
+func (a *assigner) recordElectionResult(svc *assignedService, service string) {
+	holds := svc.election.Holds(a.clock.Now())
+	if holds == svc.isAssigner {
 		return
 	}
-	p.held = holds
-	p.planner = placement.New()
+	svc.isAssigner = holds
+	svc.planner = placement.New()
 	text := "became assigner: no other renewed within its life"
 	if !holds {
 		text = "is assigner no more: another holds the service, or the renewal failed"
@@ -174,44 +174,44 @@
 
 // plan writes what is due. The version lets it succeed only on the record that
 // it was made from.
-func (a *assigner) plan(ctx context.Context, p *assigned, s *model.Service, held *model.Assignment, version uint64) {
-	in := a.input(s, held)
+func (a *assigner) plan(ctx context.Context, svc *assignedService, s *model.Service, held *model.Assignment, version uint64) {
+	in := a.plannerInput(s, held)
 	var result placement.Result
 	if held == nil {
-		result = p.planner.PlanFirst(&in)
+		result = svc.planner.PlanFirst(&in)
 	} else {
-		result = p.planner.Plan(&in)
+		result = svc.planner.Plan(&in)
 	}
 	if len(result.Decisions) == 0 || len(result.Assignment.Groups) == 0 {
 		return
 	}
-	written, err := a.write(ctx, a.plans, model.KindAssignment, s.Name, version, &result.Assignment)
+	written, err := a.write(ctx, a.planStore, model.KindAssignment, s.Name, version, &result.Assignment)
 	if err != nil {
-		p.planner.DropMoves()
+		svc.planner.DropMoves()
 		a.log.Debug().Err(err).Str("step", "plan").Str("peer", "store").Str("service", s.Name).Msg("assignment not written")
 		return
 	}
-	p.written = written
+	svc.writtenVersion = written
 	for _, d := range result.Decisions {
 		a.journal.Add("place", string(d.Kind)+": "+d.Text, s.Name)
 	}
 }
 
-func (a *assigner) input(s *model.Service, held *model.Assignment) placement.Input {
+func (a *assigner) plannerInput(s *model.Service, held *model.Assignment) placement.Input {
 	in := placement.Input{
-		Now: a.clock.Now(), Service: s, Assignment: held, Author: a.members.me().Incarnation,
-		Serving: make(map[uint64]placement.Serving), Load: a.relay.loads.of(s.Name),
+		Now: a.clock.Now(), Service: s, Assignment: held, Author: a.members.selfMember().Incarnation,
+		Serving: make(map[uint64]placement.Serving), Load: a.relay.loads.rates(s.Name),
 	}
 	for _, m := range a.members.live() {
 		if !m.Leaving {
 			in.VMs = append(in.VMs, placement.VM{Name: m.VM, DataCentre: m.DataCentre})
 		}
 	}
-	in.Listed = a.members.listedLive()
-	for _, g := range a.relay.grantsOf(s.Name) {
+	in.Listed = a.members.listedLiveCount()
+	for _, g := range a.relay.serviceGrants(s.Name) {
 		in.Serving[g.Group] = placement.Serving{Target: g.Target, Epoch: g.Rank.Epoch}
 	}
-	in.Leaving, in.Lost, in.Incarnations = a.hints.of(s)
+	in.Leaving, in.Lost, in.Incarnations = a.targetHealth.status(s)
 	return in
 }
 
@@ -222,7 +222,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.timeout)
 	defer cancel()
-	o, err := platform.Write(ctx, store, platform.Object{Kind: kind, Name: name, Version: version, Writer: a.tag(), Spec: text})
+	o, err := platform.Write(ctx, store, platform.Object{Kind: kind, Name: name, Version: version, Writer: a.newWriteTag(), Spec: text})
 	return o.Version, err
 }
 
@@ -230,22 +230,22 @@
 // one small message a second for each holder, however many VMs there are.
 func (a *assigner) sendLoads(ctx context.Context) {
 	now := a.clock.Now()
-	if now-a.loadsSentAt < loadsEvery {
+	if now-a.loadsSentAt < loadReportInterval {
 		return
 	}
 	a.loadsSentAt = now
-	args := &wire.LoadsArgs{VM: a.members.me().VM, Loads: a.relay.ownLoads()}
+	args := &wire.LoadsArgs{VM: a.members.selfMember().VM, Loads: a.relay.ownLoads()}
 	if len(args.Loads) == 0 {
 		return
 	}
 	holders := make(map[string]bool)
-	for _, p := range a.services {
-		holders[p.election.Holder()] = true
+	for _, svc := range a.services {
+		holders[svc.election.Holder()] = true
 	}
 	if holders[args.VM] {
-		a.relay.loads.take(args)
+		a.relay.loads.record(args)
 	}
-	for vm, addr := range a.members.addrs() {
+	for vm, addr := range a.members.peerAddrs() {
 		if holders[vm] {
 			go a.sendLoadsTo(ctx, vm, addr, args)
 		}
@@ -253,7 +253,7 @@
 }
 
 func (a *assigner) sendLoadsTo(ctx context.Context, vm, addr string, args *wire.LoadsArgs) {
-	ctx, cancel := context.WithTimeout(ctx, loadsEvery)
+	ctx, cancel := context.WithTimeout(ctx, loadReportInterval)
 	defer cancel()
 	if err := a.peers.Get(addr).Call(ctx, wire.MethodLoads, args, &wire.Empty{}); err != nil {
 		a.log.Debug().Err(err).Str("step", "send-loads").Str("peer", vm).Msg("assigner not reached")
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,18 +12,18 @@
 	"hemlockquay/internal/wire"
 )
 
-// logLength is how many changes are kept for deltas; a reader that lags further
+// maxLogLength is how many changes are kept for deltas; a reader that lags further
 // gets a snapshot. At 13 changes a second it covers five minutes.
-const logLength = 4096
+const maxLogLength = 4096
 
 // Refusals of a configuration.
 var (
-	// errOlder says that the sender's state is older than the one held.
-	errOlder = errors.New("older than the configuration held")
-	// errBase says that a delta does not begin where the configuration stands.
-	errBase = errors.New("delta of another base")
-	// errEmpty says that the sender holds no configuration itself.
-	errEmpty = errors.New("sender holds no configuration")
+	// errOlderRevision says that the sender's state is older than the one held.
+	errOlderRevision = errors.New("older than the configuration held")
+	// errBaseMismatch says that a delta does not begin where the configuration stands.
+	errBaseMismatch = errors.New("delta of another base")
+	// errNoConfiguration says that the sender holds no configuration itself.
+	errNoConfiguration = errors.New("sender holds no configuration")
 )
 
 // configuration is the objects that the agent holds, at one revision. It is
@@ -68,20 +68,20 @@
 	if c.ready && l.Revision < c.revision {
 		held := c.revision
 		c.mu.Unlock()
-		return fmt.Errorf("listing of revision %d, held %d: %w", l.Revision, held, errOlder)
+		return fmt.Errorf("listing of revision %d, held %d: %w", l.Revision, held, errOlderRevision)
 	}
 	if c.ready && l.Revision == c.revision {
 		c.mu.Unlock()
 		return nil
 	}
-	c.merge(l)
+	c.mergeListing(l)
 	c.mu.Unlock()
 	c.changed()
 	return nil
 }
 
-// merge needs c.mu.
-func (c *configuration) merge(l platform.Listing) {
+// mergeListing needs c.mu.
+func (c *configuration) mergeListing(l platform.Listing) {
 	listed := make(map[platform.ID]bool, len(l.Objects))
 	var changes []change
 	for _, o := range l.Objects {
@@ -92,7 +92,7 @@
 	}
 	for id := range c.objects {
 		if !listed[id] {
-			c.drop(id)
+			c.remove(id)
 			changes = append(changes, change{id, l.Revision})
 		}
 	}
@@ -101,7 +101,7 @@
 		c.floor, changes = l.Revision, nil
 	}
 	c.revision, c.ready = l.Revision, true
-	c.note(changes...)
+	c.appendChanges(changes...)
 }
 
 // put takes an object that is newer than the one held and passes its check.
@@ -121,18 +121,18 @@
 	return true
 }
 
-// drop needs c.mu.
-func (c *configuration) drop(id platform.ID) {
+// remove needs c.mu.
+func (c *configuration) remove(id platform.ID) {
 	delete(c.objects, id)
 	delete(c.refused, id)
 }
 
-// note needs c.mu.
-func (c *configuration) note(changes ...change) {
+// appendChanges needs c.mu.
+func (c *configuration) appendChanges(changes ...change) {
 	c.log = append(c.log, changes...)
-	if over := len(c.log) - logLength; over > 0 {
-		c.floor = c.log[over-1].revision
-		c.log = slices.Delete(c.log, 0, over)
+	if excess := len(c.log) - maxLogLength; excess > 0 {
+		c.floor = c.log[excess-1].revision
+		c.log = slices.Delete(c.log, 0, excess)
 	}
 }
 
@@ -147,23 +147,23 @@
 	switch e.Type {
 	case platform.EventPut:
 		if c.put(e.Object) {
-			c.note(change{e.Object.ID(), e.Revision})
+			c.appendChanges(change{e.Object.ID(), e.Revision})
 		}
 	case platform.EventDelete:
-		c.drop(e.Object.ID())
-		c.note(change{e.Object.ID(), e.Revision})
+		c.remove(e.Object.ID())
+		c.appendChanges(change{e.Object.ID(), e.Revision})
 	}
 	c.revision = e.Revision
 	c.mu.Unlock()
 	c.changed()
 }
 
-// take puts a peer's answer to a question from the revision into force.
+// applyReply puts a peer's answer to a question from the revision into force.
 // A delta on another base would skip changes, so it is refused; the next query begins at the
 // revision held.
-func (c *configuration) take(from uint64, r *wire.PullReply) error {
+func (c *configuration) applyReply(base uint64, r *wire.PullReply) error {
 	if !r.Ready {
-		return errEmpty
+		return errNoConfiguration
 	}
 	if r.Snapshot {
 		return c.replace(platform.Listing{Objects: r.Objects, Revision: r.Revision})
@@ -172,10 +172,10 @@
 	switch {
 	case r.Revision < c.revision:
 		c.mu.Unlock()
-		return fmt.Errorf("delta up to %d: %w", r.Revision, errOlder)
-	case !c.ready || from != c.revision:
+		return fmt.Errorf("delta up to %d: %w", r.Revision, errOlderRevision)
+	case !c.ready || base != c.revision:
 		c.mu.Unlock()
-		return fmt.Errorf("delta from %d: %w", from, errBase)
+		return fmt.Errorf("delta from %d: %w", base, errBaseMismatch)
 	case r.Revision == c.revision:
 		c.mu.Unlock()
 		return nil
@@ -189,20 +189,20 @@
 // mergeDelta needs c.mu.
 func (c *configuration) mergeDelta(r *wire.PullReply) {
 	for _, id := range r.Deleted {
-		c.drop(id)
-		c.note(change{id, r.Revision})
+		c.remove(id)
+		c.appendChanges(change{id, r.Revision})
 	}
 	for _, o := range r.Objects {
 		if c.put(o) {
-			c.note(change{o.ID(), r.Revision})
+			c.appendChanges(change{o.ID(), r.Revision})
 		}
 	}
 	c.revision = r.Revision
 }
 
-// since fills in what changed after the revision: a delta from the log, or a
+// changesSince fills in what changed after the revision: a delta from the log, or a
 // snapshot where the log does not reach back so far. wanted selects kinds.
-func (c *configuration) since(revision uint64, wanted func(model.Kind) bool, reply *wire.PullReply) {
+func (c *configuration) changesSince(revision uint64, include func(model.Kind) bool, reply *wire.PullReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	reply.Ready, reply.Revision = c.ready, c.revision
@@ -211,13 +211,13 @@
 	}
 	if revision == 0 || revision < c.floor {
 		reply.Snapshot = true
-		reply.Objects = c.sorted(wanted)
+		reply.Objects = c.sortedObjects(include)
 		return
 	}
 	first, _ := slices.BinarySearchFunc(c.log, revision+1, func(e change, r uint64) int { return cmp.Compare(e.revision, r) })
 	seen := make(map[platform.ID]bool)
 	for _, e := range c.log[first:] {
-		if seen[e.id] || !wanted(e.id.Kind) {
+		if seen[e.id] || !include(e.id.Kind) {
 			continue
 		}
 		seen[e.id] = true
@@ -229,11 +229,11 @@
 	}
 }
 
-// sorted returns the wanted objects by version. It needs c.mu.
-func (c *configuration) sorted(wanted func(model.Kind) bool) []platform.Object {
+// sortedObjects returns the wanted objects by version. It needs c.mu.
+func (c *configuration) sortedObjects(include func(model.Kind) bool) []platform.Object {
 	out := make([]platform.Object, 0, len(c.objects))
 	for _, o := range c.objects {
-		if wanted(o.Kind) {
+		if include(o.Kind) {
 			out = append(out, o)
 		}
 	}
@@ -241,8 +241,8 @@
 	return out
 }
 
-// state returns the revision held and whether there is any.
-func (c *configuration) state() (revision uint64, ready bool) {
+// heldRevision returns the revision held and whether there is any.
+func (c *configuration) heldRevision() (revision uint64, ready bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision, c.ready
@@ -252,7 +252,7 @@
 func (c *configuration) list() []platform.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.sorted(everyKind)
+	return c.sortedObjects(allKinds)
 }
 
 // problems returns why stored objects are not in force, sorted.
@@ -267,13 +267,13 @@
 	return out
 }
 
-// everyKind is wanted by agents, which pass objects on.
-func everyKind(model.Kind) bool { return true }
+// allKinds is wanted by agents, which pass objects on.
+func allKinds(model.Kind) bool { return true }
 
-// daemonKind selects what entries and dispatchers use: services and contracts.
+// isDaemonKind selects what entries and dispatchers use: services and contracts.
 // The leases of assigners and the status of VMs concern agents only, and so do
 // the records of assignments: daemons go by the grants, which say who serves now.
 //
 // Load pattern: a record comes whole with each move, 175 to 440 bytes a group,
 // and daemons would take and decode it on every VM for nothing.
-func daemonKind(k model.Kind) bool { return k == model.KindService || k == model.KindContract }
+func isDaemonKind(k model.Kind) bool { return k == model.KindService || k == model.KindContract }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -39,14 +39,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		store := memstore.New()
-		fresh := func() *configuration { return newConfiguration(func() {}) }
-		agents := []*configuration{fresh(), fresh(), fresh()}
-		var late []wire.PullReply
-		var from []uint64
+		newEmpty := func() *configuration { return newConfiguration(func() {}) }
+		agents := []*configuration{newEmpty(), newEmpty(), newEmpty()}
+		var replies []wire.PullReply
+		var bases []uint64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "agent")
 			c := agents[i]
-			before, _ := c.state()
+			before, _ := c.heldRevision()
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
@@ -61,29 +61,29 @@
 				l, _ := store.List(ctx)
 				require.NoError(t, c.replace(l))
 			case 2:
-				watchOnce(store, c)
+				replayWatch(store, c)
 			case 3:
 				var r wire.PullReply
-				agents[rapid.IntRange(0, 2).Draw(t, "peer")].since(before, everyKind, &r)
-				late, from = append(late, r), append(from, before)
+				agents[rapid.IntRange(0, 2).Draw(t, "peer")].changesSince(before, allKinds, &r)
+				replies, bases = append(replies, r), append(bases, before)
 			case 4:
-				if len(late) > 0 {
-					k := rapid.IntRange(0, len(late)-1).Draw(t, "answer")
-					_ = c.take(from[k], &late[k])
+				if len(replies) > 0 {
+					k := rapid.IntRange(0, len(replies)-1).Draw(t, "answer")
+					_ = c.applyReply(bases[k], &replies[k])
 				}
 			case 5:
-				agents[i], before = fresh(), 0
+				agents[i], before = newEmpty(), 0
 			}
-			after, _ := agents[i].state()
+			after, _ := agents[i].heldRevision()
 			require.GreaterOrEqual(t, after, before)
-			requireSame(t, store, agents[i])
+			requireMatchesStore(t, store, agents[i])
 		}
 	})
 }
 
-// watchOnce applies what a watch from one change before the revision held brings.
-func watchOnce(store platform.Store, c *configuration) {
-	revision, ready := c.state()
+// replayWatch applies what a watch from one change before the revision held brings.
+func replayWatch(store platform.Store, c *configuration) {
+	revision, ready := c.heldRevision()
 	if !ready {
 		return
 	}
@@ -92,9 +92,9 @@
 	_ = store.Watch(ctx, revision-min(revision, 1), func(e platform.Event) error { c.apply(e); return nil })
 }
 
-func requireSame(t *rapid.T, store platform.Store, c *configuration) {
+func requireMatchesStore(t *rapid.T, store platform.Store, c *configuration) {
 	want, _ := store.List(context.Background())
-	if revision, ready := c.state(); !ready || revision != want.Revision {
+	if revision, ready := c.heldRevision(); !ready || revision != want.Revision {
 		return
 	}
 	require.ElementsMatch(t, want.Objects, c.list())
@@ -106,11 +106,11 @@
 func TestConfigurationRefusesOlderState(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(9, contract("a", 9, 5))))
-	require.ErrorIs(t, c.replace(listing(7, contract("a", 4, 1))), errOlder)
-	require.ErrorIs(t, c.take(0, &wire.PullReply{Ready: true, Snapshot: true, Revision: 8, Objects: []platform.Object{contract("a", 4, 1)}}), errOlder)
-	require.ErrorIs(t, c.take(9, &wire.PullReply{Ready: true, Revision: 8}), errOlder)
-	require.ErrorIs(t, c.take(5, &wire.PullReply{Ready: true, Revision: 12}), errBase)
-	require.ErrorIs(t, c.take(9, &wire.PullReply{}), errEmpty)
+	require.ErrorIs(t, c.replace(listing(7, contract("a", 4, 1))), errOlderRevision)
+	require.ErrorIs(t, c.applyReply(0, &wire.PullReply{Ready: true, Snapshot: true, Revision: 8, Objects: []platform.Object{contract("a", 4, 1)}}), errOlderRevision)
+	require.ErrorIs(t, c.applyReply(9, &wire.PullReply{Ready: true, Revision: 8}), errOlderRevision)
+	require.ErrorIs(t, c.applyReply(5, &wire.PullReply{Ready: true, Revision: 12}), errBaseMismatch)
+	require.ErrorIs(t, c.applyReply(9, &wire.PullReply{}), errNoConfiguration)
 	require.NoError(t, c.replace(listing(12, contract("a", 4, 1))))
 	require.Equal(t, uint64(9), c.list()[0].Version)
 }
@@ -137,14 +137,14 @@
 	require.NoError(t, c.replace(listing(1, contract("gone", 1, 5))))
 	c.apply(platform.Event{Type: platform.EventDelete, Object: contract("gone", 1, 5), Revision: 2})
 	var r wire.PullReply
-	c.since(1, everyKind, &r)
+	c.changesSince(1, allKinds, &r)
 	require.False(t, r.Snapshot)
 	require.Equal(t, []platform.ID{{Kind: model.KindContract, Name: "gone"}}, r.Deleted)
-	for v := range uint64(logLength) {
+	for v := range uint64(maxLogLength) {
 		c.apply(put(contract("a", 3+v, 5)))
 	}
 	r = wire.PullReply{}
-	c.since(1, everyKind, &r)
+	c.changesSince(1, allKinds, &r)
 	require.True(t, r.Snapshot)
 	require.Len(t, r.Objects, 1)
 }
--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -33,38 +33,38 @@
 	noLease   = "nobody holds a lease on configuration: each write is conditional on the version read"
 )
 
-// changeBreakages has an entry for each fault: why it cannot be, or what it does.
+// changeFaults has an entry for each fault: why it cannot be, or what it does.
 // lasts is the fault's length.
-var changeBreakages = map[faults.Fault]struct {
+var changeFaults = map[faults.Fault]struct {
 	impossible string
-	lasts      time.Duration
-	inject     func(*changePlay)
+	duration   time.Duration
+	inject     func(*changeScenario)
 }{
-	faults.None:            {inject: func(*changePlay) {}},
-	faults.Partition:       {lasts: 3 * time.Second, inject: func(p *changePlay) { p.cut(3 * time.Second) }},
-	faults.Pause:           {lasts: 3 * time.Second, inject: func(p *changePlay) { p.pause(0, 3*time.Second) }},
-	faults.EntryLost:       {lasts: time.Second, inject: func(p *changePlay) { p.loseDaemon(2) }},
-	faults.DispatchLost:    {lasts: time.Second, inject: func(p *changePlay) { p.loseDaemon(1) }},
-	faults.AgentLost:       {lasts: 3 * time.Second, inject: func(p *changePlay) { p.lose(0, 3*time.Second) }},
+	faults.None:            {inject: func(*changeScenario) {}},
+	faults.Partition:       {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.partition(3 * time.Second) }},
+	faults.Pause:           {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.pause(0, 3*time.Second) }},
+	faults.EntryLost:       {duration: time.Second, inject: func(cs *changeScenario) { cs.stopDaemon(2) }},
+	faults.DispatchLost:    {duration: time.Second, inject: func(cs *changeScenario) { cs.stopDaemon(1) }},
+	faults.AgentLost:       {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.stopVM(0, 3*time.Second) }},
 	faults.TargetFrozen:    {impossible: noTargets},
 	faults.TargetLost:      {impossible: noTargets},
-	faults.StoreDown:       {lasts: 10 * time.Second, inject: func(p *changePlay) { p.downTo = time.Now().Add(10 * time.Second) }},
-	faults.StoreSlow:       {lasts: 10 * time.Second, inject: func(p *changePlay) { p.slowTo = time.Now().Add(10 * time.Second) }},
-	faults.StoreAnswerLost: {inject: func(p *changePlay) { p.loseAnswer = true }},
+	faults.StoreDown:       {duration: 10 * time.Second, inject: func(cs *changeScenario) { cs.downUntil = time.Now().Add(10 * time.Second) }},
+	faults.StoreSlow:       {duration: 10 * time.Second, inject: func(cs *changeScenario) { cs.slowUntil = time.Now().Add(10 * time.Second) }},
+	faults.StoreAnswerLost: {inject: func(cs *changeScenario) { cs.loseAnswer = true }},
 	faults.LeaseLapsed:     {impossible: noLease},
-	faults.OperatorsRace:   {inject: (*changePlay).rival},
+	faults.OperatorsRace:   {inject: (*changeScenario).startRival},
 	faults.CrashingRequest: {impossible: noTargets},
-	faults.VMLeaves:        {inject: func(p *changePlay) { p.lose(0, time.Hour) }},
+	faults.VMLeaves:        {inject: func(cs *changeScenario) { cs.stopVM(0, time.Hour) }},
 	faults.TargetLeaves:    {impossible: noTargets},
-	faults.DataCentreLost:  {lasts: 3 * time.Second, inject: func(p *changePlay) { p.lose(0, 3*time.Second); p.lose(1, 3*time.Second) }},
+	faults.DataCentreLost:  {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.stopVM(0, 3*time.Second); cs.stopVM(1, 3*time.Second) }},
 	faults.TargetLostTwice: {impossible: noTargets},
-	faults.PartitionTwice: {lasts: 5 * time.Second, inject: func(p *changePlay) {
-		p.cut(time.Second)
-		time.AfterFunc(1537*time.Millisecond, func() { p.mu.Lock(); defer p.mu.Unlock(); p.cut(3 * time.Second) })
+	faults.PartitionTwice: {duration: 5 * time.Second, inject: func(cs *changeScenario) {
+		cs.partition(time.Second)
+		time.AfterFunc(1537*time.Millisecond, func() { cs.mu.Lock(); defer cs.mu.Unlock(); cs.partition(3 * time.Second) })
 	}},
 	faults.TargetAndStore:   {impossible: noTargets + ": see store down"},
 	faults.AgentAndTarget:   {impossible: noTargets + ": see agent lost"},
-	faults.PauseInPartition: {lasts: 3 * time.Second, inject: func(p *changePlay) { p.cut(3 * time.Second); p.pause(1, 3*time.Second) }},
+	faults.PauseInPartition: {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.partition(3 * time.Second); cs.pause(1, 3*time.Second) }},
 }
 
 const changeAbout = `An operator applies a contract by ctl.Apply, over a store in memory with a wrapper for its faults; three
@@ -87,7 +87,7 @@
 	m := faults.New(chart, changeAbout)
 	for _, step := range faults.Steps(chart) {
 		for _, f := range faults.All() {
-			b, ok := changeBreakages[f]
+			b, ok := changeFaults[f]
 			require.True(t, ok, "no entry for %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
@@ -95,7 +95,7 @@
 			}
 			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					m.Set(f, step, newChangePlay(t, chart, step, b.inject, b.lasts).run())
+					m.Set(f, step, newChangeScenario(t, chart, step, b.inject, b.duration).run())
 				})
 			})
 		}
--- /dev/null
+++ b/internal/agent/faultscenario_test.go
@@ -0,0 +1,361 @@
+package agent
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"hemlockquay/internal/ctl"
+	"hemlockquay/internal/model"
+	"hemlockquay/internal/platform"
+	"hemlockquay/internal/platform/memstore"
+	"hemlockquay/internal/statechart"
+	"hemlockquay/internal/wire"
+)
+
+// changeScenario is one change of a contract being put in force.
+type changeScenario struct {
+	t        *testing.T
+	chart    *statechart.Chart
+	step     statechart.Transition
+	inject   func(*changeScenario)
+	duration time.Duration
+	store    *memstore.Store
+
+	// mu guards what follows: operators and fleet are goroutines. It is held in
+	// each beat and in each call at the store, and never while time passes.
+	mu                   sync.Mutex
+	machine              *statechart.Machine
+	stepTaken            bool
+	faultAt              time.Time
+	downUntil, slowUntil time.Time
+	partitionedUntil     time.Time
+	loseAnswer           bool
+	operators            sync.WaitGroup
+
+	vms [3]*changeVM
+	// accepted is the rate that was accepted last, refused those that were not.
+	accepted     float64
+	refused      []float64
+	hasRival     bool
+	applyEndedAt time.Time
+}
+
+// changeVM is a VM with its agent and one daemon.
+type changeVM struct {
+	agent, daemon                                 *configuration
+	revision, version                             uint64
+	stoppedUntil, pausedUntil, daemonStoppedUntil time.Time
+	stopped                                       bool
+}
+
+const (
+	stepInterval   = 100 * time.Millisecond
+	scenarioLength = 40 * time.Second
+	// maxPropagationTime is the bound that the capacity page takes from the users.
+	maxPropagationTime = 11 * time.Second
+)
+
+func newChangeScenario(t *testing.T, c *statechart.Chart, step statechart.Transition, inject func(*changeScenario), duration time.Duration) *changeScenario {
+	cs := &changeScenario{t: t, chart: c, step: step, inject: inject, duration: duration, store: memstore.New(), machine: c.Start()}
+	_, err := cs.store.Put(t.Context(), contract("a", 0, 1))
+	require.NoError(t, err)
+	for i := range cs.vms {
+		cs.vms[i] = &changeVM{}
+		cs.startVM(i)
+	}
+	for range 3 {
+		cs.runStep()
+	}
+	return cs
+}
+
+func (cs *changeScenario) startVM(i int) {
+	n := cs.vms[i]
+	n.agent, n.daemon = newConfiguration(func() {}), newConfiguration(func() {})
+	n.revision, n.version, n.stopped = 0, 0, false
+}
+
+// recordEvent notes a call on the way of the change. The first call of each kind is its
+// step. It needs p.mu.
+func (cs *changeScenario) recordEvent(e statechart.Event) {
+	before := cs.machine.State()
+	err := cs.machine.Fire(e)
+	due := err == nil && !cs.stepTaken && cs.step.Event == e && cs.step.From == before
+	cs.stepTaken = cs.stepTaken || due
+	if due {
+		cs.injectFault()
+	}
+}
+
+func (cs *changeScenario) injectFault() {
+	cs.faultAt = time.Now()
+	cs.inject(cs)
+}
+
+// run plays the change and returns what its operator received.
+func (cs *changeScenario) run() string {
+	cs.mu.Lock()
+	if cs.step.Event == "" {
+		cs.stepTaken = true
+		cs.injectFault()
+	}
+	cs.mu.Unlock()
+	var received string
+	cs.operators.Go(func() { received = cs.apply(2) })
+	inForce := time.Time{}
+	for end := time.Now().Add(scenarioLength); time.Now().Before(end); time.Sleep(stepInterval) {
+		switch done := cs.runStep(); {
+		case !done:
+			inForce = time.Time{}
+		case inForce.IsZero():
+			inForce = time.Now()
+		}
+	}
+	cs.operators.Wait()
+	cs.checkEnd(inForce)
+	from := cs.faultAt.Add(cs.duration)
+	if cs.applyEndedAt.After(from) {
+		from = cs.applyEndedAt
+	}
+	took := max(0, inForce.Sub(from))
+	require.Less(cs.t, took, maxPropagationTime, "in force everywhere")
+	return fmt.Sprintf("%s, %.0f", received, math.Ceil(took.Seconds()))
+}
+
+func (cs *changeScenario) checkEnd(inForce time.Time) {
+	require.True(cs.t, cs.stepTaken, "nothing led to the step")
+	require.False(cs.t, inForce.IsZero(), "the stored version is not in force everywhere")
+	stored := rateOf(cs.t, cs.storedContract())
+	if cs.accepted != 0 {
+		require.Equal(cs.t, cs.accepted, stored, "an accepted change was lost")
+	}
+	require.NotContains(cs.t, cs.refused, stored, "a refused change was written")
+	if cs.hasRival {
+		require.Len(cs.t, cs.refused, 1, "one of two that read the same version gets a conflict")
+	}
+}
+
+func (cs *changeScenario) storedContract() platform.Object {
+	o, err := cs.store.Get(context.Background(), contract("a", 0, 0).ID())
+	require.NoError(cs.t, err)
+	return o
+}
+
+func rateOf(t *testing.T, o platform.Object) float64 {
+	var c model.Contract
+	require.NoError(t, json.Unmarshal(o.Spec, &c))
+	return c.Services[0].Rate
+}
+
+// apply is an operator that read version 1.
+func (cs *changeScenario) apply(rate float64) string {
+	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
+	defer cancel()
+	_, err := ctl.Apply(ctx, &faultyStore{Store: cs.store, scenario: cs}, contract("a", 1, rate))
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	cs.applyEndedAt = time.Now()
+	switch {
+	case err == nil:
+		cs.accepted = rate
+		return "accepted"
+	case errors.Is(err, platform.ErrConflict):
+		cs.refused = append(cs.refused, rate)
+		return "conflict"
+	}
+	require.ErrorIs(cs.t, err, platform.ErrUnavailable)
+	cs.refused = append(cs.refused, rate)
+	return "unavailable"
+}
+
+// startRival is another operator who read the same version.
+func (cs *changeScenario) startRival() {
+	cs.hasRival = true
+	cs.operators.Go(func() {
+		time.Sleep(time.Millisecond)
+		cs.apply(3)
+	})
+}
+
+// faultyStore is the store as operators reach it.
+type faultyStore struct {
+	platform.Store
+	scenario *changeScenario
+}
+
+// delay is the way to the store or back.
+func (s *faultyStore) delay() error {
+	time.Sleep(5 * time.Millisecond)
+	if s.scenario.isBefore(&s.scenario.slowUntil) {
+		time.Sleep(1500 * time.Millisecond)
+	}
+	if s.scenario.isBefore(&s.scenario.downUntil) {
+		return platform.ErrUnavailable
+	}
+	return nil
+}
+
+func (cs *changeScenario) isBefore(end *time.Time) bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	return time.Now().Before(*end)
+}
+
+func (s *faultyStore) Get(ctx context.Context, id platform.ID) (platform.Object, error) {
+	if err := s.delay(); err != nil {
+		return platform.Object{}, err
+	}
+	s.scenario.mu.Lock()
+	defer s.scenario.mu.Unlock()
+	o, err := s.Store.Get(ctx, id)
+	s.scenario.recordEvent("get")
+	return o, err
+}
+
+// Put loses its answer where the store goes down or a loss is due.
+func (s *faultyStore) Put(ctx context.Context, o platform.Object) (platform.Object, error) {
+	if err := s.delay(); err != nil {
+		return platform.Object{}, err
+	}
+	written, lost, err := s.put(ctx, o)
+	if err == nil && (s.delay() != nil || lost) {
+		return platform.Object{}, platform.ErrAmbiguous
+	}
+	return written, err
+}
+
+func (s *faultyStore) put(ctx context.Context, o platform.Object) (written platform.Object, lost bool, err error) {
+	s.scenario.mu.Lock()
+	defer s.scenario.mu.Unlock()
+	written, err = s.Store.Put(ctx, o)
+	s.scenario.recordEvent("put")
+	lost, s.scenario.loseAnswer = s.scenario.loseAnswer, false
+	return written, lost, err
+}
+
+// runStep lets the fleet do what it does in 100 ms, and checks that nothing falls. It
+// reports whether the change has ended and is in force.
+func (cs *changeScenario) runStep() bool {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	now := time.Now()
+	watching := -1
+	for i, n := range cs.vms {
+		if n.stopped && !now.Before(n.stoppedUntil) {
+			cs.startVM(i)
+		}
+		if watching < 0 && !n.stopped && (i == len(cs.vms)-1 || !now.Before(n.pausedUntil)) {
+			watching = i
+		}
+	}
+	for i, n := range cs.vms {
+		if n.stopped || now.Before(n.pausedUntil) {
+			continue
+		}
+		cs.syncAgent(i, i == watching, now)
+		cs.syncDaemon(n, now)
+		cs.checkVM(n)
+	}
+	return !cs.applyEndedAt.IsZero() && cs.inForceEverywhere()
+}
+
+// syncAgent brings one agent up to date: from the store where it watches or holds
+// nothing, else from a peer that is ahead.
+func (cs *changeScenario) syncAgent(i int, watching bool, now time.Time) {
+	n := cs.vms[i]
+	revision, ready := n.agent.heldRevision()
+	if (watching || !ready) && !now.Before(cs.downUntil) && !now.Before(cs.slowUntil) {
+		cs.syncFromStore(n.agent)
+	}
+	for j, peer := range cs.vms {
+		ahead, peerReady := peer.agent.heldRevision()
+		if i == j || peer.stopped || now.Before(peer.pausedUntil) || now.Before(cs.partitionedUntil) || !peerReady || ahead <= revision {
+			continue
+		}
+		var reply wire.PullReply
+		peer.agent.changesSince(revision, allKinds, &reply)
+		if n.agent.applyReply(revision, &reply) == nil {
+			cs.recordIfStored("pull")
+		}
+		return
+	}
+}
+
+func (cs *changeScenario) syncFromStore(c *configuration) {
+	revision, ready := c.heldRevision()
+	if !ready {
+		l, err := cs.store.List(context.Background())
+		require.NoError(cs.t, err)
+		_ = c.replace(l)
+	} else {
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		_ = cs.store.Watch(ctx, revision, func(e platform.Event) error { c.apply(e); return nil })
+	}
+	if after, _ := c.heldRevision(); after > revision {
+		cs.recordIfStored("watch")
+	}
+}
+
+// recordIfStored notes a step of the fleet once the change is stored.
+func (cs *changeScenario) recordIfStored(e statechart.Event) {
+	if cs.storedContract().Version > 1 {
+		cs.recordEvent(e)
+	}
+}
+
+func (cs *changeScenario) syncDaemon(n *changeVM, now time.Time) {
+	if now.Before(n.daemonStoppedUntil) {
+		return
+	}
+	revision, _ := n.daemon.heldRevision()
+	var reply wire.PullReply
+	n.agent.changesSince(revision, isDaemonKind, &reply)
+	if !reply.Ready || reply.Revision <= revision {
+		return
+	}
+	if n.daemon.applyReply(revision, &reply) == nil {
+		cs.recordIfStored("load")
+	}
+}
+
+func (cs *changeScenario) checkVM(n *changeVM) {
+	revision, _ := n.agent.heldRevision()
+	require.GreaterOrEqual(cs.t, revision, n.revision, "an agent's revision fell")
+	n.revision = revision
+	for _, o := range n.daemon.list() {
+		require.GreaterOrEqual(cs.t, o.Version, n.version, "a daemon's contract fell back")
+		n.version = o.Version
+	}
+}
+
+// inForceEverywhere reports whether the stored version is in force on every VM that runs.
+func (cs *changeScenario) inForceEverywhere() bool {
+	want := cs.storedContract().Version
+	for _, n := range cs.vms {
+		if !n.stopped && n.version != want {
+			return false
+		}
+	}
+	return true
+}
+
+func (cs *changeScenario) partition(d time.Duration)    { cs.partitionedUntil = time.Now().Add(d) }
+func (cs *changeScenario) pause(i int, d time.Duration) { cs.vms[i].pausedUntil = time.Now().Add(d) }
+
+func (cs *changeScenario) stopVM(i int, d time.Duration) {
+	cs.vms[i].stopped, cs.vms[i].stoppedUntil = true, time.Now().Add(d)
+}
+
+func (cs *changeScenario) stopDaemon(i int) {
+	n := cs.vms[i]
+	n.daemon, n.version, n.daemonStoppedUntil = newConfiguration(func() {}), 0, time.Now().Add(time.Second)
+}
--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -9,40 +9,40 @@
 	"hemlockquay/internal/target"
 )
 
-// answer is the response of a target or the store.
-type answer struct {
+// response is the response of a target or the store.
+type response struct {
 	service string
-	batch   *batch
+	batch   *orderBatch
 	report  *target.Report
-	// read is a reading of the record, asked at the time.
-	read  *model.Assignment
-	asked time.Duration
+	// record is a reading of the record, asked at the time.
+	record      *model.Assignment
+	requestedAt time.Duration
 }
 
-// batch is the orders of one tick for one target; groups match its orders.
-type batch struct {
+// orderBatch is the orders of one tick for one target; groups match its orders.
+type orderBatch struct {
 	target model.Target
 	groups []uint64
 	orders []grants.Order
 }
 
-// send carries each target's batch, those of other incarnations apart.
-func (d *grantorDuty) send(ctx context.Context, h *heldService, batches map[string]*batch) {
+// sendBatches carries each target's batch, those of other incarnations apart.
+func (gr *grantor) sendBatches(ctx context.Context, svc *serviceState, batches map[string]*orderBatch) {
 	for _, b := range batches {
-		for _, part := range b.byIncarnation() {
-			d.orders.Inc(1)
-			go d.carry(ctx, h.service.Name, part)
+		for _, part := range b.splitByIncarnation() {
+			gr.sentOrders.Inc(1)
+			go gr.sendBatch(ctx, svc.service.Name, part)
 		}
 	}
 }
 
-// byIncarnation splits the batch: an order names one incarnation.
-func (b *batch) byIncarnation() map[string]*batch {
-	parts := make(map[string]*batch, 1)
+// splitByIncarnation splits the batch: an order names one incarnation.
+func (b *orderBatch) splitByIncarnation() map[string]*orderBatch {
+	parts := make(map[string]*orderBatch, 1)
 	for i, o := range b.orders {
 		p := parts[o.Incarnation]
 		if p == nil {
-			p = &batch{target: b.target}
+			p = &orderBatch{target: b.target}
 			parts[o.Incarnation] = p
 		}
 		p.groups = append(p.groups, b.groups[i])
@@ -51,8 +51,8 @@
 	return parts
 }
 
-func (d *grantorDuty) carry(ctx context.Context, service string, b *batch) {
-	ctx, cancel := context.WithTimeout(ctx, d.timeout)
+func (gr *grantor) sendBatch(ctx context.Context, service string, b *orderBatch) {
+	ctx, cancel := context.WithTimeout(ctx, gr.timeout)
 	defer cancel()
 	order := target.Order{Incarnation: b.orders[0].Incarnation}
 	for i, o := range b.orders {
@@ -61,42 +61,42 @@
 			Slices: o.Slices, Until: o.Until, Release: o.Release,
 		})
 	}
-	report, err := d.commander.Send(ctx, b.target.Addr, &order)
+	report, err := gr.commander.Send(ctx, b.target.Addr, &order)
 	if err != nil {
-		d.errors.Inc(1)
-		d.log.Debug().Err(err).Str("step", "grant").Str("peer", b.target.Name).Msg("no report")
+		gr.unansweredOrders.Inc(1)
+		gr.log.Debug().Err(err).Str("step", "grant").Str("peer", b.target.Name).Msg("no report")
 		return
 	}
-	_ = d.inbox.Push(ctx, answer{service: service, batch: b, report: report})
+	_ = gr.inbox.Push(ctx, response{service: service, batch: b, report: report})
 }
 
-// take brings an answer to its groups. It returns whether one of them can go on.
-func (d *grantorDuty) take(a answer) bool {
-	h := d.services[a.service]
-	if h == nil {
+// handleResponse brings an answer to its groups. It returns whether one of them can go on.
+func (gr *grantor) handleResponse(resp response) bool {
+	svc := gr.services[resp.service]
+	if svc == nil {
 		return false
 	}
-	if a.read != nil {
-		for _, rec := range a.read.Groups {
-			if g := h.groups[rec.ID]; g != nil {
-				g.HandleStoreRead(rec.Epoch, a.asked)
+	if resp.record != nil {
+		for _, rec := range resp.record.Groups {
+			if g := svc.groups[rec.ID]; g != nil {
+				g.HandleStoreRead(rec.Epoch, resp.requestedAt)
 			}
 		}
 		return true
 	}
-	now, again := d.clock.Now(), false
-	for i := range a.batch.orders {
-		g := h.groups[a.batch.groups[i]]
-		if g == nil || !a.report.Refused && i >= len(a.report.Groups) {
+	now, again := gr.clock.Now(), false
+	for i := range resp.batch.orders {
+		g := svc.groups[resp.batch.groups[i]]
+		if g == nil || !resp.report.Refused && i >= len(resp.report.Groups) {
 			continue
 		}
-		again = g.HandleReport(&a.batch.orders[i], reportOf(a.report, i), now) || again
+		again = g.HandleReport(&resp.batch.orders[i], groupReport(resp.report, i), now) || again
 	}
-	d.publish(a.service, h, a.batch.groups, now)
+	gr.publish(resp.service, svc, resp.batch.groups, now)
 	return again
 }
 
-func reportOf(r *target.Report, i int) *grants.Report {
+func groupReport(r *target.Report, i int) *grants.Report {
 	out := &grants.Report{Incarnation: r.Incarnation, Refused: r.Refused, Clock: r.Clock}
 	if r.Refused {
 		return out
--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -19,98 +19,98 @@
 )
 
 const (
-	// tickEvery is the pause between two ticks of the grantor. A loss is noticed
+	// tickInterval is the pause between two ticks of the grantor. A loss is noticed
 	// and an end awaited within it; renewals leave at GrantEvery.
-	tickEvery = 15 * time.Millisecond
-	// grantorRing is how many answers of targets and the store may wait: more
+	tickInterval = 15 * time.Millisecond
+	// inboxLength is how many answers of targets and the store may wait: more
 	// than all targets of a deployment answer in one tick.
-	grantorRing = 4096
-	// peersEvery is the pause between two checks of all peers' grants.
-	peersEvery = 200 * time.Millisecond
-	// unserved is how long a group may be without a grant while those before in
+	inboxLength = 4096
+	// observeInterval is the pause between two checks of all peers' grants.
+	observeInterval = 200 * time.Millisecond
+	// unservedTimeout is how long a group may be without a grant while those before in
 	// the succession are alive: above a takeover by the slow path, about 0.9 s, so that
 	// it does not disturb one.
-	unserved = 1500 * time.Millisecond
+	unservedTimeout = 1500 * time.Millisecond
 )
 
-// grantorDuty carries the decisions of package grantor for all groups. Its state
+// grantor carries the decisions of package grantor for all groups. Its state
 // belongs to one goroutine, run; answers come through the ring.
-type grantorDuty struct {
-	params    grants.Params
-	timeout   time.Duration
-	silence   time.Duration
-	config    *configuration
-	members   *members
-	table     *grantTable
-	commander *target.Commander
-	clock     boottime.Clock
-	log       *log.Logger
-	journal   *journal.Journal
-	orders    metrics.Counter
-	errors    metrics.Counter
-	records   *recorder
-	inbox     *ring.Ring[answer]
-	woken     chan struct{}
-
-	// served is which groups a live agent grants, highest the highest rank reported of
+type grantor struct {
+	params           grants.Params
+	timeout          time.Duration
+	takeoverSilence  time.Duration
+	config           *configuration
+	members          *members
+	table            *grantTable
+	commander        *target.Commander
+	clock            boottime.Clock
+	log              *log.Logger
+	journal          *journal.Journal
+	sentOrders       metrics.Counter
+	unansweredOrders metrics.Counter
+	recorder         *recorder
+	inbox            *ring.Ring[response]
+	configChanged    chan struct{}
+
+	// servedGroups is which groups a live agent grants, highest the highest rank reported of
 	// each, as of peersSeen.
-	served    map[groupID]bool
-	highest   map[groupID]wire.Rank
-	peersSeen time.Duration
+	servedGroups map[groupID]bool
+	highestRanks map[groupID]wire.Rank
+	observedAt   time.Duration
 
 	revision uint64
-	services map[string]*heldService
+	services map[string]*serviceState
 }
 
-func newGrantorDuty(a *agent) *grantorDuty {
+func newGrantor(a *agent) *grantor {
 	s := a.Settings
-	d := &grantorDuty{
+	gr := &grantor{
 		params: grants.Params{
 			VM: s.VM, Incarnation: a.incarnation, Started: a.started,
 			RenewInterval: s.GrantEvery.D(), GrantTTL: s.GrantLife.D(), AuthorityTTL: s.Authority.D(), ClockMargin: s.ClockMargin.D(),
-			FastPathTimeout: s.TakeoverPatience.D(), ReleaseTimeout: s.ReleaseLimit.D(), UnservedTimeout: unserved,
+			FastPathTimeout: s.TakeoverPatience.D(), ReleaseTimeout: s.ReleaseLimit.D(), UnservedTimeout: unservedTimeout,
 		},
-		timeout:   s.Authority.D(),
-		silence:   s.TakeoverSilence.D(),
-		members:   a.members,
-		table:     a.grants,
-		commander: a.commander,
-		clock:     boottime.System{},
-		log:       a.Log,
-		journal:   a.Journal,
-		orders:    metrics.GetOrRegisterCounter("grantor.orders", a.Registry),
-		errors:    metrics.GetOrRegisterCounter("grantor.orders.unanswered", a.Registry),
-		inbox:     ring.New[answer]("grantor", grantorRing, ring.DropOldest, a.Registry),
-		woken:     make(chan struct{}, 1),
-		services:  make(map[string]*heldService),
-		highest:   make(map[groupID]wire.Rank),
+		timeout:          s.Authority.D(),
+		takeoverSilence:  s.TakeoverSilence.D(),
+		members:          a.members,
+		table:            a.grants,
+		commander:        a.commander,
+		clock:            boottime.System{},
+		log:              a.Log,
+		journal:          a.Journal,
+		sentOrders:       metrics.GetOrRegisterCounter("grantor.orders", a.Registry),
+		unansweredOrders: metrics.GetOrRegisterCounter("grantor.orders.unanswered", a.Registry),
+		inbox:            ring.New[response]("grantor", inboxLength, ring.DropOldest, a.Registry),
+		configChanged:    make(chan struct{}, 1),
+		services:         make(map[string]*serviceState),
+		highestRanks:     make(map[groupID]wire.Rank),
 	}
-	d.records = newRecorder(a.counted(platform.CauseAssignment), a.counted(platform.CauseAuthority), a.tag, s.StoreTimeout.D(), a.Log)
-	return d
+	gr.recorder = newRecorder(a.storeFor(platform.CauseAssignment), a.storeFor(platform.CauseAuthority), a.newWriteTag, s.StoreTimeout.D(), a.Log)
+	return gr
 }
 
-// wake notifies the duty that the configuration changed.
-func (d *grantorDuty) wake() {
+// notifyConfigChanged notifies the duty that the configuration changed.
+func (gr *grantor) notifyConfigChanged() {
 	select {
-	case d.woken <- struct{}{}:
+	case gr.configChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (d *grantorDuty) run(ctx context.Context) {
-	defer d.records.wait()
-	tick := time.NewTicker(tickEvery)
+func (gr *grantor) run(ctx context.Context) {
+	defer gr.recorder.wait()
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			d.tick(ctx)
-		case <-d.woken:
-			d.load()
-			d.tick(ctx)
-		case a := <-d.inbox.Entries():
-			if d.take(a) {
-				d.tick(ctx)
+			gr.tick(ctx)
+		case <-gr.configChanged:
+			gr.loadConfiguration()
+			gr.tick(ctx)
+		case resp := <-gr.inbox.Entries():
+			if gr.handleResponse(resp) {
+				gr.tick(ctx)
 			}
 		case <-ctx.Done():
 			return
@@ -119,30 +119,30 @@
 }
 
 // tick lets every group decide, and sends what they order.
-func (d *grantorDuty) tick(ctx context.Context) {
-	now := d.clock.Now()
-	live := d.members.aliveWithin(d.silence)
-	peersDue := d.observePeers(now, live)
-	seen := notLost(live, d.members.settled())
-	highest := d.highest
-	if d.members.storeWatched() {
-		highest = nil
+func (gr *grantor) tick(ctx context.Context) {
+	now := gr.clock.Now()
+	live := gr.members.aliveWithin(gr.takeoverSilence)
+	observed := gr.observeGrants(now, live)
+	isLive := notLost(live, gr.members.settled())
+	highestRanks := gr.highestRanks
+	if gr.members.storeWatched() {
+		highestRanks = nil
 	}
 	observation := func(service string, id uint64) grants.Observation {
 		return grants.Observation{
-			Live:   seen,
-			Served: d.served[groupID{service, id}], HighestRank: highest[groupID{service, id}],
+			Live:   isLive,
+			Served: gr.servedGroups[groupID{service, id}], HighestRank: highestRanks[groupID{service, id}],
 		}
 	}
-	for name, h := range d.services {
-		if h.service == nil || h.record == nil {
+	for name, svc := range gr.services {
+		if svc.service == nil || svc.record == nil {
 			continue
 		}
-		d.send(ctx, h, d.collect(h, now, observation))
-		d.records.offer(ctx, h, d.proposals(h, now, observation))
-		d.readStore(ctx, h, now)
-		if peersDue {
-			d.publish(name, h, h.ids, now)
+		gr.sendBatches(ctx, svc, gr.collectOrders(svc, now, observation))
+		gr.recorder.writeProposals(ctx, svc, gr.proposals(svc, now, observation))
+		gr.requestAuthority(ctx, svc, now)
+		if observed {
+			gr.publish(name, svc, svc.groupIDs, now)
 		}
 	}
 }
@@ -154,67 +154,67 @@
 	return func(vm string) bool { return live[vm] || !settled }
 }
 
-// observeFunc gives what heartbeats report of a group.
-type observeFunc func(service string, id uint64) grants.Observation
+// observer gives what heartbeats report of a group.
+type observer func(service string, id uint64) grants.Observation
 
-// observePeers notes which groups a live agent reports a grant of, and returns
+// observeGrants notes which groups a live agent reports a grant of, and returns
 // whether it was time to. It goes over all
 // grants, and nothing below a second depends on it.
-func (d *grantorDuty) observePeers(now time.Duration, live map[string]bool) bool {
-	if now < d.peersSeen+peersEvery {
+func (gr *grantor) observeGrants(now time.Duration, live map[string]bool) bool {
+	if now < gr.observedAt+observeInterval {
 		return false
 	}
-	d.peersSeen = now
-	d.served = make(map[groupID]bool)
-	for _, g := range append(d.members.peerGrants(), d.table.list()...) {
+	gr.observedAt = now
+	gr.servedGroups = make(map[groupID]bool)
+	for _, g := range append(gr.members.peerGrants(), gr.table.list()...) {
 		id := groupID{g.Service, g.Group}
 		if live[g.Rank.Agent] {
-			d.served[id] = true
+			gr.servedGroups[id] = true
 		}
-		if g.Rank.Compare(d.highest[id]) > 0 {
-			d.highest[id] = g.Rank
+		if g.Rank.Compare(gr.highestRanks[id]) > 0 {
+			gr.highestRanks[id] = g.Rank
 		}
 	}
 	return true
 }
 
-// collect batches the orders of all groups by target.
-func (d *grantorDuty) collect(h *heldService, now time.Duration, observation observeFunc) map[string]*batch {
-	batches := make(map[string]*batch)
-	for id, g := range h.groups {
-		for _, o := range g.Tick(now, observation(h.service.Name, id)) {
+// collectOrders batches the orders of all groups by target.
+func (gr *grantor) collectOrders(svc *serviceState, now time.Duration, observation observer) map[string]*orderBatch {
+	batches := make(map[string]*orderBatch)
+	for id, g := range svc.groups {
+		for _, o := range g.Tick(now, observation(svc.service.Name, id)) {
 			b := batches[o.Target]
 			if b == nil {
-				t, ok := h.service.Target(o.Target)
+				t, ok := svc.service.Target(o.Target)
 				if !ok {
 					continue
 				}
-				b = &batch{target: t}
+				b = &orderBatch{target: t}
 				batches[o.Target] = b
 			}
 			b.groups = append(b.groups, id)
 			b.orders = append(b.orders, o)
 		}
-		d.explain(h.service.Name, id, g)
+		gr.logNotes(svc.service.Name, id, g)
 	}
 	return batches
 }
 
-func (d *grantorDuty) explain(service string, id uint64, g *grants.Group) {
+func (gr *grantor) logNotes(service string, id uint64, g *grants.Group) {
 	for _, text := range g.TakeNotes() {
 		subject := fmt.Sprintf("%s/%d", service, id)
-		d.journal.Add("grant", text, subject)
-		d.log.Info().Str("step", "grant").Str("peer", subject).Msg(text)
+		gr.journal.Add("grant", text, subject)
+		gr.log.Info().Str("step", "grant").Str("peer", subject).Msg(text)
 	}
 }
 
 // publish reports to dispatchers which grants are confirmed. A group's last grant
 // stays published until another is, or until this agent stepped down or fails.
-func (d *grantorDuty) publish(service string, h *heldService, ids []uint64, now time.Duration) {
+func (gr *grantor) publish(service string, svc *serviceState, ids []uint64, now time.Duration) {
 	var confirmed []wire.Grant
 	var gone []groupID
 	for _, id := range ids {
-		g := h.groups[id]
+		g := svc.groups[id]
 		if g == nil {
 			continue
 		}
@@ -226,25 +226,25 @@
 			gone = append(gone, groupID{service, id})
 		}
 	}
-	d.table.update(confirmed, gone)
+	gr.table.update(confirmed, gone)
 }
 
 // proposals are the records that the groups want written.
-func (d *grantorDuty) proposals(h *heldService, now time.Duration, observation observeFunc) []model.Group {
+func (gr *grantor) proposals(svc *serviceState, now time.Duration, observation observer) []model.Group {
 	var out []model.Group
-	for id, g := range h.groups {
-		if rec, ok := g.Proposal(now, observation(h.service.Name, id)); ok {
+	for id, g := range svc.groups {
+		if rec, ok := g.Proposal(now, observation(svc.service.Name, id)); ok {
 			out = append(out, rec)
 		}
 	}
 	return out
 }
 
-// readStore asks the store for authority where no target gives it.
-func (d *grantorDuty) readStore(ctx context.Context, h *heldService, now time.Duration) {
-	for _, g := range h.groups {
+// requestAuthority asks the store for authority where no target gives it.
+func (gr *grantor) requestAuthority(ctx context.Context, svc *serviceState, now time.Duration) {
+	for _, g := range svc.groups {
 		if g.NeedsStore(now) {
-			d.records.read(ctx, h.service.Name, now, d.inbox)
+			gr.recorder.readRecord(ctx, svc.service.Name, now, gr.inbox)
 			return
 		}
 	}
--- a/internal/agent/groups.go
+++ b/internal/agent/groups.go
@@ -8,45 +8,45 @@
 	"hemlockquay/internal/platform"
 )
 
-// heldService is a service with its record, parsed once for each version.
-type heldService struct {
+// serviceState is a service with its record, parsed once for each version.
+type serviceState struct {
 	service        *model.Service
 	serviceVersion uint64
 	record         *model.Assignment
 	recordVersion  uint64
 	groups         map[uint64]*grants.Group
-	// ids are the groups of the record.
-	ids []uint64
+	// groupIDs are the groups of the record.
+	groupIDs []uint64
 }
 
-// load takes what changed in the configuration.
-func (d *grantorDuty) load() {
-	revision, ready := d.config.state()
-	if !ready || revision == d.revision {
+// loadConfiguration takes what changed in the configuration.
+func (gr *grantor) loadConfiguration() {
+	revision, ready := gr.config.heldRevision()
+	if !ready || revision == gr.revision {
 		return
 	}
-	d.revision = revision
-	for _, o := range d.config.list() {
-		if err := d.loadObject(o); err != nil {
-			d.log.Error().Err(err).Str("step", "load").Str("peer", o.Name).Msg("object left out")
+	gr.revision = revision
+	for _, o := range gr.config.list() {
+		if err := gr.loadObject(o); err != nil {
+			gr.log.Error().Err(err).Str("step", "load").Str("peer", o.Name).Msg("object left out")
 		}
 	}
 }
 
-func (d *grantorDuty) loadObject(o platform.Object) error {
+func (gr *grantor) loadObject(o platform.Object) error {
 	if o.Kind != model.KindService && o.Kind != model.KindAssignment {
 		return nil
 	}
-	h := d.services[o.Name]
-	if h == nil {
-		h = &heldService{groups: make(map[uint64]*grants.Group)}
-		d.services[o.Name] = h
+	svc := gr.services[o.Name]
+	if svc == nil {
+		svc = &serviceState{groups: make(map[uint64]*grants.Group)}
+		gr.services[o.Name] = svc
 	}
-	known := h.serviceVersion
+	loadedVersion := svc.serviceVersion
 	if o.Kind == model.KindAssignment {
-		known = h.recordVersion
+		loadedVersion = svc.recordVersion
 	}
-	if o.Version <= known {
+	if o.Version <= loadedVersion {
 		return nil
 	}
 	object, err := model.Decode(o.Kind, o.Name, o.Spec)
@@ -55,41 +55,41 @@
 	}
 	switch typed := object.(type) {
 	case *model.Service:
-		h.service, h.serviceVersion = typed, o.Version
+		svc.service, svc.serviceVersion = typed, o.Version
 	case *model.Assignment:
-		h.record, h.recordVersion = typed, o.Version
+		svc.record, svc.recordVersion = typed, o.Version
 	}
-	if h.service != nil && h.record != nil {
-		d.adopt(h)
+	if svc.service != nil && svc.record != nil {
+		gr.updateGroups(svc)
 	}
 	return nil
 }
 
-// adopt gives each group its record. A group that never named this VM as a
+// updateGroups gives each group its record. A group that never named this VM as a
 // grantor is left out: the VM may do nothing for it. One that did is kept while
 // it exists, since its grants of then may not be out.
 // A group names three grantors however many VMs there are, so that each tick looks at few.
-func (d *grantorDuty) adopt(h *heldService) {
-	now := d.clock.Now()
-	params := d.params
-	params.ChecksFences = h.service.ChecksFences
-	listed := make(map[uint64]bool, len(h.record.Groups))
-	h.ids = h.ids[:0]
-	for _, rec := range h.record.Groups {
+func (gr *grantor) updateGroups(svc *serviceState) {
+	now := gr.clock.Now()
+	params := gr.params
+	params.ChecksFences = svc.service.ChecksFences
+	listed := make(map[uint64]bool, len(svc.record.Groups))
+	svc.groupIDs = svc.groupIDs[:0]
+	for _, rec := range svc.record.Groups {
 		listed[rec.ID] = true
-		h.ids = append(h.ids, rec.ID)
-		if g := h.groups[rec.ID]; g != nil {
+		svc.groupIDs = append(svc.groupIDs, rec.ID)
+		if g := svc.groups[rec.ID]; g != nil {
 			g.Adopt(rec, now)
 		} else if slices.Contains(rec.Grantors, params.VM) {
-			h.groups[rec.ID] = grants.New(params, rec, now)
+			svc.groups[rec.ID] = grants.New(params, rec, now)
 		}
 	}
-	var gone []groupID
-	for id := range h.groups {
+	var removed []groupID
+	for id := range svc.groups {
 		if !listed[id] {
-			delete(h.groups, id)
-			gone = append(gone, groupID{h.service.Name, id})
+			delete(svc.groups, id)
+			removed = append(removed, groupID{svc.service.Name, id})
 		}
 	}
-	d.table.update(nil, gone)
+	gr.table.update(nil, removed)
 }
--- a/internal/agent/groups_test.go
+++ b/internal/agent/groups_test.go
@@ -15,23 +15,23 @@
 // still newer one names it again, while its first grant may not be out. Had it
 // dropped the group meanwhile, it would grant another target without waiting for
 // that end: two owners. A group that never named it costs it nothing.
-func TestGroupsAreKeptOnceTheyNamedTheVM(t *testing.T) {
-	d := &grantorDuty{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
-	h := &heldService{service: &model.Service{Name: "shelf"}, groups: make(map[uint64]*grants.Group)}
+func TestGroupIsKeptAfterVMStopsBeingGrantor(t *testing.T) {
+	gr := &grantor{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
+	svc := &serviceState{service: &model.Service{Name: "shelf"}, groups: make(map[uint64]*grants.Group)}
 	adopt := func(epoch uint64, grantors ...string) {
-		h.record = &model.Assignment{Service: "shelf", Groups: []model.Group{{ID: 1, Epoch: epoch, Grantors: grantors}}}
-		d.adopt(h)
+		svc.record = &model.Assignment{Service: "shelf", Groups: []model.Group{{ID: 1, Epoch: epoch, Grantors: grantors}}}
+		gr.updateGroups(svc)
 	}
 	adopt(1, "vm1", "vm2")
-	require.Empty(t, h.groups)
+	require.Empty(t, svc.groups)
 	adopt(2, "vm1", "vm9")
-	first := h.groups[1]
+	first := svc.groups[1]
 	require.NotNil(t, first)
 	adopt(3, "vm1", "vm2")
 	adopt(4, "vm9", "vm2")
-	require.Same(t, first, h.groups[1])
+	require.Same(t, first, svc.groups[1])
 	require.Equal(t, uint64(4), first.Record().Epoch)
-	h.record = &model.Assignment{Service: "shelf"}
-	d.adopt(h)
-	require.Empty(t, h.groups)
+	svc.record = &model.Assignment{Service: "shelf"}
+	gr.updateGroups(svc)
+	require.Empty(t, svc.groups)
 }
--- a/internal/agent/listed.go
+++ b/internal/agent/listed.go
@@ -2,12 +2,12 @@
 
 import "hemlockquay/internal/platform"
 
-// listedLive returns how many VMs the platform lists as live, this one included,
+// listedLiveCount returns how many VMs the platform lists as live, this one included,
 // and 0 before the list was read.
-func (m *members) listedLive() int {
+func (m *members) listedLiveCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed {
+	if !m.listRead {
 		return 0
 	}
 	n := 1
--- a/internal/agent/lister.go
+++ b/internal/agent/lister.go
@@ -10,8 +10,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// listEvery is how often the platform's list of VMs is read; it lags anyway.
-const listEvery = time.Second
+// listInterval is how often the platform's list of VMs is read; it lags anyway.
+const listInterval = time.Second
 
 // lister reads the platform's list. It is one goroutine.
 type lister struct {
@@ -23,12 +23,12 @@
 
 func (l *lister) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.once(ctx)
-		pause.For(ctx, listEvery)
+		l.readList(ctx)
+		pause.For(ctx, listInterval)
 	}
 }
 
-func (l *lister) once(ctx context.Context) {
+func (l *lister) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
 	vms, err := l.store.VMs(ctx)
--- a/internal/agent/loads.go
+++ b/internal/agent/loads.go
@@ -8,12 +8,12 @@
 	"hemlockquay/internal/wire"
 )
 
-// loadSilence is how long the figures of a VM count after its last report.
-const loadSilence = 5 * time.Second
+// loadReportTTL is how long the figures of a VM count after its last report.
+const loadReportTTL = 5 * time.Second
 
-// loadBook is what VMs reported to an assigner of the load of groups. It is safe for
+// loadTable is what VMs reported to an assigner of the load of groups. It is safe for
 // concurrent use.
-type loadBook struct {
+type loadTable struct {
 	clock boottime.Clock
 
 	mu  sync.Mutex
@@ -21,28 +21,28 @@
 }
 
 type vmLoads struct {
-	loads []wire.GroupLoad
-	at    time.Duration
+	loads      []wire.GroupLoad
+	receivedAt time.Duration
 }
 
-func newLoadBook() *loadBook {
-	return &loadBook{clock: boottime.System{}, vms: make(map[string]vmLoads)}
+func newLoadTable() *loadTable {
+	return &loadTable{clock: boottime.System{}, vms: make(map[string]vmLoads)}
 }
 
-func (b *loadBook) take(args *wire.LoadsArgs) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.vms[args.VM] = vmLoads{args.Loads[:min(len(args.Loads), wire.MaxLoads)], b.clock.Now()}
+func (t *loadTable) record(args *wire.LoadsArgs) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.vms[args.VM] = vmLoads{args.Loads[:min(len(args.Loads), wire.MaxLoads)], t.clock.Now()}
 }
 
-// of returns the requests per second of a service's groups over all VMs.
-func (b *loadBook) of(service string) map[uint64]float64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// rates returns the requests per second rates a service's groups over all VMs.
+func (t *loadTable) rates(service string) map[uint64]float64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	sum := make(map[uint64]float64)
-	for vm, v := range b.vms {
-		if b.clock.Now()-v.at > loadSilence {
-			delete(b.vms, vm)
+	for vm, v := range t.vms {
+		if t.clock.Now()-v.receivedAt > loadReportTTL {
+			delete(t.vms, vm)
 			continue
 		}
 		for _, l := range v.loads {
@@ -56,7 +56,7 @@
 
 // Loads implements the RPC by which VMs report their load to an assigner.
 func (r *relay) Loads(args *wire.LoadsArgs, _ *wire.Empty) error {
-	r.loads.take(args)
+	r.loads.record(args)
 	return nil
 }
 
@@ -70,12 +70,12 @@
 	return nil
 }
 
-// grantsOf returns the grants in force of a service, as all VMs report them.
-func (r *relay) grantsOf(service string) []wire.Grant {
+// serviceGrants returns the grants in force of a service, as all VMs report them.
+func (r *relay) serviceGrants(service string) []wire.Grant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []wire.Grant
-	for _, g := range r.combined {
+	for _, g := range r.allGrants {
 		if g.Service == service {
 			out = append(out, g)
 		}
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -12,22 +12,22 @@
 
 // members knows the VMs of the system. It is safe for concurrent use.
 type members struct {
-	clock   boottime.Clock
-	silence time.Duration
-	begun   time.Duration
+	clock          boottime.Clock
+	silenceTimeout time.Duration
+	startedAt      time.Duration
 	// changed is notified of members, grantsChanged of peers' grants.
 	changed, grantsChanged func()
 
 	mu    sync.Mutex
 	self  wire.Member
 	peers map[string]*peerState
-	// listed says that the platform's list was read.
-	listed bool
+	// listRead says that the platform's list was read.
+	listRead bool
 }
 
 func newMembers(self wire.Member, clock boottime.Clock, silence time.Duration, changed func()) *members {
 	return &members{
-		self: self, clock: clock, silence: silence, begun: clock.Now(), changed: changed, grantsChanged: changed,
+		self: self, clock: clock, silenceTimeout: silence, startedAt: clock.Now(), changed: changed, grantsChanged: changed,
 		peers: make(map[string]*peerState),
 	}
 }
@@ -35,7 +35,7 @@
 // setList takes the platform's list. VMs that left the list are forgotten.
 func (m *members) setList(vms []platform.VM) {
 	m.mu.Lock()
-	m.listed = true
+	m.listRead = true
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		listed[vm.Name] = true
@@ -70,15 +70,15 @@
 	}
 }
 
-func (m *members) me() wire.Member {
+func (m *members) selfMember() wire.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// ahead returns the agents that hold a newer configuration, of the own data
-// centre and of others. Without one of our own, any that holds one is ahead.
-func (m *members) ahead(revision uint64, ready bool) (near, far []string) {
+// peersAhead returns the agents that hold a newer configuration, of the own data
+// centre and of others. Without one of our own, any that holds one is peersAhead.
+func (m *members) peersAhead(revision uint64, ready bool) (near, far []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
@@ -122,20 +122,20 @@
 	out := map[string]bool{m.self.VM: true}
 	now := m.clock.Now()
 	for name, p := range m.peers {
-		if p.known && !p.member.Leaving && p.heard.Alive(now, d) {
+		if p.heartbeatSeen && !p.member.Leaving && p.detector.Alive(now, d) {
 			out[name] = true
 		}
 	}
 	return out
 }
 
-// places returns all listed VMs, this one too, sorted by name; none before the
+// listedPlaces returns all listed VMs, this one too, sorted by name; none before the
 // list was read. To name this VM alone would give its entry the whole of
 // every contract.
-func (m *members) places() []wire.Place {
+func (m *members) listedPlaces() []wire.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed {
+	if !m.listRead {
 		return nil
 	}
 	out := []wire.Place{{VM: m.self.VM, DataCentre: m.self.DataCentre}}
@@ -146,9 +146,9 @@
 	return out
 }
 
-// settleWithin bounds how long a new agent waits for the reports of its peers: a
+// settleTimeout bounds how long a new agent waits for the reports of its peers: a
 // peer that has not answered within the time that makes it silent is gone.
-const settleWithin = time.Second
+const settleTimeout = time.Second
 
 // settled reports whether members and grants are complete enough to act on.
 // Daemons are ready only once each listed peer has reported its grants, or counts as failed: with
@@ -156,28 +156,28 @@
 func (m *members) settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.clock.Now()-m.begun >= settleWithin {
+	if m.clock.Now()-m.startedAt >= settleTimeout {
 		return true
 	}
-	if !m.listed {
+	if !m.listRead {
 		return false
 	}
 	for _, p := range m.peers {
-		if p.source == "" && p.listed.State == platform.VMLive {
+		if p.grantSource == "" && p.listed.State == platform.VMLive {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *members) isListed() bool {
+func (m *members) isListRead() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.listed
+	return m.listRead
 }
 
-// addrs returns the agents of all listed peers.
-func (m *members) addrs() map[string]string {
+// peerAddrs returns the agents of all listed peers.
+func (m *members) peerAddrs() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]string, len(m.peers))
--- a/internal/agent/puller.go
+++ b/internal/agent/puller.go
@@ -31,50 +31,50 @@
 // peer has to answer all. The answers spread as an epidemic does, so that the
 // agents with a watch are asked by few.
 type puller struct {
-	config  *configuration
-	members *members
-	watch   *watcher
-	peers   *peer.Pool
-	every   time.Duration
-	log     *log.Logger
+	config   *configuration
+	members  *members
+	watch    *watcher
+	peers    *peer.Pool
+	interval time.Duration
+	log      *log.Logger
 
-	// joined says that a snapshot of a peer was taken in this life.
-	joined bool
-	behind time.Time
+	// synced says that a snapshot of a peer was taken in this life.
+	synced      bool
+	behindSince time.Time
 
-	syncs, snapshots, refused metrics.Counter
+	syncs, snapshots, olderRefused metrics.Counter
 }
 
 func newPuller(a *agent, w *watcher) *puller {
 	return &puller{
-		config: a.config, members: a.members, watch: w, peers: a.peers, every: a.Settings.Heartbeat.D(), log: a.Log,
-		syncs:     metrics.GetOrRegisterCounter("config.syncs", a.Registry),
-		snapshots: metrics.GetOrRegisterCounter("config.snapshots", a.Registry),
-		refused:   metrics.GetOrRegisterCounter("config.refused.older", a.Registry),
+		config: a.config, members: a.members, watch: w, peers: a.peers, interval: a.Settings.Heartbeat.D(), log: a.Log,
+		syncs:        metrics.GetOrRegisterCounter("config.syncs", a.Registry),
+		snapshots:    metrics.GetOrRegisterCounter("config.snapshots", a.Registry),
+		olderRefused: metrics.GetOrRegisterCounter("config.refused.older", a.Registry),
 	}
 }
 
 func (p *puller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if addr := p.source(time.Now()); addr != "" {
+		if addr := p.choosePeer(time.Now()); addr != "" {
 			p.sync(ctx, addr)
 		}
-		pause.For(ctx, p.every/4+rand.N(p.every/4))
+		pause.For(ctx, p.interval/4+rand.N(p.interval/4))
 	}
 }
 
-// source returns the peer to ask now, or "".
-func (p *puller) source(now time.Time) string {
-	revision, ready := p.config.state()
-	near, far := p.members.ahead(revision, ready)
+// choosePeer returns the peer to ask now, or "".
+func (p *puller) choosePeer(now time.Time) string {
+	revision, ready := p.config.heldRevision()
+	near, far := p.members.peersAhead(revision, ready)
 	if len(near)+len(far) == 0 {
-		p.behind = time.Time{}
+		p.behindSince = time.Time{}
 		return ""
 	}
-	if p.behind.IsZero() {
-		p.behind = now
+	if p.behindSince.IsZero() {
+		p.behindSince = now
 	}
-	if p.watch.working() && now.Sub(p.behind) < watchGrace {
+	if p.watch.working() && now.Sub(p.behindSince) < watchGrace {
 		return ""
 	}
 	if len(near) > 0 {
@@ -87,31 +87,31 @@
 // The base of a restarted agent may belong to another history than the peers', so its first query
 // asks for everything.
 func (p *puller) sync(ctx context.Context, addr string) {
-	from := uint64(0)
-	if p.joined {
-		from, _ = p.config.state()
+	base := uint64(0)
+	if p.synced {
+		base, _ = p.config.heldRevision()
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	var reply wire.PullReply
 	p.syncs.Inc(1)
-	err := p.peers.Get(addr).Call(ctx, wire.MethodSync, &wire.PullArgs{Process: agentProcess, Revision: from}, &reply)
+	err := p.peers.Get(addr).Call(ctx, wire.MethodSync, &wire.PullArgs{Process: agentProcess, Revision: base}, &reply)
 	if err == nil {
-		err = p.config.take(from, &reply)
+		err = p.config.applyReply(base, &reply)
 	}
 	if err != nil {
-		p.note(addr, err)
+		p.logFailure(addr, err)
 		return
 	}
 	if reply.Snapshot {
 		p.snapshots.Inc(1)
 	}
-	p.joined = true
+	p.synced = true
 }
 
-func (p *puller) note(addr string, err error) {
-	if errors.Is(err, errOlder) {
-		p.refused.Inc(1)
+func (p *puller) logFailure(addr string, err error) {
+	if errors.Is(err, errOlderRevision) {
+		p.olderRefused.Inc(1)
 	}
 	p.log.Warn().Err(fmt.Errorf("sync with %s: %w", addr, err)).Str("step", "sync").Str("peer", addr).Msg("no configuration from the peer")
 }
--- a/internal/agent/push_test.go
+++ b/internal/agent/push_test.go
@@ -11,26 +11,26 @@
 	"hemlockquay/internal/wire"
 )
 
-// TestPushedGrantsAreNotUndone: a target is lost; its grantor grants the standby
+// TestPushedGrantsAreNotOverwritten: a target is lost; its grantor grants the standby
 // and pushes that. The reply to an older heartbeat, still naming the lost owner,
 // arrives after it. Taken, it would send requests to the lost owner until the
 // next heartbeat.
-func TestPushedGrantsAreNotUndone(t *testing.T) {
+func TestPushedGrantsAreNotOverwritten(t *testing.T) {
 	peer := wire.Member{VM: "vm2", Incarnation: "vm2-1"}
 	m := newMembers(wire.Member{VM: "vm1", Incarnation: "vm1-1"}, boottime.System{}, time.Second, func() {})
 	m.grantsChanged = func() {}
 	m.setList([]platform.VM{{Name: "vm1"}, {Name: "vm2"}})
 	m.recordHeartbeat(peer)
-	tell := func(state uint64, target string) {
+	receive := func(state uint64, target string) {
 		g := wire.Grant{Service: "s"}
 		g.Target.Name = target
-		m.takeGrants("vm2", &wire.BeatReply{Member: peer, State: state, Grants: []wire.Grant{g}})
+		m.setPeerGrants("vm2", &wire.BeatReply{Member: peer, State: state, Grants: []wire.Grant{g}})
 	}
-	tell(1, "lost")
-	tell(2, "standby")
-	tell(1, "lost")
+	receive(1, "lost")
+	receive(2, "standby")
+	receive(1, "lost")
 	require.Equal(t, "standby", m.peerGrants()[0].Target.Name)
 	peer.Incarnation = "vm2-2" // a restarted agent counts from 1 again
-	tell(1, "other")
+	receive(1, "other")
 	require.Equal(t, "other", m.peerGrants()[0].Target.Name)
 }
--- a/internal/agent/recorder.go
+++ b/internal/agent/recorder.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// lazily is the least pause between two writes of a service's record that
+	// updatePause is the least pause between two writes of a service's record that
 	// only bring it up to date. Nothing waits for them, so that all groups of a
 	// lost target share one write.
-	lazily = time.Second
+	updatePause = time.Second
 	// writePause is the pause after a write failed or lost a race; the record
 	// that won comes by the watch meanwhile.
 	writePause = 60 * time.Millisecond
@@ -38,77 +38,77 @@
 // recorder writes and reads the records of services for the grantor, one call
 // of each sort at a time for each service. It is safe for concurrent use.
 type recorder struct {
-	// store takes the writes, authority the readings: each has its cause.
-	store     platform.Store
-	authority platform.Store
-	tag       func() string
-	timeout   time.Duration
-	log       *log.Logger
-	clock     boottime.Clock
-	calls     sync.WaitGroup
-
-	mu   sync.Mutex
-	busy map[string]bool
-	next map[string]time.Duration
+	// writeStore takes the writes, authority the readings: each has its cause.
+	writeStore  platform.Store
+	readStore   platform.Store
+	newWriteTag func() string
+	timeout     time.Duration
+	log         *log.Logger
+	clock       boottime.Clock
+	calls       sync.WaitGroup
+
+	mu        sync.Mutex
+	inFlight  map[string]bool
+	notBefore map[string]time.Duration
 	// epochLimits hold back epochs of groups that get them without end.
 	epochLimits map[groupID]*epochlimit.Limiter
-	// failing is the pause of services whose writes fail.
-	failing map[string]time.Duration
+	// retryDelays is the pause of services whose writes fail.
+	retryDelays map[string]time.Duration
 }
 
-func newRecorder(s, authority platform.Store, tag func() string, timeout time.Duration, l *log.Logger) *recorder {
+func newRecorder(writeStore, readStore platform.Store, newWriteTag func() string, timeout time.Duration, l *log.Logger) *recorder {
 	return &recorder{
-		store: s, authority: authority, tag: tag, timeout: timeout, log: l, clock: boottime.System{},
-		busy: make(map[string]bool), next: make(map[string]time.Duration),
-		failing: make(map[string]time.Duration), epochLimits: make(map[groupID]*epochlimit.Limiter),
+		writeStore: writeStore, readStore: readStore, newWriteTag: newWriteTag, timeout: timeout, log: l, clock: boottime.System{},
+		inFlight: make(map[string]bool), notBefore: make(map[string]time.Duration),
+		retryDelays: make(map[string]time.Duration), epochLimits: make(map[groupID]*epochlimit.Limiter),
 	}
 }
 
 // wait returns when no call is in flight.
 func (r *recorder) wait() { r.calls.Wait() }
 
-// begin reserves the call, unless one is in flight or the pause is not over.
-func (r *recorder) begin(call string) bool {
+// beginCall reserves the call, unless one is in flight or the pause is not over.
+func (r *recorder) beginCall(call string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy[call] || r.clock.Now() < r.next[call] {
+	if r.inFlight[call] || r.clock.Now() < r.notBefore[call] {
 		return false
 	}
-	r.busy[call] = true
+	r.inFlight[call] = true
 	return true
 }
 
-func (r *recorder) end(call string, pause time.Duration) {
+func (r *recorder) endCall(call string, pause time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.busy[call] = false
-	r.next[call] = r.clock.Now() + pause
+	r.inFlight[call] = false
+	r.notBefore[call] = r.clock.Now() + pause
 }
 
-// offer writes the proposals over the record that they were made for, all in one
+// writeProposals writes the proposals over the record that they were made for, all in one
 // conditional write. Those of a new epoch go at once, others lazily.
-func (r *recorder) offer(ctx context.Context, h *heldService, proposals []model.Group) {
-	proposals = r.paced(h.record, proposals)
+func (r *recorder) writeProposals(ctx context.Context, svc *serviceState, proposals []model.Group) {
+	proposals = r.limitEpochs(svc.record, proposals)
 	if len(proposals) == 0 {
 		return
 	}
-	record, urgent := merge(h.record, proposals)
-	call, pause := "update "+record.Service, lazily
+	record, urgent := mergeProposals(svc.record, proposals)
+	call, pause := "update "+record.Service, updatePause
 	if urgent {
 		call, pause = "epoch "+record.Service, writePause
 	}
-	if !r.begin(call) {
+	if !r.beginCall(call) {
 		return
 	}
-	version := h.recordVersion
+	version := svc.recordVersion
 	r.calls.Go(func() {
-		err := r.write(ctx, record, version)
-		r.end(call, max(pause, r.backOff(record.Service, err)))
+		err := r.writeRecord(ctx, record, version)
+		r.endCall(call, max(pause, r.nextRetryDelay(record.Service, err)))
 	})
 }
 
-// paced leaves out new epochs that come too soon after the group's last.
-func (r *recorder) paced(held *model.Assignment, proposals []model.Group) []model.Group {
+// limitEpochs leaves out new epochs that come too soon after the group's last.
+func (r *recorder) limitEpochs(held *model.Assignment, proposals []model.Group) []model.Group {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
@@ -132,8 +132,8 @@
 	return out
 }
 
-// merge puts the proposals into a copy of the record.
-func merge(held *model.Assignment, proposals []model.Group) (record model.Assignment, urgent bool) {
+// mergeProposals puts the proposals into a copy of the record.
+func mergeProposals(held *model.Assignment, proposals []model.Group) (record model.Assignment, urgent bool) {
 	record = *held
 	record.Groups = append([]model.Group(nil), held.Groups...)
 	for _, p := range proposals {
@@ -147,44 +147,44 @@
 	return record, urgent
 }
 
-// backOff returns the pause after a write that ended with the error.
-func (r *recorder) backOff(service string, err error) time.Duration {
+// nextRetryDelay returns the pause after a write that ended with the error.
+func (r *recorder) nextRetryDelay(service string, err error) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil || errors.Is(err, platform.ErrConflict) {
-		delete(r.failing, service)
+		delete(r.retryDelays, service)
 		return 0
 	}
-	if r.failing[service] == 0 {
+	if r.retryDelays[service] == 0 {
 		r.log.Warn().Err(err).Str("step", "write-record").Str("peer", service).Msg("record not written; it is tried again")
 	}
-	r.failing[service] = min(2*max(r.failing[service], writePause), writePauseMax)
-	return r.failing[service]/2 + rand.N(r.failing[service]/2)
+	r.retryDelays[service] = min(2*max(r.retryDelays[service], writePause), writePauseMax)
+	return r.retryDelays[service]/2 + rand.N(r.retryDelays[service]/2)
 }
 
-func (r *recorder) write(ctx context.Context, record model.Assignment, version uint64) error {
+func (r *recorder) writeRecord(ctx context.Context, record model.Assignment, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	spec, err := json.Marshal(&record)
 	if err != nil {
 		return fmt.Errorf("encode record of %s: %w", record.Service, err)
 	}
-	o := platform.Object{Kind: model.KindAssignment, Name: record.Service, Version: version, Writer: r.tag(), Spec: spec}
-	_, err = platform.Write(ctx, r.store, o)
+	o := platform.Object{Kind: model.KindAssignment, Name: record.Service, Version: version, Writer: r.newWriteTag(), Spec: spec}
+	_, err = platform.Write(ctx, r.writeStore, o)
 	return err
 }
 
-// read reads a service's record and pushes it as an answer asked at the time.
-func (r *recorder) read(ctx context.Context, service string, asked time.Duration, inbox *ring.Ring[answer]) {
+// readRecord reads a service's record and pushes it as an answer asked at the time.
+func (r *recorder) readRecord(ctx context.Context, service string, requestedAt time.Duration, inbox *ring.Ring[response]) {
 	call := "read " + service
-	if !r.begin(call) {
+	if !r.beginCall(call) {
 		return
 	}
 	r.calls.Go(func() {
-		defer r.end(call, readPause)
+		defer r.endCall(call, readPause)
 		ctx, cancel := context.WithTimeout(ctx, r.timeout)
 		defer cancel()
-		o, err := r.authority.Get(ctx, platform.ID{Kind: model.KindAssignment, Name: service})
+		o, err := r.readStore.Get(ctx, platform.ID{Kind: model.KindAssignment, Name: service})
 		if err != nil {
 			r.log.Debug().Err(err).Str("step", "read-record").Str("peer", service).Msg("no authority from the store")
 			return
@@ -193,6 +193,6 @@
 		if err != nil {
 			return
 		}
-		_ = inbox.Push(ctx, answer{service: service, read: object.(*model.Assignment), asked: asked})
+		_ = inbox.Push(ctx, response{service: service, record: object.(*model.Assignment), requestedAt: requestedAt})
 	})
 }
--- a/internal/agent/recorder_test.go
+++ b/internal/agent/recorder_test.go
@@ -15,7 +15,7 @@
 	"hemlockquay/internal/platform/memstore"
 )
 
-func recordOf(epochs ...uint64) *model.Assignment {
+func recordWithEpochs(epochs ...uint64) *model.Assignment {
 	a := &model.Assignment{Service: "s", NextGroup: uint64(len(epochs))}
 	for i, e := range epochs {
 		a.Groups = append(a.Groups, model.Group{
@@ -26,7 +26,7 @@
 	return a
 }
 
-func stored(t *testing.T, s platform.Store) (model.Assignment, uint64) {
+func storedRecord(t *testing.T, s platform.Store) (model.Assignment, uint64) {
 	o, err := s.Get(t.Context(), platform.ID{Kind: model.KindAssignment, Name: "s"})
 	require.NoError(t, err)
 	var a model.Assignment
@@ -34,32 +34,32 @@
 	return a, o.Version
 }
 
-// TestRecordsOfTwoGrantors: two grantors write epochs of their groups over the
+// TestConcurrentRecordWritesConflict: two grantors write epochs of their groups over the
 // same record. If the second simply wrote, the first one's acknowledged epoch
 // would be gone, and with it the fence that its takeover rests on. The second
 // loses the race and writes again over the record that it then sees.
-func TestRecordsOfTwoGrantors(t *testing.T) {
+func TestConcurrentRecordWritesConflict(t *testing.T) {
 	store := memstore.New()
-	spec, err := json.Marshal(recordOf(1, 1))
+	spec, err := json.Marshal(recordWithEpochs(1, 1))
 	require.NoError(t, err)
 	_, err = store.Put(t.Context(), platform.Object{Kind: model.KindAssignment, Name: "s", Spec: spec})
 	require.NoError(t, err)
-	seen, version := stored(t, store)
-	held := &heldService{record: &seen, recordVersion: version}
-	offer := func(h *heldService, writer string, id int) {
+	seen, version := storedRecord(t, store)
+	held := &serviceState{record: &seen, recordVersion: version}
+	propose := func(h *serviceState, writer string, id int) {
 		r := newRecorder(store, store, func() string { return writer }, time.Second, &log.Logger{Level: log.PanicLevel})
 		next := h.record.Groups[id]
 		next.Epoch, next.Author = 2, writer
-		r.offer(context.Background(), h, []model.Group{next})
+		r.writeProposals(context.Background(), h, []model.Group{next})
 		r.wait()
 	}
-	offer(held, "vm1-1", 0)
-	offer(held, "vm2-1", 1)
-	now, version := stored(t, store)
+	propose(held, "vm1-1", 0)
+	propose(held, "vm2-1", 1)
+	now, version := storedRecord(t, store)
 	require.Equal(t, "vm1-1", now.Groups[0].Author)
 	require.EqualValues(t, 1, now.Groups[1].Epoch, "the second lost the race")
-	offer(&heldService{record: &now, recordVersion: version}, "vm2-1", 1)
-	now, _ = stored(t, store)
+	propose(&serviceState{record: &now, recordVersion: version}, "vm2-1", 1)
+	now, _ = storedRecord(t, store)
 	require.EqualValues(t, 2, now.Groups[0].Epoch)
 	require.EqualValues(t, 2, now.Groups[1].Epoch)
 }
@@ -67,13 +67,13 @@
 // TestOneWriteForAllGroups: a target is lost that many groups share. A write for
 // each would use up the store's budget just when all others write too.
 func TestOneWriteForAllGroups(t *testing.T) {
-	held := recordOf(1, 1, 1, 1)
+	held := recordWithEpochs(1, 1, 1, 1)
 	var proposals []model.Group
 	for _, g := range held.Groups[1:] {
 		g.Owner, g.Standby = g.Standby, g.Owner
 		proposals = append(proposals, g)
 	}
-	record, urgent := merge(held, proposals)
+	record, urgent := mergeProposals(held, proposals)
 	require.False(t, urgent, "no epoch: nothing waits for it")
 	require.Equal(t, "a", record.Groups[0].Owner.Name)
 	for _, g := range record.Groups[1:] {
@@ -81,6 +81,6 @@
 	}
 	require.Equal(t, "a", held.Groups[1].Owner.Name, "the record in force is untouched")
 	proposals[0].Epoch++
-	_, urgent = merge(held, proposals)
+	_, urgent = mergeProposals(held, proposals)
 	require.True(t, urgent)
 }
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -17,32 +17,32 @@
 	config      *configuration
 	members     *members
 	grants      *grantTable
-	loads       *loadBook
+	loads       *loadTable
 
-	// seeded says that a peer was asked for the grants it knows.
-	seeded atomic.Bool
+	// grantsSeeded says that a peer was asked for the grants it knows.
+	grantsSeeded atomic.Bool
 
 	mu      sync.Mutex
 	changed chan struct{}
 	// state numbers live and combined; it rises when either differs.
-	state    uint64
-	live     []wire.Member
-	combined []wire.Grant
+	state       uint64
+	liveMembers []wire.Member
+	allGrants   []wire.Grant
 	// retainedGrants holds combined's grants; it needs mu.
 	retainedGrants *retainedGrants
-	listed         []wire.Place
+	listedPlaces   []wire.Place
 	daemons        map[string]daemonReport
 }
 
 // daemonReport is the last report of one of the VM's daemons.
 type daemonReport struct {
-	report wire.ReportArgs
-	at     time.Time
+	report     wire.ReportArgs
+	receivedAt time.Time
 }
 
-// daemonSilence is how long a daemon may be silent before it counts as gone:
+// daemonTimeout is how long a daemon may be silent before it counts as gone:
 // three reports.
-const daemonSilence = 1500 * time.Millisecond
+const daemonTimeout = 1500 * time.Millisecond
 
 // dispatchProcess is the daemon that takes requests from other VMs.
 const dispatchProcess = "hq-dispatch"
@@ -57,63 +57,63 @@
 const maxPullWait = 5 * time.Second
 
 func newRelay(incarnation string) *relay {
-	return &relay{incarnation: incarnation, loads: newLoadBook(), retainedGrants: newRetainedGrants(), changed: make(chan struct{}), daemons: make(map[string]daemonReport)}
+	return &relay{incarnation: incarnation, loads: newLoadTable(), retainedGrants: newRetainedGrants(), changed: make(chan struct{}), daemons: make(map[string]daemonReport)}
 }
 
-// broadcast wakes the pulls that wait.
-func (r *relay) broadcast() {
+// wakePulls wakes the pulls that wait.
+func (r *relay) wakePulls() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.broadcastLocked()
+	r.wakePullsLocked()
 }
 
-// configured wakes the pulls and notifies peers of the new revision.
-func (r *relay) configured() {
-	r.broadcast()
+// configurationChanged wakes the pulls and notifies peers of the new revision.
+func (r *relay) configurationChanged() {
+	r.wakePulls()
 	r.updateSelf()
 }
 
-func (r *relay) broadcastLocked() {
+func (r *relay) wakePullsLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
 // refresh computes members and grants anew and wakes the pulls if they differ.
 func (r *relay) refresh() {
-	live, listed := visible(r.members.live()), r.members.places()
+	live, listed := withoutAgentFields(r.members.live()), r.members.listedPlaces()
 	reported := append(r.members.peerGrants(), r.grants.list()...)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	combined := r.retainedGrants.merge(reported, r.members.clock.Now())
-	if slices.Equal(live, r.live) && slices.Equal(listed, r.listed) && reflect.DeepEqual(combined, r.combined) {
+	if slices.Equal(live, r.liveMembers) && slices.Equal(listed, r.listedPlaces) && reflect.DeepEqual(combined, r.allGrants) {
 		return
 	}
-	r.live, r.combined, r.listed = live, combined, listed
+	r.liveMembers, r.allGrants, r.listedPlaces = live, combined, listed
 	r.state++
-	r.broadcastLocked()
+	r.wakePullsLocked()
 }
 
-// refreshLive is refresh where no grant changed. It runs on each heartbeat and
+// refreshMembers is refresh where no grant changed. It runs on each heartbeat and
 // allocates one short list.
-func (r *relay) refreshLive() {
-	live := visible(r.members.live())
+func (r *relay) refreshMembers() {
+	live := withoutAgentFields(r.members.live())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if slices.Equal(live, r.live) {
+	if slices.Equal(live, r.liveMembers) {
 		return
 	}
-	r.live = live
+	r.liveMembers = live
 	r.state++
-	r.broadcastLocked()
+	r.wakePullsLocked()
 }
 
-// visible leaves out what changes with each configuration and what daemons do
+// withoutAgentFields leaves out what changes with each configuration and what daemons do
 // not use; else every change would send the whole list to every daemon.
-func visible(live []wire.Member) []wire.Member {
-	for i := range live {
-		live[i].Revision, live[i].Held, live[i].Watching = 0, 0, false
+func withoutAgentFields(members []wire.Member) []wire.Member {
+	for i := range members {
+		members[i].Revision, members[i].Held, members[i].Watching = 0, 0, false
 	}
-	return live
+	return members
 }
 
 // Pull implements the RPC for the VM's daemons: it waits for a change.
@@ -121,7 +121,7 @@
 	deadline := time.NewTimer(min(args.Wait, maxPullWait))
 	defer deadline.Stop()
 	for {
-		changed := r.fill(args, reply)
+		changed := r.fillReply(args, reply)
 		if reply.Changed || reply.Snapshot || len(reply.Objects)+len(reply.Deleted) > 0 {
 			return nil
 		}
@@ -136,39 +136,39 @@
 // Sync implements the RPC for peers: the configuration only, at once.
 func (r *relay) Sync(args *wire.PullArgs, reply *wire.PullReply) error {
 	reply.Source = r.incarnation
-	r.config.since(args.Revision, everyKind, reply)
+	r.config.changesSince(args.Revision, allKinds, reply)
 	return nil
 }
 
-// fill computes the reply and returns what closes at the next change.
-func (r *relay) fill(args *wire.PullArgs, reply *wire.PullReply) <-chan struct{} {
+// fillReply computes the reply and returns what closes at the next change.
+func (r *relay) fillReply(args *wire.PullArgs, reply *wire.PullReply) <-chan struct{} {
 	*reply = wire.PullReply{Source: r.incarnation}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.config.since(args.Revision, wantedBy(args.Process), reply)
-	reply.Ready = reply.Ready && r.members.settled() && r.seeded.Load()
+	r.config.changesSince(args.Revision, kindsFor(args.Process), reply)
+	reply.Ready = reply.Ready && r.members.settled() && r.grantsSeeded.Load()
 	reply.State = r.state
 	if args.Source != r.incarnation || args.State != r.state {
 		reply.Changed = true
-		reply.Members, reply.Grants, reply.Listed = r.live, r.combined, r.listed
+		reply.Members, reply.Grants, reply.Listed = r.liveMembers, r.allGrants, r.listedPlaces
 	}
 	return r.changed
 }
 
-func wantedBy(process string) func(model.Kind) bool {
+func kindsFor(process string) func(model.Kind) bool {
 	if process == agentProcess {
-		return everyKind
+		return allKinds
 	}
-	return daemonKind
+	return isDaemonKind
 }
 
 // Beat implements the RPC for heartbeats of peers.
 func (r *relay) Beat(args *wire.BeatArgs, reply *wire.BeatReply) error {
 	r.members.recordHeartbeat(args.Member)
 	if args.Pushed {
-		r.members.takeGrants(args.Member.VM, &wire.BeatReply{Member: args.Member, State: args.PushedState, Grants: args.Grants})
+		r.members.setPeerGrants(args.Member.VM, &wire.BeatReply{Member: args.Member, State: args.PushedState, Grants: args.Grants})
 	}
-	reply.Member = r.members.me()
+	reply.Member = r.members.selfMember()
 	grants, state := r.grants.snapshot()
 	reply.State = state
 	if args.Source != r.incarnation || args.State != state {
@@ -192,7 +192,7 @@
 // updateSelf puts into heartbeats what the VM's daemons reported.
 func (r *relay) updateSelf() {
 	reports := r.liveDaemons()
-	revision, ready := r.config.state()
+	revision, ready := r.config.heldRevision()
 	r.members.updateSelf(func(m *wire.Member) {
 		m.DispatchAddr, m.EntryAddr, m.Revision, m.Held = "", "", revision, revision
 		m.Holds = ready
@@ -214,7 +214,7 @@
 	defer r.mu.Unlock()
 	var out []wire.ReportArgs
 	for name, d := range r.daemons {
-		if time.Since(d.at) > daemonSilence {
+		if time.Since(d.receivedAt) > daemonTimeout {
 			delete(r.daemons, name)
 			continue
 		}
--- a/internal/agent/reporter.go
+++ b/internal/agent/reporter.go
@@ -16,39 +16,39 @@
 	"hemlockquay/internal/platform"
 )
 
-// statusEvery is the shortest time between two writes of a VM's status.
+// minStatusInterval is the shortest time between two writes of a VM's status.
 //
 // Load pattern: every write of a status raises the store's revision, so a
 // status that held the newest revision would call for its own next write on
 // every VM. It is written only when addresses, incarnation or problems change;
 // the revision in force travels with the heartbeats, and hqctl reads it from
 // any one agent.
-const statusEvery = 5 * time.Second
+const minStatusInterval = 5 * time.Second
 
 // reporter writes the VM's status object and shows refused objects. It is one
 // goroutine.
 type reporter struct {
-	agent   *agent
-	store   platform.Store
-	log     *log.Logger
-	refused metrics.Gauge
-	logged  []string
-	written model.VMStatus
+	agent          *agent
+	store          platform.Store
+	log            *log.Logger
+	problemGauge   metrics.Gauge
+	loggedProblems []string
+	writtenStatus  model.VMStatus
 }
 
 func newReporter(a *agent) *reporter {
 	return &reporter{
-		agent: a, store: a.counted(platform.CauseStatus), log: a.Log,
-		refused: metrics.GetOrRegisterGauge("config.refused", a.Registry),
+		agent: a, store: a.storeFor(platform.CauseStatus), log: a.Log,
+		problemGauge: metrics.GetOrRegisterGauge("config.refused", a.Registry),
 	}
 }
 
 func (r *reporter) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, statusEvery/2+rand.N(statusEvery/2))
+		pause.For(ctx, minStatusInterval/2+rand.N(minStatusInterval/2))
 		status := r.status()
-		r.show(status.Problems)
-		if ctx.Err() == nil && !sameStatus(status, r.written) {
+		r.reportProblems(status.Problems)
+		if ctx.Err() == nil && !sameStatus(status, r.writtenStatus) {
 			r.write(ctx, status)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // status is the VM as its agent sees it.
 func (r *reporter) status() model.VMStatus {
-	me := r.agent.members.me()
+	me := r.agent.members.selfMember()
 	s := model.VMStatus{
 		Name: me.VM, Incarnation: me.Incarnation, DataCentre: me.DataCentre, AgentAddr: me.AgentAddr,
 		Revision: me.Revision, Problems: r.agent.config.problems(),
@@ -77,15 +77,15 @@
 	return s
 }
 
-func (r *reporter) show(problems []string) {
-	r.refused.Update(int64(len(problems)))
+func (r *reporter) reportProblems(problems []string) {
+	r.problemGauge.Update(int64(len(problems)))
 	for _, p := range problems {
-		if !slices.Contains(r.logged, p) {
+		if !slices.Contains(r.loggedProblems, p) {
 			r.log.Error().Str("step", "configure").Msg("object refused, the last good version stays: " + p)
 			r.agent.Journal.Add("configure", "object refused, the last good version stays: "+p)
 		}
 	}
-	r.logged = problems
+	r.loggedProblems = problems
 }
 
 func sameStatus(a, b model.VMStatus) bool {
@@ -95,7 +95,7 @@
 func (r *reporter) write(ctx context.Context, s model.VMStatus) {
 	ctx, cancel := context.WithTimeout(ctx, r.agent.Settings.StoreTimeout.D())
 	defer cancel()
-	o := platform.Object{Kind: model.KindVM, Name: s.Name, Writer: r.agent.tag()}
+	o := platform.Object{Kind: model.KindVM, Name: s.Name, Writer: r.agent.newWriteTag()}
 	current, err := r.store.Get(ctx, o.ID())
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		r.log.Debug().Err(err).Str("step", "status").Str("peer", "store").Msg("status not read")
@@ -110,5 +110,5 @@
 		r.log.Debug().Err(err).Str("step", "status").Str("peer", "store").Msg("status not written")
 		return
 	}
-	r.written = s
+	r.writtenStatus = s
 }
--- a/internal/agent/seed.go
+++ b/internal/agent/seed.go
@@ -11,11 +11,11 @@
 // No peer reports the grants of a grantor's earlier life as its own, but those that had heartbeats of
 // that life know them. An agent that reaches nobody goes on without after settleWithin.
 func (a *agent) seedGrants(ctx context.Context) {
-	defer a.relay.seeded.Store(true)
-	begun := a.relay.members.clock.Now()
-	for ctx.Err() == nil && a.relay.members.clock.Now()-begun < settleWithin {
-		addrs := a.members.addrs()
-		if len(addrs) == 0 && a.members.isListed() {
+	defer a.relay.grantsSeeded.Store(true)
+	start := a.relay.members.clock.Now()
+	for ctx.Err() == nil && a.relay.members.clock.Now()-start < settleTimeout {
+		addrs := a.members.peerAddrs()
+		if len(addrs) == 0 && a.members.isListRead() {
 			return
 		}
 		for vm, addr := range addrs {
@@ -30,19 +30,19 @@
 func (a *agent) fetchGrants(ctx context.Context, vm, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*a.Settings.Heartbeat.D())
 	defer cancel()
-	revision, _ := a.config.state()
+	revision, _ := a.config.heldRevision()
 	args := wire.PullArgs{Process: agentProcess, Revision: revision}
 	var reply wire.PullReply
 	if err := a.peers.Get(addr).Call(ctx, wire.MethodPull, &args, &reply); err != nil {
 		a.Log.Debug().Err(err).Str("step", "seed-grants").Str("peer", vm).Msg("no answer")
 		return false
 	}
-	a.relay.adopt(reply.Grants)
+	a.relay.addGrants(reply.Grants)
 	return reply.Ready
 }
 
-// adopt takes the grants that a peer knows.
-func (r *relay) adopt(grants []wire.Grant) {
+// addGrants takes the grants that a peer knows.
+func (r *relay) addGrants(grants []wire.Grant) {
 	r.mu.Lock()
 	r.retainedGrants.merge(grants, r.members.clock.Now())
 	r.mu.Unlock()
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -55,16 +55,16 @@
 
 // Defaults of the agent's times; see docs/DESIGN.md for their grounds.
 const (
-	defaultStoreTimeout = model.Duration(2 * time.Second)
-	defaultHeartbeat    = model.Duration(75 * time.Millisecond)
-	defaultSilence      = model.Duration(300 * time.Millisecond)
-	defaultGrantEvery   = model.Duration(75 * time.Millisecond)
-	defaultGrantLife    = model.Duration(400 * time.Millisecond)
-	defaultTakeover     = model.Duration(190 * time.Millisecond)
-	defaultAuthority    = model.Duration(160 * time.Millisecond)
-	defaultMargin       = model.Duration(10 * time.Millisecond)
-	defaultPatience     = model.Duration(25 * time.Millisecond)
-	defaultRelease      = model.Duration(10 * time.Second)
+	defaultStoreTimeout     = model.Duration(2 * time.Second)
+	defaultHeartbeat        = model.Duration(75 * time.Millisecond)
+	defaultSilence          = model.Duration(300 * time.Millisecond)
+	defaultGrantEvery       = model.Duration(75 * time.Millisecond)
+	defaultGrantLife        = model.Duration(400 * time.Millisecond)
+	defaultTakeoverSilence  = model.Duration(190 * time.Millisecond)
+	defaultAuthority        = model.Duration(160 * time.Millisecond)
+	defaultClockMargin      = model.Duration(10 * time.Millisecond)
+	defaultTakeoverPatience = model.Duration(25 * time.Millisecond)
+	defaultReleaseLimit     = model.Duration(10 * time.Second)
 )
 
 func orDefault(d *model.Duration, def model.Duration) {
@@ -83,11 +83,11 @@
 	orDefault(&s.Silence, defaultSilence)
 	orDefault(&s.GrantEvery, defaultGrantEvery)
 	orDefault(&s.GrantLife, defaultGrantLife)
-	orDefault(&s.TakeoverSilence, defaultTakeover)
+	orDefault(&s.TakeoverSilence, defaultTakeoverSilence)
 	orDefault(&s.Authority, defaultAuthority)
-	orDefault(&s.ClockMargin, defaultMargin)
-	orDefault(&s.TakeoverPatience, defaultPatience)
-	orDefault(&s.ReleaseLimit, defaultRelease)
+	orDefault(&s.ClockMargin, defaultClockMargin)
+	orDefault(&s.TakeoverPatience, defaultTakeoverPatience)
+	orDefault(&s.ReleaseLimit, defaultReleaseLimit)
 	switch {
 	case !strings.HasPrefix(s.Store, "http://") && !strings.HasPrefix(s.Store, "https://"):
 		return settings.Impossible("/store", "%q is not an http or https URL", s.Store)
--- a/internal/agent/slope_test.go
+++ b/internal/agent/slope_test.go
@@ -22,11 +22,11 @@
 	"hemlockquay/internal/wire"
 )
 
-const slopeLife = 1796255323000000000
+const slopeStartTime = 1796255323000000000
 
 func slopeMember(i int) wire.Member {
 	return wire.Member{
-		VM: fmt.Sprintf("entry-vm-%05d", i), DataCentre: fmt.Sprintf("dc-%02d", i%15), Incarnation: fmt.Sprintf("entry-vm-%05d-%d", i, slopeLife),
+		VM: fmt.Sprintf("entry-vm-%05d", i), DataCentre: fmt.Sprintf("dc-%02d", i%15), Incarnation: fmt.Sprintf("entry-vm-%05d-%d", i, slopeStartTime),
 		AgentAddr: "10.101.102.103:7001", DispatchAddr: "10.101.102.103:7002", EntryAddr: "10.101.102.103:7003", AdminAddr: "10.101.102.103:7004",
 		Revision: 123456789, Held: 123456789, Holds: true,
 	}
@@ -37,8 +37,8 @@
 	m := newMembers(slopeMember(0), boottime.System{}, time.Hour, func() {})
 	var vms []platform.VM
 	for i := range n + 1 {
-		told := slopeMember(i)
-		vms = append(vms, platform.VM{Name: told.VM, DataCentre: told.DataCentre, AgentAddr: told.AgentAddr, State: platform.VMLive})
+		member := slopeMember(i)
+		vms = append(vms, platform.VM{Name: member.VM, DataCentre: member.DataCentre, AgentAddr: member.AgentAddr, State: platform.VMLive})
 	}
 	m.setList(vms)
 	for i := range n {
@@ -53,8 +53,8 @@
 		target := fmt.Sprintf("shelf-%05d", i/8)
 		out = append(out, wire.Grant{
 			Service: "shelf", Group: uint64(i), Slices: []keyspace.Slice{s},
-			Target: model.TargetRef{Name: target, Incarnation: fmt.Sprintf("%s-%d", target, slopeLife)},
-			Rank:   wire.Rank{Epoch: 17, Incarnation: slopeLife, Agent: "entry-vm-00001"},
+			Target: model.TargetRef{Name: target, Incarnation: fmt.Sprintf("%s-%d", target, slopeStartTime)},
+			Rank:   wire.Rank{Epoch: 17, Incarnation: slopeStartTime, Agent: "entry-vm-00001"},
 		})
 	}
 	return out
@@ -71,7 +71,7 @@
 	return r
 }
 
-func encoded(b *testing.B, v any) float64 {
+func encodedSize(b *testing.B, v any) float64 {
 	var out bytes.Buffer
 	enc := msgpack.NewEncoder(&out)
 	enc.SetOmitEmpty(true)
@@ -87,20 +87,20 @@
 	for _, n := range []int{8, 64, 512} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			r := slopeRelay(n, n)
-			r.members.changed = r.refreshLive
-			var told []wire.Member
+			r.members.changed = r.refreshMembers
+			var senders []wire.Member
 			for i := range n {
-				told = append(told, slopeMember(i+1))
+				senders = append(senders, slopeMember(i+1))
 			}
 			for b.Loop() {
-				for i := range told {
+				for i := range senders {
 					var reply wire.BeatReply
-					_ = r.Beat(&wire.BeatArgs{Member: told[i], Source: r.incarnation}, &reply)
+					_ = r.Beat(&wire.BeatArgs{Member: senders[i], Source: r.incarnation}, &reply)
 				}
-				r.refreshLive()
+				r.refreshMembers()
 			}
-			both := encoded(b, &wire.BeatArgs{Member: told[0], Source: r.incarnation, State: 1234}) + encoded(b, &wire.BeatReply{Member: told[0], State: 1234})
-			b.ReportMetric(float64(n)*both, "beat-B")
+			bytesPerPeer := encodedSize(b, &wire.BeatArgs{Member: senders[0], Source: r.incarnation, State: 1234}) + encodedSize(b, &wire.BeatReply{Member: senders[0], State: 1234})
+			b.ReportMetric(float64(n)*bytesPerPeer, "beat-B")
 		})
 	}
 }
@@ -149,15 +149,15 @@
 	for _, n := range []int{128, 1024, 8192} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			r := slopeRelay(8, n)
-			kept := capacity.Retained(func() any { return slopeGrants(n) })
+			retained := capacity.Retained(func() any { return slopeGrants(n) })
 			// The last group, so that the tables are compared to their ends.
-			held := r.members.peers[slopeMember((n-1)%8+1).VM].grants
+			peerGrants := r.members.peers[slopeMember((n-1)%8+1).VM].grants
 			for b.Loop() {
-				held[len(held)-1].Rank.Epoch++
+				peerGrants[len(peerGrants)-1].Rank.Epoch++
 				r.refresh()
 			}
-			b.ReportMetric(encoded(b, &wire.PullReply{Grants: r.combined}), "pull-B")
-			b.ReportMetric(kept, "heap-B")
+			b.ReportMetric(encodedSize(b, &wire.PullReply{Grants: r.allGrants}), "pull-B")
+			b.ReportMetric(retained, "heap-B")
 		})
 	}
 }
@@ -167,13 +167,13 @@
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			r := slopeRelay(n, 8)
-			kept := capacity.Retained(func() any { return slopeMembers(n) })
+			retained := capacity.Retained(func() any { return slopeMembers(n) })
 			for b.Loop() {
 				r.members.self.Leaving = !r.members.self.Leaving
 				r.refresh()
 			}
-			b.ReportMetric(encoded(b, &wire.PullReply{Members: r.live, Listed: r.listed}), "pull-B")
-			b.ReportMetric(kept, "heap-B")
+			b.ReportMetric(encodedSize(b, &wire.PullReply{Members: r.liveMembers, Listed: r.listedPlaces}), "pull-B")
+			b.ReportMetric(retained, "heap-B")
 		})
 	}
 }
@@ -208,13 +208,13 @@
 					objects[i] = o
 				}
 				change := wire.PullReply{Ready: true, Revision: revision + uint64(n), Objects: objects[:n]}
-				require.NoError(b, c.take(revision, &change))
+				require.NoError(b, c.applyReply(revision, &change))
 				reply = wire.PullReply{}
-				c.since(revision, daemonKind, &reply)
+				c.changesSince(revision, isDaemonKind, &reply)
 				revision += uint64(n)
 			}
 			require.Len(b, reply.Objects, n)
-			b.ReportMetric(encoded(b, &reply), "delta-B")
+			b.ReportMetric(encodedSize(b, &reply), "delta-B")
 		})
 	}
 }
@@ -227,14 +227,14 @@
 			objects := slopeContracts(n)
 			c := newConfiguration(func() {})
 			require.NoError(b, c.replace(platform.Listing{Objects: objects, Revision: uint64(n)}))
-			kept := capacity.Retained(func() any { return slopeContracts(n) })
+			retained := capacity.Retained(func() any { return slopeContracts(n) })
 			var reply wire.PullReply
 			for b.Loop() {
 				reply = wire.PullReply{}
-				c.since(0, daemonKind, &reply)
+				c.changesSince(0, isDaemonKind, &reply)
 			}
-			b.ReportMetric(encoded(b, &reply), "snapshot-B")
-			b.ReportMetric(kept, "heap-B")
+			b.ReportMetric(encodedSize(b, &reply), "snapshot-B")
+			b.ReportMetric(retained, "heap-B")
 		})
 	}
 }
@@ -247,9 +247,9 @@
 			a := assigner{config: newConfiguration(func() {})}
 			require.NoError(b, a.config.replace(platform.Listing{Objects: slopeContracts(n), Revision: uint64(n)}))
 			for b.Loop() {
-				a.refreshObservation()
+				a.refreshDecoded()
 			}
-			require.Len(b, a.observation.versions, n)
+			require.Len(b, a.decoded.versions, n)
 		})
 	}
 }
@@ -263,10 +263,10 @@
 			require.NoError(b, a.config.replace(platform.Listing{Objects: objects, Revision: uint64(n)}))
 			for b.Loop() {
 				o := objects[0]
-				revision, _ := a.config.state()
+				revision, _ := a.config.heldRevision()
 				o.Version = revision + 1
 				a.config.apply(platform.Event{Type: platform.EventPut, Object: o, Revision: o.Version})
-				a.refreshObservation()
+				a.refreshDecoded()
 			}
 		})
 	}
@@ -284,24 +284,24 @@
 					Owner: model.TargetRef{Name: "t1"}, Standby: model.TargetRef{Name: "t2"}, Witness: model.TargetRef{Name: "t3"},
 				})
 			}
-			d := &grantorDuty{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
-			held := func() *heldService {
-				h := &heldService{service: &model.Service{Name: "shelf"}, record: record, groups: make(map[uint64]*grants.Group)}
-				d.adopt(h)
-				return h
+			gr := &grantor{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
+			newService := func() *serviceState {
+				svc := &serviceState{service: &model.Service{Name: "shelf"}, record: record, groups: make(map[uint64]*grants.Group)}
+				gr.updateGroups(svc)
+				return svc
 			}
-			kept := capacity.Retained(func() any { return held() })
-			h := held()
+			retained := capacity.Retained(func() any { return newService() })
+			svc := newService()
 			observation := func(string, uint64) grants.Observation {
 				return grants.Observation{Live: func(string) bool { return true }, Served: true}
 			}
 			for b.Loop() {
-				if len(d.collect(h, d.clock.Now(), observation)) > 0 {
+				if len(gr.collectOrders(svc, gr.clock.Now(), observation)) > 0 {
 					b.Fatal("orders for groups of others")
 				}
-				d.proposals(h, d.clock.Now(), observation)
+				gr.proposals(svc, gr.clock.Now(), observation)
 			}
-			b.ReportMetric(kept, "heap-B")
+			b.ReportMetric(retained, "heap-B")
 		})
 	}
 }
@@ -323,9 +323,9 @@
 			var reply wire.PullReply
 			for b.Loop() {
 				reply = wire.PullReply{}
-				c.since(0, daemonKind, &reply)
+				c.changesSince(0, isDaemonKind, &reply)
 			}
-			b.ReportMetric(encoded(b, &reply), "snapshot-B")
+			b.ReportMetric(encodedSize(b, &reply), "snapshot-B")
 		})
 	}
 }
--- a/internal/agent/watcher.go
+++ b/internal/agent/watcher.go
@@ -19,31 +19,31 @@
 
 // Times of the watch.
 const (
-	// watchPauseMin and watchPauseMax bound the pause after a broken watch.
-	watchPauseMin = 100 * time.Millisecond
-	watchPauseMax = 5 * time.Second
-	// watchSilence is how long a watch may be without event or bookmark.
+	// watchBackoffMin and watchPauseMax bound the pause after a broken watch.
+	watchBackoffMin = 100 * time.Millisecond
+	watchBackoffMax = 5 * time.Second
+	// watchSilenceTimeout is how long a watch may be without event or bookmark.
 	// Bookmarks come each second; three missing ones are no accident.
-	watchSilence = 3500 * time.Millisecond
+	watchSilenceTimeout = 3500 * time.Millisecond
 )
 
-// errSilent reports a watch without bookmarks.
-var errSilent = errors.New("watch went silent")
+// errWatchSilent reports a watch without bookmarks.
+var errWatchSilent = errors.New("watch went silent")
 
-// errRelieved reports that enough other agents watch.
-var errRelieved = errors.New("other agents watch")
+// errNotElected reports that enough other agents watch.
+var errNotElected = errors.New("other agents watch")
 
-// electEvery is how often an agent that does not watch looks whether it should.
-const electEvery = 500 * time.Millisecond
+// electionInterval is how often an agent that does not watch looks whether it should.
+const electionInterval = 500 * time.Millisecond
 
 // watcher keeps the configuration current from the store.
 type watcher struct {
-	store   platform.Store
-	config  *configuration
-	members *members
-	timeout time.Duration
-	log     *log.Logger
-	refused metrics.Counter
+	store        platform.Store
+	config       *configuration
+	members      *members
+	timeout      time.Duration
+	log          *log.Logger
+	olderRefused metrics.Counter
 
 	// broken is set while the store does not answer.
 	broken atomic.Bool
@@ -53,15 +53,15 @@
 
 // working reports whether the store may be expected to bring the next change.
 func (w *watcher) working() bool {
-	return !w.broken.Load() && (w.members.me().Watching || !w.ready())
+	return !w.broken.Load() && (w.members.selfMember().Watching || !w.ready())
 }
 
 func (w *watcher) ready() bool {
-	_, ready := w.config.state()
+	_, ready := w.config.heldRevision()
 	return ready
 }
 
-func (w *watcher) elected() bool { return shouldWatch(w.members.me(), w.members.live()) }
+func (w *watcher) elected() bool { return shouldWatch(w.members.selfMember(), w.members.live()) }
 
 func (w *watcher) setWatching(on bool) {
 	w.members.updateSelf(func(m *wire.Member) { m.Watching = on })
@@ -69,39 +69,39 @@
 
 // run lists and watches until the context ends. It is one goroutine.
 func (w *watcher) run(ctx context.Context) {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval = watchPauseMin, watchPauseMax
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = watchBackoffMin, watchBackoffMax
 	for ctx.Err() == nil {
 		if w.ready() && !w.elected() {
-			pause.For(ctx, electEvery/2+rand.N(electEvery/2))
+			pause.For(ctx, electionInterval/2+rand.N(electionInterval/2))
 			continue
 		}
-		before, _ := w.config.state()
-		err := w.once(ctx)
+		before, _ := w.config.heldRevision()
+		err := w.listAndWatch(ctx)
 		w.setWatching(false)
-		if after, _ := w.config.state(); after > before {
-			pauses.Reset()
+		if after, _ := w.config.heldRevision(); after > before {
+			retryBackoff.Reset()
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if errors.Is(err, errRelieved) {
+		if errors.Is(err, errNotElected) {
 			continue
 		}
 		w.broken.Store(true)
 		w.log.Warn().Err(err).Str("step", "watch").Str("peer", "store").Msg("watch broke")
-		pause.For(ctx, pauses.NextBackOff())
+		pause.For(ctx, retryBackoff.NextBackOff())
 	}
 }
 
-// once watches from the revision held, or lists first.
-func (w *watcher) once(ctx context.Context) error {
+// listAndWatch watches from the revision held, or lists first.
+func (w *watcher) listAndWatch(ctx context.Context) error {
 	if !w.ready() || w.relist {
 		if err := w.list(ctx); err != nil {
 			return err
 		}
 	}
-	revision, _ := w.config.state()
+	revision, _ := w.config.heldRevision()
 	err := w.watch(ctx, revision)
 	if errors.Is(err, platform.ErrGone) {
 		return w.list(ctx)
@@ -122,7 +122,7 @@
 	err = w.config.replace(l)
 	w.relist = err != nil
 	if err != nil {
-		w.refused.Inc(1)
+		w.olderRefused.Inc(1)
 	}
 	return err
 }
@@ -133,27 +133,27 @@
 func (w *watcher) watch(ctx context.Context, from uint64) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(watchSilence, func() { cancel(errSilent) })
-	defer silence.Stop()
+	silenceTimer := time.AfterFunc(watchSilenceTimeout, func() { cancel(errWatchSilent) })
+	defer silenceTimer.Stop()
 	err := w.store.Watch(ctx, from, func(e platform.Event) error {
-		silence.Reset(watchSilence)
-		w.alive()
+		silenceTimer.Reset(watchSilenceTimeout)
+		w.markWorking()
 		if !w.elected() {
-			return errRelieved
+			return errNotElected
 		}
 		if e.Type != platform.EventBookmark {
 			w.config.apply(e)
 		}
 		return nil
 	})
-	if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
+	if cause := context.Cause(ctx); errors.Is(cause, errWatchSilent) {
 		return fmt.Errorf("watch from %d: %w", from, cause)
 	}
 	return err
 }
 
-// alive notes the first sign of life of a watch.
-func (w *watcher) alive() {
+// markWorking notes the first sign of life of a watch.
+func (w *watcher) markWorking() {
 	w.broken.Store(false)
 	w.setWatching(true)
 }
