--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,10 +20,10 @@
 	"hemlockquay/internal/wire"
 )
 
-// Module wires the agent.
+// Module starts the agent.
 var Module = fx.Options(fx.Invoke(start))
 
-// agent is the process: its state and its duties.
+// agent is the state and the goroutines of the process.
 type agent struct {
 	*daemon.Kit[*Settings]
 	incarnation string
@@ -40,7 +40,7 @@
 	assigner    *assigner
 	commander   *target.Commander
 	grantor     *grantor
-	// grantsChanged notifies the heartbeater that the grants changed.
+	// grantsChanged tells the heartbeater to push this agent's grants to its peers.
 	grantsChanged chan struct{}
 	cancel        context.CancelFunc
 	tasks         sync.WaitGroup
@@ -79,7 +79,7 @@
 	return a, nil
 }
 
-// initComponents creates the parts, which notify the relay of their changes.
+// initComponents creates the components and registers the relay for their changes.
 func (a *agent) initComponents() {
 	s := a.Settings
 	a.relay = newRelay(a.incarnation)
@@ -103,11 +103,12 @@
 	a.relay.config, a.relay.members, a.relay.grants = a.config, a.members, a.grants
 }
 
-// newWriteTag names one write, so that a lost answer can be settled.
+// newWriteTag returns a unique tag for one write. If the answer to a write is lost, the tag of
+// the stored object shows whether the write took effect.
 func (a *agent) newWriteTag() string { return fmt.Sprintf("%s/%d", a.incarnation, a.writes.Add(1)) }
 
-// storeFor returns the store for one cause. Calls that the guard refuses never
-// reach the store and are not storeFor.
+// storeFor returns the store with its calls counted under the cause. Calls that the guard refuses
+// do not reach the store and are not counted.
 func (a *agent) storeFor(c platform.Cause) platform.Store {
 	return a.guard.Wrap(platform.Count(a.store, c, a.Registry))
 }
@@ -143,13 +144,14 @@
 	}
 	go func() {
 		if err := a.server.Serve(); err != nil {
-			a.Log.Error().Err(err).Str("step", "serve").Msg("peer server ended")
+			a.Log.Error().Err(err).Str("step", "serve").Msg("peer server stopped")
 		}
 	}()
 	return nil
 }
 
-// updateStoreShare keeps this VM to its part of the store's rates.
+// updateStoreShare limits this VM to its share of the store's rates, which depends on the number
+// of VMs.
 func (a *agent) updateStoreShare(ctx context.Context) {
 	for ctx.Err() == nil {
 		a.guard.Share(len(a.members.peerAddrs()) + 1)
@@ -157,14 +159,15 @@
 	}
 }
 
-// awaitReady waits for the first configuration.
+// awaitReady reports the agent as ready once it has a configuration, its members are settled and
+// the grants of a peer were requested.
 func (a *agent) awaitReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, ready := a.config.heldRevision(); ready && a.members.settled() && a.relay.grantsSeeded.Load() {
 			a.Life.Ready()
 			return
 		}
-		a.Life.NotReadyBecause(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers holds one",
+		a.Life.NotReadyBecause(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers has one",
 			a.Settings.Store, len(a.members.peerAddrs())))
 		pause.For(ctx, a.Settings.Heartbeat.D())
 	}
@@ -184,8 +187,8 @@
 	return nil
 }
 
-// dump is the agent's state for /dump. Objects and Granted are cut; hqctl needs all
-// Members.
+// dump is the agent's state for /dump. Objects and Granted are truncated; Members is complete
+// because hqctl needs all of them.
 type dump struct {
 	Incarnation string            `json:"incarnation"`
 	Revision    uint64            `json:"revision"`
@@ -197,7 +200,7 @@
 	Daemons     []wire.ReportArgs `json:"daemons"`
 }
 
-// totals are the lengths of the lists before they were cut.
+// totals are the lengths of the lists before truncation.
 type totals struct {
 	Objects int `json:"objects"`
 	Granted int `json:"granted"`
--- a/internal/agent/assigner.go
+++ b/internal/agent/assigner.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	// planInterval is how often elections and plans are looked at.
+	// planInterval is the time between two checks of elections and plans.
 	planInterval = 500 * time.Millisecond
 	// loadReportInterval is how often a VM reports its load to assigners.
 	loadReportInterval = time.Second
 )
 
-// assigner takes part in the election of each keyed service's assigner, and
-// plans the services that it holds. It is one goroutine.
+// assigner takes part in the election of each keyed service's assigner and plans the services for
+// which this agent was elected. It runs in one goroutine.
 type assigner struct {
 	electionStore platform.Store
 	planStore     platform.Store
@@ -50,13 +50,13 @@
 	loadsSentAt time.Duration
 }
 
-// assignedService is what the assigner keeps of one service.
+// assignedService is the assigner's state of one service.
 type assignedService struct {
 	election   *ownership.Election
 	planner    *placement.Planner
 	isAssigner bool
-	// writtenVersion is the version of the assignment that this agent wrote last; it
-	// plans on nothing older.
+	// writtenVersion is the version of the assignment that this agent wrote last. It does not
+	// plan on older versions.
 	writtenVersion uint64
 }
 
@@ -74,8 +74,9 @@
 	}
 }
 
-// decodedConfig is the configuration as the assigner read it last. It is decoded only where
-// the revision has changed: most checks, two a second on every agent, find nothing new.
+// decodedConfig is the configuration as last decoded by the assigner. It is decoded again only
+// when the revision has changed: of the checks, two a second on every agent, most find nothing
+// new.
 type decodedConfig struct {
 	revision uint64
 	objects  []platform.Object
@@ -84,9 +85,9 @@
 	cache    view.Cache
 }
 
-// refreshDecoded brings the observation up to date.
+// refreshDecoded decodes the configuration again if its revision has changed.
 func (a *assigner) refreshDecoded() {
-	// The revision comes first: a change in between is then seen again.
+	// The revision is read first, so that a change made in between is found by the next check.
 	revision, _ := a.config.heldRevision()
 	if a.decoded.view != nil && revision == a.decoded.revision {
 		return
@@ -105,7 +106,8 @@
 	return versions
 }
 
-// updateService looks after one service: first who plans it, then the plan.
+// updateService takes part in the election of a service's assigner, and plans the service if this
+// agent holds it.
 func (a *assigner) updateService(ctx context.Context, s *model.Service, objects []platform.Object, held *model.Assignment, versions map[platform.ID]uint64) {
 	now := a.clock.Now()
 	me := a.members.selfMember()
@@ -137,7 +139,7 @@
 	}
 }
 
-// rank is this VM's place among the live ones for a service.
+// rank returns this VM's rank among the live VMs for a service.
 func (a *assigner) rank(service string, me wire.Member) int {
 	var candidates []rendezvous.Candidate
 	for _, m := range a.members.live() {
@@ -154,10 +156,11 @@
 		return
 	}
 	svc.election.OutcomeUnknown(a.clock.Now())
-	a.log.Debug().Err(err).Str("step", "elect").Str("peer", "store").Str("service", c.Object.Service).Msg("claim not written")
+	a.log.Debug().Err(err).Str("step", "elect").Str("peer", "store").Str("service", c.Object.Service).Msg("cannot write the claim of the assigner lease")
 }
 
-// recordElectionResult records that the agent became a service's assigner, or is no more.
+// recordElectionResult records in the journal that this agent became a service's assigner or
+// ceased to be it.
 func (a *assigner) recordElectionResult(svc *assignedService, service string) {
 	holds := svc.election.Holds(a.clock.Now())
 	if holds == svc.isAssigner {
@@ -165,15 +168,15 @@
 	}
 	svc.isAssigner = holds
 	svc.planner = placement.New()
-	text := "became assigner: no other renewed within its life"
+	text := "became assigner: no other agent renewed the lease in time"
 	if !holds {
-		text = "is assigner no more: another holds the service, or the renewal failed"
+		text = "no longer assigner: another agent holds the service, or the renewal failed"
 	}
 	a.journal.Add("elect", text, service)
 }
 
-// plan writes what is due. The version lets it succeed only on the record that
-// it was made from.
+// plan writes the changes that are due. The write is conditional on the version of the record
+// from which the plan was made.
 func (a *assigner) plan(ctx context.Context, svc *assignedService, s *model.Service, held *model.Assignment, version uint64) {
 	in := a.plannerInput(s, held)
 	var result placement.Result
@@ -188,7 +191,7 @@
 	written, err := a.write(ctx, a.planStore, model.KindAssignment, s.Name, version, &result.Assignment)
 	if err != nil {
 		svc.planner.DropMoves()
-		a.log.Debug().Err(err).Str("step", "plan").Str("peer", "store").Str("service", s.Name).Msg("assignment not written")
+		a.log.Debug().Err(err).Str("step", "plan").Str("peer", "store").Str("service", s.Name).Msg("cannot write the assignment")
 		return
 	}
 	svc.writtenVersion = written
@@ -226,8 +229,8 @@
 	return o.Version, err
 }
 
-// sendLoads sends the VM's load to the holders of its services, and to nobody else:
-// one small message a second for each holder, however many VMs there are.
+// sendLoads sends the VM's load to the assigners of its services and to no other agent: one small
+// message a second per assigner, however many VMs there are.
 func (a *assigner) sendLoads(ctx context.Context) {
 	now := a.clock.Now()
 	if now-a.loadsSentAt < loadReportInterval {
@@ -256,6 +259,6 @@
 	ctx, cancel := context.WithTimeout(ctx, loadReportInterval)
 	defer cancel()
 	if err := a.peers.Get(addr).Call(ctx, wire.MethodLoads, args, &wire.Empty{}); err != nil {
-		a.log.Debug().Err(err).Str("step", "send-loads").Str("peer", vm).Msg("assigner not reached")
+		a.log.Debug().Err(err).Str("step", "send-loads").Str("peer", vm).Msg("cannot send loads to the assigner")
 	}
 }
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -12,41 +12,40 @@
 	"hemlockquay/internal/wire"
 )
 
-// maxLogLength is how many changes are kept for deltas; a reader that lags further
-// gets a snapshot. At 13 changes a second it covers five minutes.
+// maxLogLength is how many changes are kept for deltas. A reader that lags further behind gets a
+// snapshot. At 13 changes a second the log covers five minutes.
 const maxLogLength = 4096
 
-// Refusals of a configuration.
+// Reasons for which a configuration is rejected.
 var (
-	// errOlderRevision says that the sender's state is older than the one held.
-	errOlderRevision = errors.New("older than the configuration held")
-	// errBaseMismatch says that a delta does not begin where the configuration stands.
-	errBaseMismatch = errors.New("delta of another base")
-	// errNoConfiguration says that the sender holds no configuration itself.
-	errNoConfiguration = errors.New("sender holds no configuration")
+	// errOlderRevision reports that the sender's configuration is older than the one held.
+	errOlderRevision = errors.New("older than the configuration in force")
+	// errBaseMismatch reports that a delta does not start at the revision held.
+	errBaseMismatch = errors.New("delta does not start at the current revision")
+	// errNoConfiguration reports that the sender has no configuration.
+	errNoConfiguration = errors.New("sender has no configuration")
 )
 
-// configuration is the objects that the agent holds, at one revision. It is
-// safe for concurrent use.
+// configuration holds the objects of the store at one revision. It is safe for concurrent use.
 //
-// Invariant: the revision never falls, an object is never replaced by an older
-// version of itself, and every object passed its check.
+// Invariant: the revision never decreases, an object is never replaced by an older version of
+// itself, and every object has passed its check.
 type configuration struct {
 	mu       sync.Mutex
 	ready    bool
 	revision uint64
 	objects  map[platform.ID]platform.Object
-	// refused holds the reason of each stored object that failed its check.
-	// The last good version stays in objects.
+	// refused holds the reason of each stored object that failed its check. The last valid
+	// version of such an object stays in objects.
 	refused map[platform.ID]string
-	// log is the last changes by rising revision; a reader at floor or above
-	// finds all that it lacks in it.
+	// log holds the latest changes in ascending order of revision. It is complete for readers at
+	// revision floor or above.
 	log     []change
 	floor   uint64
 	changed func()
 }
 
-// change is one entry of the log.
+// change is an entry of the log.
 type change struct {
 	id       platform.ID
 	revision uint64
@@ -60,15 +59,17 @@
 	}
 }
 
-// replace takes a listing whole; objects that it lacks are deleted.
-// A store that was restored from a copy, or a peer that was cut off, answers with an older state. A
-// listing of a lower revision is refused, and of a newer one each object of a lower version.
+// replace replaces the configuration by a listing. Objects missing from the listing are deleted.
+//
+// A store restored from a backup, or a peer that was partitioned, may return an older state. A
+// listing of a lower revision is therefore rejected, and in a newer listing each object of a
+// lower version is ignored.
 func (c *configuration) replace(l platform.Listing) error {
 	c.mu.Lock()
 	if c.ready && l.Revision < c.revision {
 		held := c.revision
 		c.mu.Unlock()
-		return fmt.Errorf("listing of revision %d, held %d: %w", l.Revision, held, errOlderRevision)
+		return fmt.Errorf("listing at revision %d, current revision %d: %w", l.Revision, held, errOlderRevision)
 	}
 	if c.ready && l.Revision == c.revision {
 		c.mu.Unlock()
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// mergeListing needs c.mu.
+// mergeListing merges a listing that is newer than the configuration. The caller must hold c.mu.
 func (c *configuration) mergeListing(l platform.Listing) {
 	listed := make(map[platform.ID]bool, len(l.Objects))
 	var changes []change
@@ -104,9 +105,11 @@
 	c.appendChanges(changes...)
 }
 
-// put takes an object that is newer than the one held and passes its check.
-// It needs c.mu.
-// What is refused shows in status, metric and log; the last good version stays in force.
+// put stores an object if it is newer than the one held and passes its check, and reports whether
+// it did. The caller must hold c.mu.
+//
+// A rejected object is shown in the VM's status, in a metric and in the log; its last valid
+// version stays in force.
 func (c *configuration) put(o platform.Object) bool {
 	held, ok := c.objects[o.ID()]
 	if ok && o.Version <= held.Version {
@@ -121,13 +124,14 @@
 	return true
 }
 
-// remove needs c.mu.
+// remove deletes an object. The caller must hold c.mu.
 func (c *configuration) remove(id platform.ID) {
 	delete(c.objects, id)
 	delete(c.refused, id)
 }
 
-// appendChanges needs c.mu.
+// appendChanges appends to the log and drops its oldest entries beyond maxLogLength. The caller
+// must hold c.mu.
 func (c *configuration) appendChanges(changes ...change) {
 	c.log = append(c.log, changes...)
 	if excess := len(c.log) - maxLogLength; excess > 0 {
@@ -136,8 +140,8 @@
 	}
 }
 
-// apply takes one event of a watch. An event at or below the revision is a
-// repeat and is ignored.
+// apply applies one watch event. An event at or below the current revision is a duplicate and is
+// ignored.
 func (c *configuration) apply(e platform.Event) {
 	c.mu.Lock()
 	if e.Revision <= c.revision {
@@ -158,9 +162,9 @@
 	c.changed()
 }
 
-// applyReply puts a peer's answer to a question from the revision into force.
-// A delta on another base would skip changes, so it is refused; the next query begins at the
-// revision held.
+// applyReply applies a peer's reply to a query that asked for changes since base. A delta with
+// another base would skip changes, so it is rejected, and the next query starts at the current
+// revision.
 func (c *configuration) applyReply(base uint64, r *wire.PullReply) error {
 	if !r.Ready {
 		return errNoConfiguration
@@ -172,10 +176,10 @@
 	switch {
 	case r.Revision < c.revision:
 		c.mu.Unlock()
-		return fmt.Errorf("delta up to %d: %w", r.Revision, errOlderRevision)
+		return fmt.Errorf("delta up to revision %d: %w", r.Revision, errOlderRevision)
 	case !c.ready || base != c.revision:
 		c.mu.Unlock()
-		return fmt.Errorf("delta from %d: %w", base, errBaseMismatch)
+		return fmt.Errorf("delta from revision %d: %w", base, errBaseMismatch)
 	case r.Revision == c.revision:
 		c.mu.Unlock()
 		return nil
@@ -186,7 +190,7 @@
 	return nil
 }
 
-// mergeDelta needs c.mu.
+// mergeDelta merges a delta that starts at the current revision. The caller must hold c.mu.
 func (c *configuration) mergeDelta(r *wire.PullReply) {
 	for _, id := range r.Deleted {
 		c.remove(id)
@@ -200,8 +204,8 @@
 	c.revision = r.Revision
 }
 
-// changesSince fills in what changed after the revision: a delta from the log, or a
-// snapshot where the log does not reach back so far. wanted selects kinds.
+// changesSince adds to the reply what changed after the revision: a delta if the log reaches back
+// that far, otherwise a snapshot. include selects the kinds of objects.
 func (c *configuration) changesSince(revision uint64, include func(model.Kind) bool, reply *wire.PullReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +233,7 @@
 	}
 }
 
-// sortedObjects returns the wanted objects by version. It needs c.mu.
+// sortedObjects returns the included objects sorted by version. The caller must hold c.mu.
 func (c *configuration) sortedObjects(include func(model.Kind) bool) []platform.Object {
 	out := make([]platform.Object, 0, len(c.objects))
 	for _, o := range c.objects {
@@ -241,7 +245,7 @@
 	return out
 }
 
-// heldRevision returns the revision held and whether there is any.
+// heldRevision returns the current revision, and whether there is a configuration at all.
 func (c *configuration) heldRevision() (revision uint64, ready bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,7 +259,7 @@
 	return c.sortedObjects(allKinds)
 }
 
-// problems returns why stored objects are not in force, sorted.
+// problems returns, sorted, why stored objects are not in force.
 func (c *configuration) problems() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,13 +271,13 @@
 	return out
 }
 
-// allKinds is wanted by agents, which pass objects on.
+// allKinds selects every kind. Agents use it, because they relay the objects.
 func allKinds(model.Kind) bool { return true }
 
-// isDaemonKind selects what entries and dispatchers use: services and contracts.
-// The leases of assigners and the status of VMs concern agents only, and so do
-// the records of assignments: daemons go by the grants, which say who serves now.
+// isDaemonKind selects what entries and dispatchers use: services and contracts. The leases of
+// assigners and the status of VMs concern only agents. So do the records of assignments, since
+// daemons use the grants, which name the current owners.
 //
-// Load pattern: a record comes whole with each move, 175 to 440 bytes a group,
-// and daemons would take and decode it on every VM for nothing.
+// Load pattern: every move sends the whole record, 175 to 440 bytes per group, and the daemons of
+// every VM would decode it without using it.
 func isDaemonKind(k model.Kind) bool { return k == model.KindService || k == model.KindContract }
--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -31,10 +31,11 @@
 	return platform.Listing{Revision: revision, Objects: objects}
 }
 
-// Three agents learn of a store's changes in any order: watch events that
-// repeat, listings, questions to peers whose answers arrive late, restarts of an
-// agent. However it goes, no revision falls, no object goes back, and an agent
-// that reached the store's revision holds exactly what the store holds.
+// Guards against agents whose configuration regresses or differs from the store's. Three agents
+// learn of the store's changes in any order: duplicate watch events, listings, delayed replies of
+// peers, restarts of an agent. No revision may decrease, no object may return to an older
+// version, and an agent that has reached the store's revision must hold exactly the store's
+// objects.
 func TestConfigurationFollowsStoreInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -81,7 +82,7 @@
 	})
 }
 
-// replayWatch applies what a watch from one change before the revision held brings.
+// replayWatch applies the events of a watch that starts one change before the current revision.
 func replayWatch(store platform.Store, c *configuration) {
 	revision, ready := c.heldRevision()
 	if !ready {
@@ -100,9 +101,9 @@
 	require.ElementsMatch(t, want.Objects, c.list())
 }
 
-// The store is restored from a copy. Operators see limits that they replaced
-// long ago: an agent read the old listing and took it. It must refuse it, from
-// the store and from a peer that restarted meanwhile.
+// Guards against limits returning that operators replaced long ago, after the store was restored
+// from a backup. The agent must reject the old listing, from the store and from a peer that
+// restarted meanwhile.
 func TestConfigurationRefusesOlderState(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(9, contract("a", 9, 5))))
@@ -115,9 +116,9 @@
 	require.Equal(t, uint64(9), c.list()[0].Version)
 }
 
-// Somebody writes a contract with a rate of -1 past hqctl. Callers of that
-// customer would all be refused. The last good version stays, the problem shows,
-// and a good version clears it.
+// Guards against an invalid contract refusing all requests of a customer. A contract with a rate
+// of -1 is written without hqctl. The last valid version stays in force, the problem is reported,
+// and a valid version clears it.
 func TestConfigurationKeepsLastGoodVersion(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(1, contract("a", 1, 5))))
@@ -130,8 +131,8 @@
 	require.Empty(t, c.problems())
 }
 
-// A reader lags behind more changes than the log holds. A delta would miss the
-// deletions that fell out of the log, so it gets a snapshot.
+// Guards against a delta that lacks deletions which are no longer in the log. A reader that lags
+// behind by more changes than the log holds must get a snapshot.
 func TestConfigurationGivesSnapshotBeyondLog(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(1, contract("gone", 1, 5))))
@@ -149,8 +150,8 @@
 	require.Len(t, r.Objects, 1)
 }
 
-// All agents that watch lose the store while the others could reach it. Changes
-// would stop although a path exists. Only a working watch counts.
+// Guards against changes that no longer arrive because all watching agents lose the store while
+// others could reach it. Only working watches count.
 func TestShouldWatch(t *testing.T) {
 	m := func(vm, dc string, watching bool) wire.Member {
 		return wire.Member{VM: vm, DataCentre: dc, Watching: watching}
--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -11,9 +11,9 @@
 	"hemlockquay/internal/statechart"
 )
 
-// changeSteps are the calls by which a change of configuration comes from the
-// operator's file into force. No code interprets a chart of them; the play
-// notes each call under the name of its step, and a call that has no step fails.
+// changeSteps are the calls by which a change of configuration comes into force, from the
+// operator's file to the daemons. No code interprets this chart. The scenario reports each call
+// under the name of its step, and a call without a step fails.
 const changeSteps = `{
 	"name": "configchange",
 	"initial": "draft",
@@ -33,8 +33,8 @@
 	noLease   = "nobody holds a lease on configuration: each write is conditional on the version read"
 )
 
-// changeFaults has an entry for each fault: why it cannot be, or what it does.
-// lasts is the fault's length.
+// changeFaults has an entry for each fault: how it is injected and how long it lasts, or why it
+// cannot affect a change.
 var changeFaults = map[faults.Fault]struct {
 	impossible string
 	duration   time.Duration
@@ -78,9 +78,9 @@
 holds what was accepted last; a change that was refused was not written; of two racing
 operators one got a conflict (every order of their calls is the matter of internal/ctl's test); the stored version is in force everywhere.`
 
-// An operator's change is accepted and not in force on some VM, or falls back, or
-// one of two racing changes is lost without a word: something broke between the
-// file and the daemons. docs/faults/configchange.md shows each fault at each step.
+// Guards against an accepted change that is not in force on some VM or is reverted, and against
+// one of two concurrent changes being lost without an error, after a fault between the operator's
+// file and the daemons. docs/faults/configchange.md shows the outcome of each fault at each step.
 func TestFaultsAtStepsOfConfigurationChange(t *testing.T) {
 	chart, err := statechart.Parse("steps", []byte(changeSteps))
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 	for _, step := range faults.Steps(chart) {
 		for _, f := range faults.All() {
 			b, ok := changeFaults[f]
-			require.True(t, ok, "no entry for %s", f)
+			require.True(t, ok, "no case for fault %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
 				continue
--- a/internal/agent/faultscenario_test.go
+++ b/internal/agent/faultscenario_test.go
@@ -20,7 +20,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// changeScenario is one change of a contract being put in force.
+// changeScenario simulates one change of a contract from the operator's write until it is in
+// force.
 type changeScenario struct {
 	t        *testing.T
 	chart    *statechart.Chart
@@ -29,8 +30,8 @@
 	duration time.Duration
 	store    *memstore.Store
 
-	// mu guards what follows: operators and fleet are goroutines. It is held in
-	// each beat and in each call at the store, and never while time passes.
+	// mu guards the fields below, which the goroutines of the operators and of the VMs share. It
+	// is held during each step and each store call, and never while virtual time passes.
 	mu                   sync.Mutex
 	machine              *statechart.Machine
 	stepTaken            bool
@@ -41,7 +42,7 @@
 	operators            sync.WaitGroup
 
 	vms [3]*changeVM
-	// accepted is the rate that was accepted last, refused those that were not.
+	// accepted is the rate that was accepted last; refused are the rates that were not accepted.
 	accepted     float64
 	refused      []float64
 	hasRival     bool
@@ -59,7 +60,8 @@
 const (
 	stepInterval   = 100 * time.Millisecond
 	scenarioLength = 40 * time.Second
-	// maxPropagationTime is the bound that the capacity page takes from the users.
+	// maxPropagationTime is the users' bound on the time until a change is in force everywhere;
+	// see docs/CAPACITY.md.
 	maxPropagationTime = 11 * time.Second
 )
 
@@ -83,8 +85,8 @@
 	n.revision, n.version, n.stopped = 0, 0, false
 }
 
-// recordEvent notes a call on the way of the change. The first call of each kind is its
-// step. It needs p.mu.
+// recordEvent records a call that belongs to a step of the change, and injects the fault after
+// the first call of the chosen step. The caller must hold cs.mu.
 func (cs *changeScenario) recordEvent(e statechart.Event) {
 	before := cs.machine.State()
 	err := cs.machine.Fire(e)
@@ -100,7 +102,7 @@
 	cs.inject(cs)
 }
 
-// run plays the change and returns what its operator received.
+// run simulates the change and returns the outcome that is shown in the fault matrix.
 func (cs *changeScenario) run() string {
 	cs.mu.Lock()
 	if cs.step.Event == "" {
@@ -126,12 +128,12 @@
 		from = cs.applyEndedAt
 	}
 	took := max(0, inForce.Sub(from))
-	require.Less(cs.t, took, maxPropagationTime, "in force everywhere")
+	require.Less(cs.t, took, maxPropagationTime, "time until the change is in force everywhere")
 	return fmt.Sprintf("%s, %.0f", received, math.Ceil(took.Seconds()))
 }
 
 func (cs *changeScenario) checkEnd(inForce time.Time) {
-	require.True(cs.t, cs.stepTaken, "nothing led to the step")
+	require.True(cs.t, cs.stepTaken, "the step was never reached")
 	require.False(cs.t, inForce.IsZero(), "the stored version is not in force everywhere")
 	stored := rateOf(cs.t, cs.storedContract())
 	if cs.accepted != 0 {
@@ -139,7 +141,7 @@
 	}
 	require.NotContains(cs.t, cs.refused, stored, "a refused change was written")
 	if cs.hasRival {
-		require.Len(cs.t, cs.refused, 1, "one of two that read the same version gets a conflict")
+		require.Len(cs.t, cs.refused, 1, "of two operators that read the same version, exactly one must get a conflict")
 	}
 }
 
@@ -155,7 +157,7 @@
 	return c.Services[0].Rate
 }
 
-// apply is an operator that read version 1.
+// apply writes the rate as an operator who has read version 1.
 func (cs *changeScenario) apply(rate float64) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -176,7 +178,7 @@
 	return "unavailable"
 }
 
-// startRival is another operator who read the same version.
+// startRival starts a second operator who has read the same version.
 func (cs *changeScenario) startRival() {
 	cs.hasRival = true
 	cs.operators.Go(func() {
@@ -185,13 +187,13 @@
 	})
 }
 
-// faultyStore is the store as operators reach it.
+// faultyStore is the store as operators reach it, with its faults.
 type faultyStore struct {
 	platform.Store
 	scenario *changeScenario
 }
 
-// delay is the way to the store or back.
+// delay simulates the network time of a request or an answer.
 func (s *faultyStore) delay() error {
 	time.Sleep(5 * time.Millisecond)
 	if s.scenario.isBefore(&s.scenario.slowUntil) {
@@ -220,7 +222,7 @@
 	return o, err
 }
 
-// Put loses its answer where the store goes down or a loss is due.
+// Put loses the answer if the store goes down meanwhile or loseAnswer is set.
 func (s *faultyStore) Put(ctx context.Context, o platform.Object) (platform.Object, error) {
 	if err := s.delay(); err != nil {
 		return platform.Object{}, err
@@ -241,7 +243,7 @@
 	return written, lost, err
 }
 
-// runStep lets the fleet do what it does in 100 ms, and checks that nothing falls. It
+// runStep runs what all VMs do within one stepInterval and checks that no revision decreases. It
 // reports whether the change has ended and is in force.
 func (cs *changeScenario) runStep() bool {
 	cs.mu.Lock()
@@ -267,8 +269,8 @@
 	return !cs.applyEndedAt.IsZero() && cs.inForceEverywhere()
 }
 
-// syncAgent brings one agent up to date: from the store where it watches or holds
-// nothing, else from a peer that is ahead.
+// syncAgent updates one agent: from the store if it watches or has no configuration, otherwise
+// from a peer with a newer revision.
 func (cs *changeScenario) syncAgent(i int, watching bool, now time.Time) {
 	n := cs.vms[i]
 	revision, ready := n.agent.heldRevision()
@@ -305,7 +307,7 @@
 	}
 }
 
-// recordIfStored notes a step of the fleet once the change is stored.
+// recordIfStored records an event of a VM once the change is stored.
 func (cs *changeScenario) recordIfStored(e statechart.Event) {
 	if cs.storedContract().Version > 1 {
 		cs.recordEvent(e)
@@ -329,15 +331,15 @@
 
 func (cs *changeScenario) checkVM(n *changeVM) {
 	revision, _ := n.agent.heldRevision()
-	require.GreaterOrEqual(cs.t, revision, n.revision, "an agent's revision fell")
+	require.GreaterOrEqual(cs.t, revision, n.revision, "an agent's revision decreased")
 	n.revision = revision
 	for _, o := range n.daemon.list() {
-		require.GreaterOrEqual(cs.t, o.Version, n.version, "a daemon's contract fell back")
+		require.GreaterOrEqual(cs.t, o.Version, n.version, "a daemon returned to an older version of the contract")
 		n.version = o.Version
 	}
 }
 
-// inForceEverywhere reports whether the stored version is in force on every VM that runs.
+// inForceEverywhere reports whether the stored version is in force on every running VM.
 func (cs *changeScenario) inForceEverywhere() bool {
 	want := cs.storedContract().Version
 	for _, n := range cs.vms {
--- a/internal/agent/grantbatch.go
+++ b/internal/agent/grantbatch.go
@@ -9,24 +9,25 @@
 	"hemlockquay/internal/target"
 )
 
-// response is the response of a target or the store.
+// response is a target's report on a batch of orders, or a record read from the store.
 type response struct {
 	service string
 	batch   *orderBatch
 	report  *target.Report
-	// record is a reading of the record, asked at the time.
+	// record is the result of a read that was requested at requestedAt.
 	record      *model.Assignment
 	requestedAt time.Duration
 }
 
-// orderBatch is the orders of one tick for one target; groups match its orders.
+// orderBatch holds the orders of one tick for one target. The order at index i concerns
+// groups[i].
 type orderBatch struct {
 	target model.Target
 	groups []uint64
 	orders []grants.Order
 }
 
-// sendBatches carries each target's batch, those of other incarnations apart.
+// sendBatches sends each target its batch, in one message per incarnation.
 func (gr *grantor) sendBatches(ctx context.Context, svc *serviceState, batches map[string]*orderBatch) {
 	for _, b := range batches {
 		for _, part := range b.splitByIncarnation() {
@@ -36,7 +37,7 @@
 	}
 }
 
-// splitByIncarnation splits the batch: an order names one incarnation.
+// splitByIncarnation splits the batch, because a message to a target names one incarnation.
 func (b *orderBatch) splitByIncarnation() map[string]*orderBatch {
 	parts := make(map[string]*orderBatch, 1)
 	for i, o := range b.orders {
@@ -64,13 +65,14 @@
 	report, err := gr.commander.Send(ctx, b.target.Addr, &order)
 	if err != nil {
 		gr.unansweredOrders.Inc(1)
-		gr.log.Debug().Err(err).Str("step", "grant").Str("peer", b.target.Name).Msg("no report")
+		gr.log.Debug().Err(err).Str("step", "grant").Str("peer", b.target.Name).Msg("no report from the target")
 		return
 	}
 	_ = gr.inbox.Push(ctx, response{service: service, batch: b, report: report})
 }
 
-// handleResponse brings an answer to its groups. It returns whether one of them can go on.
+// handleResponse passes a response to its groups, and reports whether one of them can proceed
+// without waiting for the next tick.
 func (gr *grantor) handleResponse(resp response) bool {
 	svc := gr.services[resp.service]
 	if svc == nil {
--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// tickInterval is the pause between two ticks of the grantor. A loss is noticed
-	// and an end awaited within it; renewals leave at GrantEvery.
+	// tickInterval is the time between two ticks of the grantor, and so bounds how late losses
+	// and expiries are noticed. Renewals are sent every GrantEvery.
 	tickInterval = 15 * time.Millisecond
-	// inboxLength is how many answers of targets and the store may wait: more
-	// than all targets of a deployment answer in one tick.
+	// inboxLength is how many responses of targets and the store may be queued: more than all
+	// targets of a deployment send in one tick.
 	inboxLength = 4096
-	// observeInterval is the pause between two checks of all peers' grants.
+	// observeInterval is the time between two checks of all peers' grants.
 	observeInterval = 200 * time.Millisecond
-	// unservedTimeout is how long a group may be without a grant while those before in
-	// the succession are alive: above a takeover by the slow path, about 0.9 s, so that
-	// it does not disturb one.
+	// unservedTimeout is how long a group may have no grant although VMs earlier in its
+	// succession are alive. It is longer than a takeover on the slow path, about 0.9 s, so that
+	// it does not interfere with one.
 	unservedTimeout = 1500 * time.Millisecond
 )
 
-// grantor carries the decisions of package grantor for all groups. Its state
-// belongs to one goroutine, run; answers come through the ring.
+// grantor runs the decisions of package grants for all groups. Its state belongs to one
+// goroutine, run; responses arrive through inbox.
 type grantor struct {
 	params           grants.Params
 	timeout          time.Duration
@@ -52,8 +52,8 @@
 	inbox            *ring.Ring[response]
 	configChanged    chan struct{}
 
-	// servedGroups is which groups a live agent grants, highest the highest rank reported of
-	// each, as of peersSeen.
+	// servedGroups are the groups that a live agent grants, highestRanks the highest rank
+	// reported for each group. Both are as of observedAt.
 	servedGroups map[groupID]bool
 	highestRanks map[groupID]wire.Rank
 	observedAt   time.Duration
@@ -89,7 +89,7 @@
 	return gr
 }
 
-// notifyConfigChanged notifies the duty that the configuration changed.
+// notifyConfigChanged makes run load the new configuration.
 func (gr *grantor) notifyConfigChanged() {
 	select {
 	case gr.configChanged <- struct{}{}:
@@ -118,7 +118,7 @@
 	}
 }
 
-// tick lets every group decide, and sends what they order.
+// tick lets every group decide, and sends the resulting orders, writes and reads.
 func (gr *grantor) tick(ctx context.Context) {
 	now := gr.clock.Now()
 	live := gr.members.aliveWithin(gr.takeoverSilence)
@@ -128,7 +128,7 @@
 	if gr.members.storeWatched() {
 		highestRanks = nil
 	}
-	observation := func(service string, id uint64) grants.Observation {
+	observe := func(service string, id uint64) grants.Observation {
 		return grants.Observation{
 			Live:   isLive,
 			Served: gr.servedGroups[groupID{service, id}], HighestRank: highestRanks[groupID{service, id}],
@@ -138,8 +138,8 @@
 		if svc.service == nil || svc.record == nil {
 			continue
 		}
-		gr.sendBatches(ctx, svc, gr.collectOrders(svc, now, observation))
-		gr.recorder.writeProposals(ctx, svc, gr.proposals(svc, now, observation))
+		gr.sendBatches(ctx, svc, gr.collectOrders(svc, now, observe))
+		gr.recorder.writeProposals(ctx, svc, gr.proposals(svc, now, observe))
 		gr.requestAuthority(ctx, svc, now)
 		if observed {
 			gr.publish(name, svc, svc.groupIDs, now)
@@ -147,19 +147,19 @@
 	}
 }
 
-// notLost returns which VMs do not count as lost.
-// An agent that starts has no heartbeats yet. Nobody counts as lost until the peers had time to send
-// one; otherwise it would outrank grantors that serve.
+// notLost returns a function that reports whether a VM does not count as lost. A starting agent
+// has received no heartbeats yet. Until its peers have had time to send one, no VM counts as
+// lost; otherwise the agent would outrank grantors that are serving.
 func notLost(live map[string]bool, settled bool) func(vm string) bool {
 	return func(vm string) bool { return live[vm] || !settled }
 }
 
-// observer gives what heartbeats report of a group.
+// observer returns what heartbeats report about a group.
 type observer func(service string, id uint64) grants.Observation
 
-// observeGrants notes which groups a live agent reports a grant of, and returns
-// whether it was time to. It goes over all
-// grants, and nothing below a second depends on it.
+// observeGrants updates, once per observeInterval, which groups a live agent reports a grant of,
+// and reports whether it did. It is run that rarely because it visits all grants and nothing that
+// must happen within a second depends on it.
 func (gr *grantor) observeGrants(now time.Duration, live map[string]bool) bool {
 	if now < gr.observedAt+observeInterval {
 		return false
@@ -178,11 +178,11 @@
 	return true
 }
 
-// collectOrders batches the orders of all groups by target.
-func (gr *grantor) collectOrders(svc *serviceState, now time.Duration, observation observer) map[string]*orderBatch {
+// collectOrders returns the orders of all groups, batched by target.
+func (gr *grantor) collectOrders(svc *serviceState, now time.Duration, observe observer) map[string]*orderBatch {
 	batches := make(map[string]*orderBatch)
 	for id, g := range svc.groups {
-		for _, o := range g.Tick(now, observation(svc.service.Name, id)) {
+		for _, o := range g.Tick(now, observe(svc.service.Name, id)) {
 			b := batches[o.Target]
 			if b == nil {
 				t, ok := svc.service.Target(o.Target)
@@ -208,8 +208,8 @@
 	}
 }
 
-// publish reports to dispatchers which grants are confirmed. A group's last grant
-// stays published until another is, or until this agent stepped down or fails.
+// publish updates the grants that dispatchers receive with the confirmed ones. The last grant of
+// a group stays published until another is confirmed, or until this agent steps down or fails.
 func (gr *grantor) publish(service string, svc *serviceState, ids []uint64, now time.Duration) {
 	var confirmed []wire.Grant
 	var gone []groupID
@@ -229,18 +229,19 @@
 	gr.table.update(confirmed, gone)
 }
 
-// proposals are the records that the groups want written.
-func (gr *grantor) proposals(svc *serviceState, now time.Duration, observation observer) []model.Group {
+// proposals returns the group records that are to be written.
+func (gr *grantor) proposals(svc *serviceState, now time.Duration, observe observer) []model.Group {
 	var out []model.Group
 	for id, g := range svc.groups {
-		if rec, ok := g.Proposal(now, observation(svc.service.Name, id)); ok {
+		if rec, ok := g.Proposal(now, observe(svc.service.Name, id)); ok {
 			out = append(out, rec)
 		}
 	}
 	return out
 }
 
-// requestAuthority asks the store for authority where no target gives it.
+// requestAuthority reads the record from the store, once per service, if a group gets no
+// authority from its targets.
 func (gr *grantor) requestAuthority(ctx context.Context, svc *serviceState, now time.Duration) {
 	for _, g := range svc.groups {
 		if g.NeedsStore(now) {
--- a/internal/agent/grants.go
+++ b/internal/agent/grants.go
@@ -7,8 +7,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// grantTable is the grants that this agent has in force as a grantor. It is
-// safe for concurrent use.
+// grantTable holds the confirmed grants of this agent as a grantor. It is safe for concurrent
+// use.
 type grantTable struct {
 	changed func()
 
@@ -17,7 +17,7 @@
 	state  uint64
 }
 
-// groupID names a group over all services.
+// groupID identifies a group among those of all services.
 type groupID struct {
 	service string
 	group   uint64
@@ -27,14 +27,14 @@
 	return &grantTable{changed: changed, grants: make(map[groupID]wire.Grant)}
 }
 
-// update puts confirmed grants in force and takes out those of groups that this
-// agent no longer grants.
+// update stores confirmed grants and removes those of groups that this agent no longer grants.
 func (t *grantTable) update(confirmed []wire.Grant, gone []groupID) {
 	if t.put(confirmed, gone) {
 		t.changed()
 	}
 }
 
+// put reports whether the table changed.
 func (t *grantTable) put(confirmed []wire.Grant, gone []groupID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,6 +60,7 @@
 	return differs
 }
 
+// snapshot returns the grants and the state number, which increases with each change.
 func (t *grantTable) snapshot() ([]wire.Grant, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/agent/groups.go
+++ b/internal/agent/groups.go
@@ -8,18 +8,19 @@
 	"hemlockquay/internal/platform"
 )
 
-// serviceState is a service with its record, parsed once for each version.
+// serviceState is the grantor's state of a service. Service and record are decoded once per
+// version.
 type serviceState struct {
 	service        *model.Service
 	serviceVersion uint64
 	record         *model.Assignment
 	recordVersion  uint64
 	groups         map[uint64]*grants.Group
-	// groupIDs are the groups of the record.
+	// groupIDs lists the groups of the record.
 	groupIDs []uint64
 }
 
-// loadConfiguration takes what changed in the configuration.
+// loadConfiguration loads the objects that changed in the configuration.
 func (gr *grantor) loadConfiguration() {
 	revision, ready := gr.config.heldRevision()
 	if !ready || revision == gr.revision {
@@ -28,7 +29,7 @@
 	gr.revision = revision
 	for _, o := range gr.config.list() {
 		if err := gr.loadObject(o); err != nil {
-			gr.log.Error().Err(err).Str("step", "load").Str("peer", o.Name).Msg("object left out")
+			gr.log.Error().Err(err).Str("step", "load").Str("peer", o.Name).Msg("cannot decode object; it is ignored")
 		}
 	}
 }
@@ -65,10 +66,11 @@
 	return nil
 }
 
-// updateGroups gives each group its record. A group that never named this VM as a
-// grantor is left out: the VM may do nothing for it. One that did is kept while
-// it exists, since its grants of then may not be out.
-// A group names three grantors however many VMs there are, so that each tick looks at few.
+// updateGroups passes each group its record. Groups that have never named this VM as a grantor
+// are skipped, because the VM must not act for them. A group that has named it is kept as long as
+// the group exists, since grants sent at that time may not have expired.
+//
+// A group names three grantors however many VMs there are, so each tick visits few groups.
 func (gr *grantor) updateGroups(svc *serviceState) {
 	now := gr.clock.Now()
 	params := gr.params
--- a/internal/agent/groups_test.go
+++ b/internal/agent/groups_test.go
@@ -11,10 +11,10 @@
 	"hemlockquay/internal/ownership/grants"
 )
 
-// A VM is named as grantor, grants a group, and a newer record names others. A
-// still newer one names it again, while its first grant may not be out. Had it
-// dropped the group meanwhile, it would grant another target without waiting for
-// that end: two owners. A group that never named it costs it nothing.
+// Guards against two owners of a key. A VM grants a group as a grantor, a newer record names
+// others, and a still newer one names the VM again before its first grant has expired. Had it
+// forgotten the group meanwhile, it would grant another target without waiting for that expiry.
+// Groups that have never named the VM are not kept.
 func TestGroupIsKeptAfterVMStopsBeingGrantor(t *testing.T) {
 	gr := &grantor{params: grants.Params{VM: "vm9", Incarnation: "vm9-1", RenewInterval: time.Second}, clock: boottime.System{}, table: newGrantTable(func() {})}
 	svc := &serviceState{service: &model.Service{Name: "shelf"}, groups: make(map[uint64]*grants.Group)}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -12,16 +12,16 @@
 	"hemlockquay/internal/wire"
 )
 
-// heartbeater sends heartbeats to all listed peers. It is one goroutine and one for
-// each heartbeat in flight.
+// heartbeater sends heartbeats to all listed peers. It runs in one goroutine, plus one for each
+// heartbeat in flight.
 type heartbeater struct {
 	members  *members
 	peers    *peer.Pool
 	interval time.Duration
-	// seedAddrs are agents to ask while the platform's list is not known.
+	// seedAddrs are agents to contact until the platform's list is known.
 	seedAddrs []string
-	// grants are pushed when pushes signals that they changed: a key that was
-	// lost is served again as soon as dispatchers know its new owner.
+	// grants are pushed to the peers when grantsChanged signals a change, because a key whose
+	// owner was lost is served again only when dispatchers know its new owner.
 	grants        *grantTable
 	grantsChanged <-chan struct{}
 	log           *log.Logger
@@ -43,7 +43,7 @@
 			}
 			last = now
 			h.sendHeartbeats(ctx)
-			// A peer that fell silent leaves the list without any event.
+			// A peer whose silence exceeds its timeout stops being live without any event.
 			h.members.changed()
 		case <-h.grantsChanged:
 			for vm, addr := range h.members.peerAddrs() {
@@ -56,12 +56,12 @@
 	}
 }
 
-// minPushInterval bounds how often changed grants are pushed; changes of one loss come
-// together.
+// minPushInterval is the shortest time between two pushes of grants. It combines the changes that
+// one loss causes.
 const minPushInterval = 5 * time.Millisecond
 
-// pushGrants sends a heartbeat with this agent's grants. If it is lost, the peer gets
-// them by its own next heartbeat.
+// pushGrants sends a heartbeat that carries this agent's grants. If it is lost, the peer gets the
+// grants in reply to its own next heartbeat.
 func (h *heartbeater) pushGrants(ctx context.Context, vm, addr string) {
 	ctx, cancel := context.WithTimeout(ctx, 2*h.interval)
 	defer cancel()
@@ -70,7 +70,7 @@
 	args.Grants, args.PushedState = h.grants.snapshot()
 	var reply wire.BeatReply
 	if err := h.peers.Get(addr).Call(ctx, wire.MethodBeat, &args, &reply); err != nil {
-		h.log.Debug().Err(err).Str("step", "push-grants").Str("peer", vm).Msg("no answer")
+		h.log.Debug().Err(err).Str("step", "push-grants").Str("peer", vm).Msg("cannot push grants to the peer")
 	}
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// startHeartbeat sends one heartbeat unless the last is still in flight.
+// startHeartbeat sends a heartbeat in the background, unless the previous one is still in flight.
 func (h *heartbeater) startHeartbeat(ctx context.Context, vm, addr string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,7 +113,7 @@
 	args := wire.BeatArgs{Member: h.members.selfMember(), Source: source, State: state}
 	var reply wire.BeatReply
 	if err := h.peers.Get(addr).Call(ctx, wire.MethodBeat, &args, &reply); err != nil {
-		h.log.Debug().Err(err).Str("step", "heartbeat").Str("peer", vm).Msg("no answer")
+		h.log.Debug().Err(err).Str("step", "heartbeat").Str("peer", vm).Msg("heartbeat not answered")
 		return
 	}
 	h.members.recordHeartbeat(reply.Member)
--- a/internal/agent/lateorders_test.go
+++ b/internal/agent/lateorders_test.go
@@ -22,22 +22,22 @@
 	"hemlockquay/internal/target"
 )
 
-// groupSlice is the slice of the group in heldPlay.
+// groupSlice is the slice of the scenario's group.
 var groupSlice = keyspace.Slice{First: 0, Last: 99}
 
-// fencedTarget is a target whose clock is the test's, ahead by an offset.
+// fencedTarget is a target with a simulated clock, which differs from the agent's by clockOffset.
 type fencedTarget struct {
 	*link.Link
 	name        string
 	clockOffset time.Duration
-	// countFromArrival makes it count a grant's life from its arrival, which the protocol
-	// rules out: it shows that the play can find two owners.
+	// countFromArrival makes the target count a grant's validity from its arrival, which the
+	// protocol forbids. It shows that the scenario can detect two owners.
 	countFromArrival bool
 
 	mu     sync.Mutex
 	now    time.Duration
 	fences *standin.Fences
-	// grants counts those that arrived.
+	// grants counts the grants received.
 	grants int
 }
 
@@ -85,7 +85,7 @@
 	return ft.fences.Serves("s", groupSlice.First, ft.clock())
 }
 
-// defaultParams are the default times.
+// defaultParams are the default timings.
 func defaultParams() grants.Params {
 	return grants.Params{
 		VM: "vm1", Incarnation: "vm1-1", Started: 1, ChecksFences: true,
@@ -94,7 +94,7 @@
 	}
 }
 
-// partitionScenario is an agent that grants one group of three targets over real connections.
+// partitionScenario is an agent that grants one group, with three targets, over real connections.
 type partitionScenario struct {
 	t                       *testing.T
 	grantor                 *grantor
@@ -121,7 +121,7 @@
 	return ps
 }
 
-// advance lets time go on at all.
+// advance advances the time of the agent and of all targets.
 func (ps *partitionScenario) advance(d time.Duration) {
 	ps.now += d
 	for _, h := range []*fencedTarget{ps.owner, ps.standby, ps.witness} {
@@ -129,12 +129,12 @@
 	}
 }
 
-// orders lets the agent decide.
+// orders returns the orders that the agent decides on now.
 func (ps *partitionScenario) orders() []grants.Order {
 	return ps.group.Tick(ps.now, grants.Observation{Live: func(string) bool { return true }})
 }
 
-// sendOrder sends one order as the duty does, and takes its report in, if one comes.
+// sendOrder sends one order as the grantor does, and handles its report if there is one.
 func (ps *partitionScenario) sendOrder(ctx context.Context, o grants.Order) {
 	addr := map[string]string{"owner": ps.owner.Addr(), "standby": ps.standby.Addr(), "witness": ps.witness.Addr()}[o.Target]
 	b := &orderBatch{target: model.Target{Name: o.Target, Addr: addr}, groups: []uint64{0}, orders: []grants.Order{o}}
@@ -146,7 +146,7 @@
 	}
 }
 
-// renew plays a renewal.
+// renew runs one renewal.
 func (ps *partitionScenario) renew() {
 	ps.advance(defaultParams().RenewInterval)
 	for _, o := range ps.orders() {
@@ -154,7 +154,8 @@
 	}
 }
 
-// abandonRenewal cuts the owner off and sends it a renewal, which is given up once it is in flight.
+// abandonRenewal partitions the owner and sends it a renewal that is cancelled once it is in
+// flight.
 func (ps *partitionScenario) abandonRenewal() {
 	ps.owner.Cut()
 	ps.advance(defaultParams().RenewInterval)
@@ -163,7 +164,7 @@
 			ps.sendOrder(ps.t.Context(), o)
 			continue
 		}
-		require.NotZero(ps.t, o.Until, "it is a grant")
+		require.NotZero(ps.t, o.Until, "the order must be a grant")
 		ctx, cancel := context.WithCancel(ps.t.Context())
 		go func() {
 			ps.owner.AwaitHeld()
@@ -171,10 +172,10 @@
 		}()
 		ps.sendOrder(ctx, o)
 	}
-	require.EqualValues(ps.t, 1, ps.grantor.unansweredOrders.Count(), "it had no answer")
+	require.EqualValues(ps.t, 1, ps.grantor.unansweredOrders.Count(), "the renewal must remain unanswered")
 }
 
-// run plays a cut of the owner until the standby holds the keys, and its end.
+// run partitions the owner until the standby is granted the keys, and then heals the partition.
 func (ps *partitionScenario) run() {
 	for range 3 {
 		ps.renew()
@@ -185,20 +186,21 @@
 	for began := ps.now; !ps.standby.servesSlice(); {
 		require.Less(ps.t, ps.now, began+3*defaultParams().GrantTTL, "the keys have no owner")
 		ps.renew()
-		require.False(ps.t, ps.owner.servesSlice() && ps.standby.servesSlice(), "two targets hold the keys in the cut")
+		require.False(ps.t, ps.owner.servesSlice() && ps.standby.servesSlice(), "two targets hold the keys during the partition")
 	}
 	ps.owner.AwaitEnded()
 	ps.grantor.commander.Close()
 	ps.owner.Heal()
 	ps.owner.Drain()
-	require.Equal(ps.t, before+1, ps.owner.grantsReceived(), "the renewal that was given up arrives")
+	require.Equal(ps.t, before+1, ps.owner.grantsReceived(), "the abandoned renewal must arrive")
 }
 
-// Two targets held the same keys, after a cut of their owner had ended: a renewal that the
-// grantor had given up arrived, since the system goes on sending what was written to a closed
-// connection, and the hold was counted from its arrival. Agents' grants end at a time of the
-// target's own clock that the target showed before the send, and the grantor waits that time
-// out whether or not the order was answered: the renewal is out when it arrives.
+// Guards against two owners after a partition. The kernel goes on sending what was written to a
+// closed connection, so a renewal that the grantor had abandoned arrived when the partition
+// healed, and the target counted the grant's validity from the arrival. An agent's grant must end
+// at a time of the target's own clock, computed from a reading that the target reported before
+// the send, and the grantor waits for that time whether or not the order was answered. The
+// renewal has therefore expired when it arrives.
 func TestAbandonedGrantIsExpiredOnArrival(t *testing.T) {
 	ps := newPartitionScenario(t)
 	ps.run()
@@ -211,8 +213,8 @@
 	}
 }
 
-// The play of the test above finds two owners where the end of a grant is not what the
-// grantor named: a target that counts its life from the arrival.
+// Shows that the scenario above detects two owners if a target counts the validity of a grant
+// from its arrival.
 func TestGrantCountedFromArrivalMakesTwoOwners(t *testing.T) {
 	ps := newPartitionScenario(t)
 	ps.owner.countFromArrival = true
--- a/internal/agent/leave.go
+++ b/internal/agent/leave.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// minDrainTime is how long a leaving agent still answers, at least: peers learn
-// from two heartbeats that the VM leaves, and its daemons that got the signal
-// together with the agent have reported it.
+// minDrainTime is the minimum time for which a stopping agent still answers. It is enough for
+// peers to learn from two heartbeats that the VM is leaving, and for the VM's daemons, which are
+// signalled together with the agent, to report that they drain.
 const minDrainTime = 500 * time.Millisecond
 
-// awaitDaemons lets the daemons that drain finish before the agent goes.
-// Were the agent gone first, peers would go on sending to its daemons until its silence shows. A
-// daemon that does not drain is not awaited: then only the agent is replaced.
+// awaitDaemons waits until the daemons that are draining have stopped. If the agent stopped
+// first, peers would go on sending requests to its daemons until they detect its silence. Daemons
+// that are not draining are not waited for, since then only the agent is being replaced.
 func (a *agent) awaitDaemons() {
 	time.Sleep(minDrainTime)
 	for a.anyDaemonDraining() {
--- a/internal/agent/listed.go
+++ b/internal/agent/listed.go
@@ -2,8 +2,8 @@
 
 import "hemlockquay/internal/platform"
 
-// listedLiveCount returns how many VMs the platform lists as live, this one included,
-// and 0 before the list was read.
+// listedLiveCount returns how many VMs the platform lists as live, including this one, or 0
+// before the list was read.
 func (m *members) listedLiveCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/lister.go
+++ b/internal/agent/lister.go
@@ -10,10 +10,11 @@
 	"hemlockquay/internal/platform"
 )
 
-// listInterval is how often the platform's list of VMs is read; it lags anyway.
+// listInterval is the time between two reads of the platform's list of VMs. The list lags behind
+// the VMs, so more frequent reads would gain nothing.
 const listInterval = time.Second
 
-// lister reads the platform's list. It is one goroutine.
+// lister reads the platform's list of VMs. It runs in one goroutine.
 type lister struct {
 	store   platform.Store
 	members *members
@@ -33,8 +34,8 @@
 	defer cancel()
 	vms, err := l.store.VMs(ctx)
 	if err != nil {
-		// The list in force stays: an outage of the platform ends no VM.
-		l.log.Debug().Err(err).Str("step", "list-vms").Str("peer", "platform").Msg("list not read")
+		// The previous list stays in force: an outage of the platform must not remove VMs.
+		l.log.Debug().Err(err).Str("step", "list-vms").Str("peer", "platform").Msg("cannot read the list of VMs; the previous list stays in force")
 		return
 	}
 	l.members.setList(vms)
--- a/internal/agent/loads.go
+++ b/internal/agent/loads.go
@@ -8,11 +8,11 @@
 	"hemlockquay/internal/wire"
 )
 
-// loadReportTTL is how long the figures of a VM count after its last report.
+// loadReportTTL is how long the loads reported by a VM are counted.
 const loadReportTTL = 5 * time.Second
 
-// loadTable is what VMs reported to an assigner of the load of groups. It is safe for
-// concurrent use.
+// loadTable holds the load of groups that VMs report to an assigner. It is safe for concurrent
+// use.
 type loadTable struct {
 	clock boottime.Clock
 
@@ -35,7 +35,7 @@
 	t.vms[args.VM] = vmLoads{args.Loads[:min(len(args.Loads), wire.MaxLoads)], t.clock.Now()}
 }
 
-// rates returns the requests per second rates a service's groups over all VMs.
+// rates returns the requests per second of each of a service's groups, summed over all VMs.
 func (t *loadTable) rates(service string) map[uint64]float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,13 +54,13 @@
 	return sum
 }
 
-// Loads implements the RPC by which VMs report their load to an assigner.
+// Loads implements the RPC with which VMs report their load to an assigner.
 func (r *relay) Loads(args *wire.LoadsArgs, _ *wire.Empty) error {
 	r.loads.record(args)
 	return nil
 }
 
-// ownLoads returns what the VM's dispatcher reported last.
+// ownLoads returns the last report of the VM's dispatcher.
 func (r *relay) ownLoads() []wire.GroupLoad {
 	for _, d := range r.liveDaemons() {
 		if d.Process == dispatchProcess {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// serviceGrants returns the grants in force of a service, as all VMs report them.
+// serviceGrants returns the current grants of a service that the VMs report.
 func (r *relay) serviceGrants(service string) []wire.Grant {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -10,18 +10,18 @@
 	"hemlockquay/internal/wire"
 )
 
-// members knows the VMs of the system. It is safe for concurrent use.
+// members holds the VMs of the system. It is safe for concurrent use.
 type members struct {
 	clock          boottime.Clock
 	silenceTimeout time.Duration
 	startedAt      time.Duration
-	// changed is notified of members, grantsChanged of peers' grants.
+	// changed is called when members change, grantsChanged when grants of peers change.
 	changed, grantsChanged func()
 
 	mu    sync.Mutex
 	self  wire.Member
 	peers map[string]*peerState
-	// listRead says that the platform's list was read.
+	// listRead is set once the platform's list was read.
 	listRead bool
 }
 
@@ -32,7 +32,7 @@
 	}
 }
 
-// setList takes the platform's list. VMs that left the list are forgotten.
+// setList stores the platform's list and removes VMs that are not on it.
 func (m *members) setList(vms []platform.VM) {
 	m.mu.Lock()
 	m.listRead = true
@@ -58,7 +58,7 @@
 	m.changed()
 }
 
-// updateSelf changes what heartbeats report of this VM.
+// updateSelf changes what heartbeats report about this VM.
 func (m *members) updateSelf(change func(*wire.Member)) {
 	m.mu.Lock()
 	before := m.self
@@ -76,8 +76,9 @@
 	return m.self
 }
 
-// peersAhead returns the agents that hold a newer configuration, of the own data
-// centre and of others. Without one of our own, any that holds one is peersAhead.
+// peersAhead returns the agents with a newer configuration in the own data centre (near) and in
+// others (far). If this agent has no configuration (ready is false), every agent with one counts
+// as newer.
 func (m *members) peersAhead(revision uint64, ready bool) (near, far []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +95,7 @@
 	return near, far
 }
 
-// live returns this VM and the peers that are alive, sorted by name.
+// live returns this VM and the live peers, sorted by name.
 func (m *members) live() []wire.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,11 +112,11 @@
 	return out
 }
 
-// aliveWithin returns the VMs whose heartbeats came within the time, or within what their
-// heartbeats need under load; this one included.
+// aliveWithin returns the VMs whose last heartbeat arrived within d, or within the longer timeout
+// that their heartbeats need under load, and this VM.
 //
-// A VM that reports that it leaves is left out: the next in the succession takes its groups over
-// while it still renews them, and its end costs no gap.
+// VMs that report that they are leaving are excluded, so that the next in the succession takes
+// over their groups while they still renew the grants, and their end causes no gap.
 func (m *members) aliveWithin(d time.Duration) map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,9 +130,8 @@
 	return out
 }
 
-// listedPlaces returns all listed VMs, this one too, sorted by name; none before the
-// list was read. To name this VM alone would give its entry the whole of
-// every contract.
+// listedPlaces returns all listed VMs including this one, sorted by name, or nil before the list
+// was read. A list of only this VM would give its entry the whole limit of every contract.
 func (m *members) listedPlaces() []wire.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,13 +146,13 @@
 	return out
 }
 
-// settleTimeout bounds how long a new agent waits for the reports of its peers: a
-// peer that has not answered within the time that makes it silent is gone.
+// settleTimeout bounds how long a new agent waits for the reports of its peers. It is longer than
+// the silence after which a peer counts as lost.
 const settleTimeout = time.Second
 
-// settled reports whether members and grants are complete enough to act on.
-// Daemons are ready only once each listed peer has reported its grants, or counts as failed: with
-// less, every key seems to be without an owner.
+// settled reports whether members and grants are complete enough to act on: every listed live
+// peer has reported its grants, or settleTimeout has passed. Daemons become ready only then; with
+// less, keys would appear to have no owner.
 func (m *members) settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -176,7 +176,7 @@
 	return m.listRead
 }
 
-// peerAddrs returns the agents of all listed peers.
+// peerAddrs returns the agent addresses of all listed peers by VM.
 func (m *members) peerAddrs() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -187,9 +187,9 @@
 	return out
 }
 
-// storeWatched reports whether any live agent's watch of the store works. While one
-// does, an outranked grantor writes a new epoch; a claim by the next in the succession at the
-// old one would only be cut short by it, and callers refused twice.
+// storeWatched reports whether the watch of any live agent works. While one does, an outranked
+// grantor writes a new epoch. A claim by the next in the succession at the old epoch would then
+// soon be superseded, and callers would be refused twice.
 func (m *members) storeWatched() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/members_test.go
+++ b/internal/agent/members_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// manualClock is a clock that a test moves.
+// manualClock is a clock that tests advance.
 type manualClock struct{ now time.Duration }
 
 func (c *manualClock) Now() time.Duration { return c.now }
@@ -21,8 +21,8 @@
 	return m
 }
 
-// A VM is replaced under its old name. A heartbeat of the old process, held up
-// on the way, arrives after the new one's: requests would go to the old address.
+// Guards against requests to the address of a replaced process. A VM is replaced under the same
+// name, and a delayed heartbeat of the old process arrives after those of the new one.
 func TestMembersIgnoreOlderIncarnation(t *testing.T) {
 	clock := &manualClock{now: time.Hour}
 	m := twoMembers(clock)
@@ -34,8 +34,8 @@
 	require.Equal(t, "clock set back", m.live()[1].DispatchAddr)
 }
 
-// A VM freezes for a minute and returns. Every peer seems silent, and its
-// daemons would send all requests to themselves. The pause is no silence.
+// Guards against a VM that considers all peers lost after it was suspended for a minute, so that
+// its daemons would send all requests to themselves. The pause must not count as silence.
 func TestMembersSurviveOwnPause(t *testing.T) {
 	clock := &manualClock{now: time.Hour}
 	m := twoMembers(clock)
@@ -47,8 +47,8 @@
 	require.Len(t, m.live(), 1)
 }
 
-// An agent starts while the platform's list cannot be read: peers that speak
-// count until the list comes, which then rules.
+// An agent starts while the platform's list cannot be read. Peers that send heartbeats count as
+// members until the list is read, which then decides.
 func TestMembersBeforeFirstList(t *testing.T) {
 	clock := &manualClock{now: time.Hour}
 	m := newMembers(wire.Member{VM: "vm1"}, clock, time.Second, func() {})
@@ -62,9 +62,9 @@
 	require.Len(t, m.live(), 1)
 }
 
-// A VM is replaced under load. Its dispatcher gets requests before its agent has
-// heard who owns which key, and callers wait out their deadline. The agent is
-// settled only with every listed peer's grants, or once silence shows.
+// Guards against callers waiting until their deadline after a VM was replaced under load: its
+// dispatcher gets requests before its agent knows the owners of the keys. The agent is settled
+// only when every listed peer has reported its grants, or after settleTimeout.
 func TestMembersSettle(t *testing.T) {
 	clock := &manualClock{now: time.Hour}
 	m := twoMembers(clock)
--- a/internal/agent/peers.go
+++ b/internal/agent/peers.go
@@ -10,21 +10,24 @@
 	"hemlockquay/internal/wire"
 )
 
-// peerState is what heartbeats reported about one VM.
+// peerState is what the list and the heartbeats report about one VM.
 type peerState struct {
 	listed        platform.VM
 	member        wire.Member
 	detector      suspicion.Detector
 	heartbeatSeen bool
-	// grantSource and state name the grants received from the peer.
+	// grantSource and grantState are the incarnation and the state number of the grants received
+	// from the peer.
 	grantSource string
 	grantState  uint64
 	grants      []wire.Grant
 }
 
 // recordHeartbeat records a heartbeat of a peer.
-// A late heartbeat of a replaced process must not bring back its address and revision, so the last
-// incarnation stays while it sends. After that a lower one is accepted: a clock may have been set back.
+//
+// A delayed heartbeat of a replaced process must not restore its address and revision, so lower
+// incarnations are ignored while the latest one is alive. Afterwards a lower one is accepted,
+// because the VM's clock may have been set back.
 func (m *members) recordHeartbeat(sender wire.Member) {
 	m.mu.Lock()
 	p := m.senderState(sender)
@@ -41,8 +44,9 @@
 	}
 }
 
-// senderState returns the peer that sent a heartbeat. It needs m.mu.
-// Until the platform's list has been read, every sender counts as a VM of the system.
+// senderState returns the state of the peer that sent a heartbeat, or nil if it is not a known
+// VM. Until the platform's list has been read, every sender counts as a VM of the system. The
+// caller must hold m.mu.
 func (m *members) senderState(sender wire.Member) *peerState {
 	p := m.peers[sender.VM]
 	if p == nil && !m.listRead && sender.VM != m.self.VM {
@@ -52,20 +56,20 @@
 	return p
 }
 
-// startTime returns the start time in an incarnation, nanoseconds.
+// startTime returns the start time that is part of an incarnation, in nanoseconds.
 func startTime(incarnation string) int64 {
 	n, _ := strconv.ParseInt(incarnation[strings.LastIndexByte(incarnation, '-')+1:], 10, 64)
 	return n
 }
 
-// alive needs m.mu.
+// alive reports whether the peer's last heartbeat is recent enough. The caller must hold m.mu.
 func (m *members) alive(p *peerState) bool {
 	return p.heartbeatSeen && p.detector.Alive(m.clock.Now(), m.silenceTimeout)
 }
 
-// excludePause takes note that this process stood still.
-// Silence counts only while somebody listened, so each peer gets the pause on top: a VM that was
-// suspended would otherwise consider all others failed.
+// excludePause adds a pause of this process to the time that each peer may be silent, since no
+// heartbeats were received during it. Otherwise a VM that was suspended would consider all others
+// lost.
 func (m *members) excludePause(pause time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +78,7 @@
 	}
 }
 
-// grantsHeld returns which grants of a peer are held.
+// grantsHeld returns which grants of a peer this agent has.
 func (m *members) grantsHeld(vm string) (source string, state uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -84,10 +88,10 @@
 	return "", 0
 }
 
-// setPeerGrants keeps a peer's grants.
+// setPeerGrants stores the grants that a peer reported.
 func (m *members) setPeerGrants(vm string, reply *wire.BeatReply) {
 	m.mu.Lock()
-	// A pushed state may overtake a reply in flight, and must not be undone.
+	// A pushed state may overtake a reply in flight. The older reply must not replace it.
 	if p := m.peers[vm]; p != nil && (p.grantSource != reply.Member.Incarnation || reply.State >= p.grantState) {
 		p.grantSource, p.grantState, p.grants = reply.Member.Incarnation, reply.State, reply.Grants
 	}
@@ -95,7 +99,7 @@
 	m.grantsChanged()
 }
 
-// peerGrants returns the grants of all peers.
+// peerGrants returns the grants that all peers reported.
 func (m *members) peerGrants() []wire.Grant {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/puller.go
+++ b/internal/agent/puller.go
@@ -15,21 +15,21 @@
 	"hemlockquay/internal/wire"
 )
 
-// watchGrace is how long an agent whose watch works waits for the store before
-// it asks a peer: the store's event is in flight and costs nothing more.
+// watchGrace is how long an agent with a working watch waits for the store's event before it
+// queries a peer. The event is already on its way and costs no further call.
 const watchGrace = 300 * time.Millisecond
 
-// syncTimeout bounds one question to a peer; a snapshot of some megabytes takes
-// well under a second between data centres.
+// syncTimeout bounds one query to a peer. A snapshot of several megabytes takes well under a
+// second between data centres.
 const syncTimeout = 3 * time.Second
 
-// puller fetches from a peer what the store does not bring. It is one goroutine.
+// puller fetches changes from a peer that do not arrive from the store. It runs in one goroutine.
 //
-// Heartbeats report which revision each peer holds, so at rest no question is
-// asked, and a change costs each agent without a watch one delta from one peer.
-// The peer is drawn at random among those ahead, the own data centre first: no
-// peer has to answer all. The answers spread as an epidemic does, so that the
-// agents with a watch are asked by few.
+// Heartbeats report each peer's revision, so nothing is queried while there are no changes, and
+// each change costs an agent without a watch one delta from one peer. The peer is chosen at
+// random among those with a newer revision, preferably in the own data centre, so that no peer
+// has to answer all the others. Changes spread epidemically, so the agents with a watch answer
+// only a few queries.
 type puller struct {
 	config   *configuration
 	members  *members
@@ -38,7 +38,7 @@
 	interval time.Duration
 	log      *log.Logger
 
-	// synced says that a snapshot of a peer was taken in this life.
+	// synced is set once this process has synchronised with a peer.
 	synced      bool
 	behindSince time.Time
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// choosePeer returns the peer to ask now, or "".
+// choosePeer returns the address of the peer to query now, or "".
 func (p *puller) choosePeer(now time.Time) string {
 	revision, ready := p.config.heldRevision()
 	near, far := p.members.peersAhead(revision, ready)
@@ -83,9 +83,8 @@
 	return far[rand.N(len(far))]
 }
 
-// sync asks one peer.
-// The base of a restarted agent may belong to another history than the peers', so its first query
-// asks for everything.
+// sync queries one peer. The configuration of a restarted agent may come from another history
+// than its peers', so the first query requests a snapshot.
 func (p *puller) sync(ctx context.Context, addr string) {
 	base := uint64(0)
 	if p.synced {
@@ -113,5 +112,5 @@
 	if errors.Is(err, errOlderRevision) {
 		p.olderRefused.Inc(1)
 	}
-	p.log.Warn().Err(fmt.Errorf("sync with %s: %w", addr, err)).Str("step", "sync").Str("peer", addr).Msg("no configuration from the peer")
+	p.log.Warn().Err(fmt.Errorf("sync with %s: %w", addr, err)).Str("step", "sync").Str("peer", addr).Msg("cannot get the configuration from the peer")
 }
--- a/internal/agent/push_test.go
+++ b/internal/agent/push_test.go
@@ -11,10 +11,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// TestPushedGrantsAreNotOverwritten: a target is lost; its grantor grants the standby
-// and pushes that. The reply to an older heartbeat, still naming the lost owner,
-// arrives after it. Taken, it would send requests to the lost owner until the
-// next heartbeat.
+// Guards against requests to a lost owner until the next heartbeat. A target is lost, and its
+// grantor grants the standby and pushes the grant. The reply to an earlier heartbeat, which still
+// names the lost owner, arrives afterwards and must not replace it.
 func TestPushedGrantsAreNotOverwritten(t *testing.T) {
 	peer := wire.Member{VM: "vm2", Incarnation: "vm2-1"}
 	m := newMembers(wire.Member{VM: "vm1", Incarnation: "vm1-1"}, boottime.System{}, time.Second, func() {})
@@ -30,7 +29,7 @@
 	receive(2, "standby")
 	receive(1, "lost")
 	require.Equal(t, "standby", m.peerGrants()[0].Target.Name)
-	peer.Incarnation = "vm2-2" // a restarted agent counts from 1 again
+	peer.Incarnation = "vm2-2" // A restarted agent counts from 1 again.
 	receive(1, "other")
 	require.Equal(t, "other", m.peerGrants()[0].Target.Name)
 }
--- a/internal/agent/recorder.go
+++ b/internal/agent/recorder.go
@@ -20,25 +20,24 @@
 )
 
 const (
-	// updatePause is the least pause between two writes of a service's record that
-	// only bring it up to date. Nothing waits for them, so that all groups of a
-	// lost target share one write.
+	// updatePause is the minimum time between two writes that only bring a service's record up to
+	// date. Nothing waits for these, so the pause lets all groups of a lost target share one
+	// write.
 	updatePause = time.Second
-	// writePause is the pause after a write failed or lost a race; the record
-	// that won comes by the watch meanwhile.
+	// writePause is the pause after a write failed or conflicted. Meanwhile the record that was
+	// written instead arrives by the watch.
 	writePause = 60 * time.Millisecond
-	// writePauseMax bounds the pause while the store fails; it doubles up to
-	// there, with jitter, so that agents do not write in step at the end of an
-	// outage.
+	// writePauseMax bounds the pause while the store fails. The pause doubles up to this bound,
+	// with jitter, so that agents do not write simultaneously at the end of an outage.
 	writePauseMax = 500 * time.Millisecond
-	// readPause is the pause between two readings for authority.
+	// readPause is the pause between two reads of a record for authority.
 	readPause = 60 * time.Millisecond
 )
 
-// recorder writes and reads the records of services for the grantor, one call
-// of each sort at a time for each service. It is safe for concurrent use.
+// recorder writes and reads the records of services for the grantor, with at most one call of
+// each kind in flight per service. It is safe for concurrent use.
 type recorder struct {
-	// writeStore takes the writes, authority the readings: each has its cause.
+	// writeStore and readStore are the same store with its calls counted under different causes.
 	writeStore  platform.Store
 	readStore   platform.Store
 	newWriteTag func() string
@@ -50,9 +49,9 @@
 	mu        sync.Mutex
 	inFlight  map[string]bool
 	notBefore map[string]time.Duration
-	// epochLimits hold back epochs of groups that get them without end.
+	// epochLimits limit the rate of new epochs of each group.
 	epochLimits map[groupID]*epochlimit.Limiter
-	// retryDelays is the pause of services whose writes fail.
+	// retryDelays holds the current retry delay of services whose writes fail.
 	retryDelays map[string]time.Duration
 }
 
@@ -64,10 +63,11 @@
 	}
 }
 
-// wait returns when no call is in flight.
+// wait blocks until no call is in flight.
 func (r *recorder) wait() { r.calls.Wait() }
 
-// beginCall reserves the call, unless one is in flight or the pause is not over.
+// beginCall reserves a call and reports whether it may start: none is in flight, and the pause
+// after the last one is over.
 func (r *recorder) beginCall(call string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,8 +85,9 @@
 	r.notBefore[call] = r.clock.Now() + pause
 }
 
-// writeProposals writes the proposals over the record that they were made for, all in one
-// conditional write. Those of a new epoch go at once, others lazily.
+// writeProposals writes all proposals in one write that is conditional on the version of the
+// record for which they were made. Proposals with a new epoch are written at once, others at most
+// once per updatePause.
 func (r *recorder) writeProposals(ctx context.Context, svc *serviceState, proposals []model.Group) {
 	proposals = r.limitEpochs(svc.record, proposals)
 	if len(proposals) == 0 {
@@ -107,7 +108,7 @@
 	})
 }
 
-// limitEpochs leaves out new epochs that come too soon after the group's last.
+// limitEpochs removes proposals whose new epoch exceeds the rate limit of the group.
 func (r *recorder) limitEpochs(held *model.Assignment, proposals []model.Group) []model.Group {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +133,8 @@
 	return out
 }
 
-// mergeProposals puts the proposals into a copy of the record.
+// mergeProposals returns a copy of the record with the proposals applied. It is urgent if one of
+// them has a new epoch.
 func mergeProposals(held *model.Assignment, proposals []model.Group) (record model.Assignment, urgent bool) {
 	record = *held
 	record.Groups = append([]model.Group(nil), held.Groups...)
@@ -147,7 +149,7 @@
 	return record, urgent
 }
 
-// nextRetryDelay returns the pause after a write that ended with the error.
+// nextRetryDelay returns the pause after a write that returned err.
 func (r *recorder) nextRetryDelay(service string, err error) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,7 +158,7 @@
 		return 0
 	}
 	if r.retryDelays[service] == 0 {
-		r.log.Warn().Err(err).Str("step", "write-record").Str("peer", service).Msg("record not written; it is tried again")
+		r.log.Warn().Err(err).Str("step", "write-record").Str("peer", service).Msg("cannot write the record; the write will be retried")
 	}
 	r.retryDelays[service] = min(2*max(r.retryDelays[service], writePause), writePauseMax)
 	return r.retryDelays[service]/2 + rand.N(r.retryDelays[service]/2)
@@ -174,7 +176,8 @@
 	return err
 }
 
-// readRecord reads a service's record and pushes it as an answer asked at the time.
+// readRecord reads a service's record and adds it to the inbox as a response to a request made at
+// requestedAt.
 func (r *recorder) readRecord(ctx context.Context, service string, requestedAt time.Duration, inbox *ring.Ring[response]) {
 	call := "read " + service
 	if !r.beginCall(call) {
@@ -186,7 +189,7 @@
 		defer cancel()
 		o, err := r.readStore.Get(ctx, platform.ID{Kind: model.KindAssignment, Name: service})
 		if err != nil {
-			r.log.Debug().Err(err).Str("step", "read-record").Str("peer", service).Msg("no authority from the store")
+			r.log.Debug().Err(err).Str("step", "read-record").Str("peer", service).Msg("cannot read the record; no authority from the store")
 			return
 		}
 		object, err := model.Decode(o.Kind, o.Name, o.Spec)
--- a/internal/agent/recorder_test.go
+++ b/internal/agent/recorder_test.go
@@ -34,10 +34,10 @@
 	return a, o.Version
 }
 
-// TestConcurrentRecordWritesConflict: two grantors write epochs of their groups over the
-// same record. If the second simply wrote, the first one's acknowledged epoch
-// would be gone, and with it the fence that its takeover rests on. The second
-// loses the race and writes again over the record that it then sees.
+// Guards against a lost epoch. Two grantors write epochs of their groups over the same version of
+// the record. If the second write succeeded, it would remove the first one's acknowledged epoch,
+// and with it the fence on which that takeover depends. The second write must conflict, and is
+// made again over the record that the grantor then reads.
 func TestConcurrentRecordWritesConflict(t *testing.T) {
 	store := memstore.New()
 	spec, err := json.Marshal(recordWithEpochs(1, 1))
@@ -57,15 +57,15 @@
 	propose(held, "vm2-1", 1)
 	now, version := storedRecord(t, store)
 	require.Equal(t, "vm1-1", now.Groups[0].Author)
-	require.EqualValues(t, 1, now.Groups[1].Epoch, "the second lost the race")
+	require.EqualValues(t, 1, now.Groups[1].Epoch, "the second write must conflict")
 	propose(&serviceState{record: &now, recordVersion: version}, "vm2-1", 1)
 	now, _ = storedRecord(t, store)
 	require.EqualValues(t, 2, now.Groups[0].Epoch)
 	require.EqualValues(t, 2, now.Groups[1].Epoch)
 }
 
-// TestOneWriteForAllGroups: a target is lost that many groups share. A write for
-// each would use up the store's budget just when all others write too.
+// Guards against a loss using up the store's write capacity just when all other agents write too.
+// A target is lost that many groups share: all of them must be updated by one write.
 func TestOneWriteForAllGroups(t *testing.T) {
 	held := recordWithEpochs(1, 1, 1, 1)
 	var proposals []model.Group
@@ -74,12 +74,12 @@
 		proposals = append(proposals, g)
 	}
 	record, urgent := mergeProposals(held, proposals)
-	require.False(t, urgent, "no epoch: nothing waits for it")
+	require.False(t, urgent, "without a new epoch nothing waits for the write")
 	require.Equal(t, "a", record.Groups[0].Owner.Name)
 	for _, g := range record.Groups[1:] {
 		require.Equal(t, "b", g.Owner.Name)
 	}
-	require.Equal(t, "a", held.Groups[1].Owner.Name, "the record in force is untouched")
+	require.Equal(t, "a", held.Groups[1].Owner.Name, "the record in force must not be modified")
 	proposals[0].Epoch++
 	_, urgent = mergeProposals(held, proposals)
 	require.True(t, urgent)
--- a/internal/agent/relay.go
+++ b/internal/agent/relay.go
@@ -19,16 +19,17 @@
 	grants      *grantTable
 	loads       *loadTable
 
-	// grantsSeeded says that a peer was asked for the grants it knows.
+	// grantsSeeded is set once the agent has requested a peer's grants, or gave up trying.
 	grantsSeeded atomic.Bool
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// state numbers live and combined; it rises when either differs.
+	// state numbers liveMembers, allGrants and listedPlaces. It increases when one of them
+	// changes.
 	state       uint64
 	liveMembers []wire.Member
 	allGrants   []wire.Grant
-	// retainedGrants holds combined's grants; it needs mu.
+	// retainedGrants computes allGrants.
 	retainedGrants *retainedGrants
 	listedPlaces   []wire.Place
 	daemons        map[string]daemonReport
@@ -40,34 +41,34 @@
 	receivedAt time.Time
 }
 
-// daemonTimeout is how long a daemon may be silent before it counts as gone:
+// daemonTimeout is how long a daemon may send no report before it counts as stopped. It spans
 // three reports.
 const daemonTimeout = 1500 * time.Millisecond
 
-// dispatchProcess is the daemon that takes requests from other VMs.
+// dispatchProcess is the daemon that receives requests from other VMs.
 const dispatchProcess = "hq-dispatch"
 
-// entryProcess is the daemon that shares the limits with other entries.
+// entryProcess is the daemon that shares the contracts' limits with other entries.
 const entryProcess = "hq-entry"
 
-// agentProcess is this daemon's name in reports and logs.
+// agentProcess is the agent's own name in reports and logs.
 const agentProcess = "hq-agent"
 
-// maxPullWait bounds how long a pull is held.
+// maxPullWait bounds how long a pull waits for a change.
 const maxPullWait = 5 * time.Second
 
 func newRelay(incarnation string) *relay {
 	return &relay{incarnation: incarnation, loads: newLoadTable(), retainedGrants: newRetainedGrants(), changed: make(chan struct{}), daemons: make(map[string]daemonReport)}
 }
 
-// wakePulls wakes the pulls that wait.
+// wakePulls wakes the waiting pulls.
 func (r *relay) wakePulls() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.wakePullsLocked()
 }
 
-// configurationChanged wakes the pulls and notifies peers of the new revision.
+// configurationChanged wakes the waiting pulls and puts the new revision into heartbeats.
 func (r *relay) configurationChanged() {
 	r.wakePulls()
 	r.updateSelf()
@@ -78,7 +79,7 @@
 	r.changed = make(chan struct{})
 }
 
-// refresh computes members and grants anew and wakes the pulls if they differ.
+// refresh recomputes members and grants, and wakes the waiting pulls if they have changed.
 func (r *relay) refresh() {
 	live, listed := withoutAgentFields(r.members.live()), r.members.listedPlaces()
 	reported := append(r.members.peerGrants(), r.grants.list()...)
@@ -93,7 +94,7 @@
 	r.wakePullsLocked()
 }
 
-// refreshMembers is refresh where no grant changed. It runs on each heartbeat and
+// refreshMembers is refresh for changes that do not affect grants. It runs on each heartbeat and
 // allocates one short list.
 func (r *relay) refreshMembers() {
 	live := withoutAgentFields(r.members.live())
@@ -107,8 +108,8 @@
 	r.wakePullsLocked()
 }
 
-// withoutAgentFields leaves out what changes with each configuration and what daemons do
-// not use; else every change would send the whole list to every daemon.
+// withoutAgentFields clears the fields that change with each configuration or that daemons do not
+// use. Otherwise every change would send the whole list to every daemon.
 func withoutAgentFields(members []wire.Member) []wire.Member {
 	for i := range members {
 		members[i].Revision, members[i].Held, members[i].Watching = 0, 0, false
@@ -116,7 +117,7 @@
 	return members
 }
 
-// Pull implements the RPC for the VM's daemons: it waits for a change.
+// Pull implements the RPC with which the VM's daemons wait for changes.
 func (r *relay) Pull(args *wire.PullArgs, reply *wire.PullReply) error {
 	deadline := time.NewTimer(min(args.Wait, maxPullWait))
 	defer deadline.Stop()
@@ -133,14 +134,15 @@
 	}
 }
 
-// Sync implements the RPC for peers: the configuration only, at once.
+// Sync implements the RPC for peers. It returns changes of the configuration only, without
+// waiting.
 func (r *relay) Sync(args *wire.PullArgs, reply *wire.PullReply) error {
 	reply.Source = r.incarnation
 	r.config.changesSince(args.Revision, allKinds, reply)
 	return nil
 }
 
-// fillReply computes the reply and returns what closes at the next change.
+// fillReply fills in the reply and returns a channel that is closed at the next change.
 func (r *relay) fillReply(args *wire.PullArgs, reply *wire.PullReply) <-chan struct{} {
 	*reply = wire.PullReply{Source: r.incarnation}
 	r.mu.Lock()
@@ -162,7 +164,7 @@
 	return isDaemonKind
 }
 
-// Beat implements the RPC for heartbeats of peers.
+// Beat implements the RPC with which peers send heartbeats.
 func (r *relay) Beat(args *wire.BeatArgs, reply *wire.BeatReply) error {
 	r.members.recordHeartbeat(args.Member)
 	if args.Pushed {
@@ -177,7 +179,7 @@
 	return nil
 }
 
-// Report implements the RPC for the VM's daemons.
+// Report implements the RPC with which the VM's daemons report their state.
 func (r *relay) Report(args *wire.ReportArgs, _ *wire.Empty) error {
 	r.mu.Lock()
 	r.daemons[args.Process] = daemonReport{*args, time.Now()}
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// updateSelf puts into heartbeats what the VM's daemons reported.
+// updateSelf puts the reports of the VM's daemons and the current revision into heartbeats.
 func (r *relay) updateSelf() {
 	reports := r.liveDaemons()
 	revision, ready := r.config.heldRevision()
@@ -208,7 +210,8 @@
 	})
 }
 
-// liveDaemons returns the reports of daemons that still speak.
+// liveDaemons returns the last reports of daemons that have reported within daemonTimeout, and
+// removes the others.
 func (r *relay) liveDaemons() []wire.ReportArgs {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/reporter.go
+++ b/internal/agent/reporter.go
@@ -16,17 +16,16 @@
 	"hemlockquay/internal/platform"
 )
 
-// minStatusInterval is the shortest time between two writes of a VM's status.
+// maxStatusInterval is the longest time between two checks whether the VM's status must be
+// written; the shortest is half of it.
 //
-// Load pattern: every write of a status raises the store's revision, so a
-// status that held the newest revision would call for its own next write on
-// every VM. It is written only when addresses, incarnation or problems change;
-// the revision in force travels with the heartbeats, and hqctl reads it from
-// any one agent.
-const minStatusInterval = 5 * time.Second
+// Load pattern: every write of a status raises the store's revision, so a status that contained
+// the newest revision would cause its own next write, on every VM. It is written only when
+// addresses, incarnation or problems change. The current revision is sent in heartbeats, and
+// hqctl reads it from any one agent.
+const maxStatusInterval = 5 * time.Second
 
-// reporter writes the VM's status object and shows refused objects. It is one
-// goroutine.
+// reporter writes the VM's status object and reports rejected objects. It runs in one goroutine.
 type reporter struct {
 	agent          *agent
 	store          platform.Store
@@ -45,7 +44,7 @@
 
 func (r *reporter) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, minStatusInterval/2+rand.N(minStatusInterval/2))
+		pause.For(ctx, maxStatusInterval/2+rand.N(maxStatusInterval/2))
 		status := r.status()
 		r.reportProblems(status.Problems)
 		if ctx.Err() == nil && !sameStatus(status, r.writtenStatus) {
@@ -54,7 +53,7 @@
 	}
 }
 
-// status is the VM as its agent sees it.
+// status returns the VM's status as its agent sees it.
 func (r *reporter) status() model.VMStatus {
 	me := r.agent.members.selfMember()
 	s := model.VMStatus{
@@ -81,8 +80,8 @@
 	r.problemGauge.Update(int64(len(problems)))
 	for _, p := range problems {
 		if !slices.Contains(r.loggedProblems, p) {
-			r.log.Error().Str("step", "configure").Msg("object refused, the last good version stays: " + p)
-			r.agent.Journal.Add("configure", "object refused, the last good version stays: "+p)
+			r.log.Error().Str("step", "configure").Msg("object rejected; its last valid version stays in force: " + p)
+			r.agent.Journal.Add("configure", "object rejected; its last valid version stays in force: "+p)
 		}
 	}
 	r.loggedProblems = problems
@@ -98,16 +97,16 @@
 	o := platform.Object{Kind: model.KindVM, Name: s.Name, Writer: r.agent.newWriteTag()}
 	current, err := r.store.Get(ctx, o.ID())
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
-		r.log.Debug().Err(err).Str("step", "status").Str("peer", "store").Msg("status not read")
+		r.log.Debug().Err(err).Str("step", "status").Str("peer", "store").Msg("cannot read the VM's status object")
 		return
 	}
 	o.Version = current.Version
 	if o.Spec, err = json.Marshal(&s); err != nil {
-		r.log.Error().Err(err).Str("step", "status").Msg("cannot encode")
+		r.log.Error().Err(err).Str("step", "status").Msg("cannot encode the VM's status object")
 		return
 	}
 	if _, err = platform.Write(ctx, r.store, o); err != nil {
-		r.log.Debug().Err(err).Str("step", "status").Str("peer", "store").Msg("status not written")
+		r.log.Debug().Err(err).Str("step", "status").Str("peer", "store").Msg("cannot write the VM's status object")
 		return
 	}
 	r.writtenStatus = s
--- a/internal/agent/retained.go
+++ b/internal/agent/retained.go
@@ -8,12 +8,13 @@
 	"hemlockquay/internal/wire"
 )
 
-// retention is how long a grant is advertised after its grantor stopped doing so: longer than
-// the replacement of a VM takes.
+// retention is how long a grant is still reported after its grantor stopped reporting it. It is
+// longer than the replacement of a VM takes.
 const retention = 10 * time.Second
 
-// retainedGrants keeps the last advertised grant of each group while its grantor is replaced:
-// the targets still serve meanwhile. An expired grant does no harm, since the target refuses it.
+// retainedGrants keeps the last reported grant of each group while its grantor is being replaced,
+// since the targets go on serving meanwhile. An expired grant does no harm, because the target
+// refuses requests under it.
 type retainedGrants struct{ last map[groupID]advertisedGrant }
 
 type advertisedGrant struct {
@@ -25,8 +26,8 @@
 	return &retainedGrants{last: make(map[groupID]advertisedGrant)}
 }
 
-// merge adds the grants that are advertised now and returns all that still are, one for each
-// group, sorted.
+// merge adds the grants that are reported now, and returns all that are retained: one per group,
+// sorted.
 func (r *retainedGrants) merge(advertised []wire.Grant, now time.Duration) []wire.Grant {
 	for _, g := range advertised {
 		id := groupID{g.Service, g.Group}
--- a/internal/agent/retained_test.go
+++ b/internal/agent/retained_test.go
@@ -14,9 +14,9 @@
 	return wire.Grant{Service: "shelf", Group: group, Target: model.TargetRef{Name: target}, Rank: wire.Rank{Epoch: epoch}}
 }
 
-// Callers are refused for want of an owner while the VMs are replaced one after the
-// other. The restarted agent of the grantor reports no grants at first; the targets
-// still hold the ones of its earlier life.
+// Guards against requests refused as without an owner while VMs are replaced one after the other.
+// The restarted agent of a grantor reports no grants at first, but the targets still hold those
+// of its previous incarnation.
 func TestGrantIsRetainedUntilNextOne(t *testing.T) {
 	r := newRetainedGrants()
 	r.merge([]wire.Grant{grantOf(1, 5, "a"), grantOf(2, 5, "a")}, 0)
@@ -29,7 +29,7 @@
 	r := newRetainedGrants()
 	r.merge([]wire.Grant{grantOf(1, 6, "b")}, 0)
 	require.Equal(t, "b", r.merge([]wire.Grant{grantOf(1, 5, "a")}, time.Second)[0].Target.Name)
-	require.Equal(t, "a", r.merge([]wire.Grant{grantOf(1, 5, "a")}, retention+time.Second)[0].Target.Name, "nobody tells the newer one any more")
+	require.Equal(t, "a", r.merge([]wire.Grant{grantOf(1, 5, "a")}, retention+time.Second)[0].Target.Name, "the newer grant is no longer advertised")
 }
 
 func TestUnadvertisedGrantExpires(t *testing.T) {
--- a/internal/agent/seed.go
+++ b/internal/agent/seed.go
@@ -7,9 +7,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// seedGrants asks one peer for the grants of all groups when the agent starts.
-// No peer reports the grants of a grantor's earlier life as its own, but those that had heartbeats of
-// that life know them. An agent that reaches nobody goes on without after settleWithin.
+// seedGrants requests the grants of all groups from one peer when the agent starts. No peer
+// reports grants of this agent's previous incarnation as its own, but peers that received its
+// heartbeats still have them. Without any answer the agent continues after settleTimeout.
 func (a *agent) seedGrants(ctx context.Context) {
 	defer a.relay.grantsSeeded.Store(true)
 	start := a.relay.members.clock.Now()
@@ -34,14 +34,14 @@
 	args := wire.PullArgs{Process: agentProcess, Revision: revision}
 	var reply wire.PullReply
 	if err := a.peers.Get(addr).Call(ctx, wire.MethodPull, &args, &reply); err != nil {
-		a.Log.Debug().Err(err).Str("step", "seed-grants").Str("peer", vm).Msg("no answer")
+		a.Log.Debug().Err(err).Str("step", "seed-grants").Str("peer", vm).Msg("cannot get grants from the peer")
 		return false
 	}
 	a.relay.addGrants(reply.Grants)
 	return reply.Ready
 }
 
-// addGrants takes the grants that a peer knows.
+// addGrants adds grants that a peer has reported.
 func (r *relay) addGrants(grants []wire.Grant) {
 	r.mu.Lock()
 	r.retainedGrants.merge(grants, r.members.clock.Now())
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -1,7 +1,7 @@
-// Package agent is the one process of a VM that speaks with the platform's
-// store. It watches the configuration and relays it to the VM's daemons and to
-// peers, notifies peers by heartbeats that the VM lives, plans the assignment of a
-// service when elected, and grants keys to the targets it is named for.
+// Package agent is the only process of a VM that calls the platform's store. It watches the
+// configuration and relays it to the VM's daemons and to peers, exchanges heartbeats with peers,
+// plans the assignment of a service while it is elected to do so, and grants keys to targets for
+// the groups that name it as a grantor.
 package agent
 
 import (
@@ -17,43 +17,42 @@
 // Settings are the agent's settings.
 type Settings struct {
 	daemon.Base
-	// Listen is the IP:PORT for daemons and peers.
+	// Listen is the IP:PORT on which daemons and peers reach the agent.
 	Listen string `json:"listen"`
 	// Store is the base URL of the platform's object API.
 	Store string `json:"store"`
-	// Peers are agents' IP:PORT that are asked while the platform's list of
-	// VMs cannot be read. Default none.
+	// Peers are IP:PORT of agents that are contacted while the platform's list of VMs cannot be
+	// read. Default none.
 	Peers []string `json:"peers,omitempty"`
-	// StoreTimeout bounds one call of the store. Default 2s.
+	// StoreTimeout bounds one call to the store. Default 2s.
 	StoreTimeout model.Duration `json:"storeTimeout,omitempty"`
-	// Heartbeat is the pause between two heartbeats to a peer. Default 75ms.
+	// Heartbeat is the interval between heartbeats to a peer. Default 75ms.
 	Heartbeat model.Duration `json:"heartbeat,omitempty"`
-	// Silence is how long a peer may be silent before it counts as lost.
-	// Default 300ms.
+	// Silence is how long a peer may send no heartbeat before it counts as lost. Default 300ms.
 	Silence model.Duration `json:"silence,omitempty"`
-	// TakeoverSilence is how long a grantor may be silent until the next in line
-	// takes its groups over. It is shorter than Silence: a mistake costs a few
-	// messages, no gap and no move, and a loss is to be noticed before the last
-	// grant is out. Default 190ms, five heartbeats of both directions.
+	// TakeoverSilence is how long a grantor may send no heartbeat before the next in the
+	// succession takes over its groups. It is shorter than Silence because a false positive costs
+	// only a few messages, without a gap or a move, and a loss must be detected before the last
+	// grant expires. Default 190ms, five heartbeats counting both directions.
 	TakeoverSilence model.Duration `json:"takeoverSilence,omitempty"`
-	// Authority is how long an arbiter's confirmation counts. Default 160ms.
+	// Authority is how long an arbiter's confirmation is valid. Default 160ms.
 	Authority model.Duration `json:"authority,omitempty"`
-	// ClockMargin is added to ends that another clock judges. Default 10ms: for
-	// clocks that run up to 0.9% fast or slow.
+	// ClockMargin is added to deadlines that another clock judges. Default 10ms, for clocks that
+	// run up to 0.9% fast or slow.
 	ClockMargin model.Duration `json:"clockMargin,omitempty"`
-	// TakeoverPatience is how long a takeover waits for all arbiters before it
+	// TakeoverPatience is how long a takeover waits for confirmations by all arbiters before it
 	// asks the store for an epoch of its own. Default 25ms.
 	TakeoverPatience model.Duration `json:"takeoverPatience,omitempty"`
-	// ReleaseLimit bounds how long a planned move waits for the old owner's
-	// requests. Default 10s.
+	// ReleaseLimit bounds how long a planned move waits for requests in flight on the old owner.
+	// Default 10s.
 	ReleaseLimit model.Duration `json:"releaseLimit,omitempty"`
-	// GrantEvery is the pause between two renewals of a grant. Default 75ms.
+	// GrantEvery is the interval between renewals of a grant. Default 75ms.
 	GrantEvery model.Duration `json:"grantEvery,omitempty"`
-	// GrantLife is how long a grant lives. Default 400ms.
+	// GrantLife is how long a grant is valid. Default 400ms.
 	GrantLife model.Duration `json:"grantLife,omitempty"`
 }
 
-// Defaults of the agent's times; see docs/DESIGN.md for their grounds.
+// Default times. docs/DESIGN.md gives the reasons.
 const (
 	defaultStoreTimeout     = model.Duration(2 * time.Second)
 	defaultHeartbeat        = model.Duration(75 * time.Millisecond)
@@ -92,25 +91,25 @@
 	case !strings.HasPrefix(s.Store, "http://") && !strings.HasPrefix(s.Store, "https://"):
 		return settings.Impossible("/store", "%q is not an http or https URL", s.Store)
 	case s.StoreTimeout <= 0:
-		return settings.Impossible("/storeTimeout", "%v is not above 0", s.StoreTimeout)
+		return settings.Impossible("/storeTimeout", "%v must be greater than 0", s.StoreTimeout)
 	case s.Heartbeat <= 0:
-		return settings.Impossible("/heartbeat", "%v is not above 0", s.Heartbeat)
+		return settings.Impossible("/heartbeat", "%v must be greater than 0", s.Heartbeat)
 	case s.GrantEvery <= 0:
-		return settings.Impossible("/grantEvery", "%v is not above 0", s.GrantEvery)
+		return settings.Impossible("/grantEvery", "%v must be greater than 0", s.GrantEvery)
 	case s.Silence < 2*s.Heartbeat:
-		return settings.Impossible("/silence", "%v is below two heartbeats (%v): one lost message would end a VM", s.Silence, s.Heartbeat)
+		return settings.Impossible("/silence", "%v is shorter than two heartbeats (%v each): one lost message would mark a VM as lost", s.Silence, s.Heartbeat)
 	case s.GrantLife < 2*s.GrantEvery:
-		return settings.Impossible("/grantLife", "%v is below two renewals (%v): one lost message would end a grant", s.GrantLife, s.GrantEvery)
+		return settings.Impossible("/grantLife", "%v is shorter than two renewals (%v each): one lost message would let a grant expire", s.GrantLife, s.GrantEvery)
 	case s.TakeoverSilence < 2*s.Heartbeat:
-		return settings.Impossible("/takeoverSilence", "%v is below two heartbeats (%v)", s.TakeoverSilence, s.Heartbeat)
+		return settings.Impossible("/takeoverSilence", "%v is shorter than two heartbeats (%v each)", s.TakeoverSilence, s.Heartbeat)
 	case s.Authority < 2*s.GrantEvery:
-		return settings.Impossible("/authority", "%v is below two renewals (%v): one lost message would end it", s.Authority, s.GrantEvery)
+		return settings.Impossible("/authority", "%v is shorter than two renewals (%v each): one lost message would end the authority", s.Authority, s.GrantEvery)
 	case s.ClockMargin < 0:
-		return settings.Impossible("/clockMargin", "%v is below 0", s.ClockMargin)
+		return settings.Impossible("/clockMargin", "%v is negative", s.ClockMargin)
 	case s.TakeoverPatience < 0:
-		return settings.Impossible("/takeoverPatience", "%v is below 0", s.TakeoverPatience)
+		return settings.Impossible("/takeoverPatience", "%v is negative", s.TakeoverPatience)
 	case s.ReleaseLimit < 0:
-		return settings.Impossible("/releaseLimit", "%v is below 0", s.ReleaseLimit)
+		return settings.Impossible("/releaseLimit", "%v is negative", s.ReleaseLimit)
 	}
 	for i, addr := range s.Peers {
 		if err := daemon.CheckAddr(fmt.Sprintf("/peers/%d", i), addr); err != nil {
--- a/internal/agent/slope_test.go
+++ b/internal/agent/slope_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// slopeMembers is an agent's members with n peers that are alive.
+// slopeMembers returns an agent's members with n live peers.
 func slopeMembers(n int) *members {
 	m := newMembers(slopeMember(0), boottime.System{}, time.Hour, func() {})
 	var vms []platform.VM
@@ -80,9 +80,9 @@
 	return float64(out.Len())
 }
 
-// BenchmarkSlopeBeatRound is one round of heartbeats of an agent with n peers
-// without the network: what it receives and examines. beat-B is the bytes both
-// ways with all peers.
+// BenchmarkSlopeBeatRound measures one round of heartbeats of an agent with n peers without the
+// network: what it receives and checks. beat-B is the number of bytes in both directions with all
+// peers.
 func BenchmarkSlopeBeatRound(b *testing.B) {
 	for _, n := range []int{8, 64, 512} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -105,9 +105,9 @@
 	}
 }
 
-// BenchmarkSlopeBeatCalls is the processor time, both sides and the loopback's
-// network included, of a heartbeat to n peers: what an agent pays for n peers
-// that it asks and is asked by.
+// BenchmarkSlopeBeatCalls measures the CPU time of a heartbeat to each of n peers, on both sides
+// and including the loopback network. This is the cost for an agent that sends heartbeats to n
+// peers and receives theirs.
 func BenchmarkSlopeBeatCalls(b *testing.B) {
 	for _, n := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -143,14 +143,14 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkSlopeRefreshGrants is what one changed grant of n costs each agent;
-// pull-B is what it then sends to each of its daemons.
+// BenchmarkSlopeRefreshGrants measures the cost of one changed grant of n for each agent. pull-B
+// is what the agent then sends to each of its daemons.
 func BenchmarkSlopeRefreshGrants(b *testing.B) {
 	for _, n := range []int{128, 1024, 8192} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			r := slopeRelay(8, n)
 			retained := capacity.Retained(func() any { return slopeGrants(n) })
-			// The last group, so that the tables are compared to their ends.
+			// The last group is changed, so that the whole tables are compared.
 			peerGrants := r.members.peers[slopeMember((n-1)%8+1).VM].grants
 			for b.Loop() {
 				peerGrants[len(peerGrants)-1].Rank.Epoch++
@@ -162,7 +162,7 @@
 	}
 }
 
-// BenchmarkSlopeRefreshMembers is the same by members, for one that comes or goes.
+// BenchmarkSlopeRefreshMembers measures the cost of one changed member of n.
 func BenchmarkSlopeRefreshMembers(b *testing.B) {
 	for _, n := range []int{64, 512, 4096} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -191,8 +191,8 @@
 	return out
 }
 
-// BenchmarkSlopeDelta is a change of n contracts of 16,000: taken from a peer,
-// given to another, built into a view. delta-B is the message.
+// BenchmarkSlopeDelta measures a change of n contracts of 16,000: applied from a peer's delta,
+// and sent on as a delta for a daemon. delta-B is the size of the message.
 func BenchmarkSlopeDelta(b *testing.B) {
 	for _, n := range []int{1, 16, 128, 512} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -219,8 +219,8 @@
 	}
 }
 
-// BenchmarkSlopeSnapshot is the whole of n contracts given to a daemon or peer
-// that holds nothing.
+// BenchmarkSlopeSnapshot measures a snapshot of n contracts for a daemon or peer that has no
+// configuration.
 func BenchmarkSlopeSnapshot(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -239,8 +239,8 @@
 	}
 }
 
-// BenchmarkSlopePlanLook is what the assigner's look costs each agent, which it
-// takes twice a second, with n objects none of which changed.
+// BenchmarkSlopePlanLook measures the assigner's check, which each agent makes twice a second,
+// with n objects of which none has changed.
 func BenchmarkSlopePlanLook(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -254,7 +254,7 @@
 	}
 }
 
-// BenchmarkSlopePlanChange is the same look after one object changed.
+// BenchmarkSlopePlanChange measures the same check after one object has changed.
 func BenchmarkSlopePlanChange(b *testing.B) {
 	for _, n := range []int{1000, 4000, 16000} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -272,8 +272,8 @@
 	}
 }
 
-// BenchmarkSlopeForeignLook is a look of the grantor, of which each agent takes
-// 67 a second, with n groups that name other VMs as grantors.
+// BenchmarkSlopeForeignLook measures a tick of the grantor, of which each agent runs 67 a second,
+// with n groups that name other VMs as grantors.
 func BenchmarkSlopeForeignLook(b *testing.B) {
 	for _, n := range []int{256, 1024, 4096} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -292,22 +292,22 @@
 			}
 			retained := capacity.Retained(func() any { return newService() })
 			svc := newService()
-			observation := func(string, uint64) grants.Observation {
+			observe := func(string, uint64) grants.Observation {
 				return grants.Observation{Live: func(string) bool { return true }, Served: true}
 			}
 			for b.Loop() {
-				if len(gr.collectOrders(svc, gr.clock.Now(), observation)) > 0 {
-					b.Fatal("orders for groups of others")
+				if len(gr.collectOrders(svc, gr.clock.Now(), observe)) > 0 {
+					b.Fatal("orders for groups that name other grantors")
 				}
-				gr.proposals(svc, gr.clock.Now(), observation)
+				gr.proposals(svc, gr.clock.Now(), observe)
 			}
 			b.ReportMetric(retained, "heap-B")
 		})
 	}
 }
 
-// BenchmarkSlopeSnapshotRecord is what a daemon that holds nothing gets of a
-// record of n groups.
+// BenchmarkSlopeSnapshotRecord measures a snapshot for a daemon that has no configuration, with a
+// record of n groups in the store.
 func BenchmarkSlopeSnapshotRecord(b *testing.B) {
 	for _, n := range []int{256, 1024, 2048} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/internal/agent/targethealth.go
+++ b/internal/agent/targethealth.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// probeInterval is how often an assigner asks a target for its health: one
-	// small call in two seconds for each target, by one agent of all.
+	// probeInterval is how often the assigner requests a target's health: one small request per
+	// target every two seconds, from one agent of the system.
 	probeInterval = 2 * time.Second
-	// probeTimeout bounds one question.
+	// probeTimeout bounds one health request.
 	probeTimeout = time.Second
-	// targetLostAfter is how long a target may not answer before it is given no new
-	// role: three questions.
+	// targetLostAfter is how long a target may leave health requests unanswered before it gets no
+	// new role. It spans three requests.
 	targetLostAfter = 3*probeInterval + probeTimeout
 )
 
-// healthMonitor is what targets say of themselves to the assigner. The answers lag
-// and may mislead; they decide who stands by, never who may serve. It is safe for
-// concurrent use.
+// healthMonitor holds the health that targets report to the assigner. The reports may be out of
+// date or wrong. They only decide which targets become standbys, never which target may serve. It
+// is safe for concurrent use.
 type healthMonitor struct {
 	clock  boottime.Clock
 	prober *target.Prober
@@ -42,7 +42,8 @@
 	return &healthMonitor{clock: boottime.System{}, prober: target.NewProber(), targets: make(map[string]*healthRecord)}
 }
 
-// probe asks the service's targets that are due, without waiting.
+// probe requests the health of those targets of the service that are due, without waiting for the
+// answers.
 func (h *healthMonitor) probe(ctx context.Context, s *model.Service) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +57,8 @@
 			continue
 		}
 		if now-record.probedAt > 2*targetLostAfter {
-			// Nobody probed for long: silence then says nothing of the target.
+			// No agent probed the target for a long time, so missing answers say nothing about
+			// it.
 			record.answeredAt = now
 		}
 		record.probedAt = now
@@ -76,8 +78,8 @@
 	record.health, record.answeredAt = health, h.clock.Now()
 }
 
-// status returns which status the service's targets leave or are silent, and the
-// incarnations reported, by name.
+// status returns, by name, which of the service's targets are leaving, which did not answer for
+// too long, and which incarnations they reported.
 func (h *healthMonitor) status(s *model.Service) (leaving, lost map[string]bool, incarnations map[string]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,5 +97,5 @@
 	return leaving, lost, incarnations
 }
 
-// close drops idle connections.
+// close closes idle connections.
 func (h *healthMonitor) close() { h.prober.Close() }
--- a/internal/agent/watchelection.go
+++ b/internal/agent/watchelection.go
@@ -4,17 +4,16 @@
 
 // watchersPerDataCentre is how many agents of a data centre watch the store.
 //
-// Load pattern: each waiting watch counts as a call of the store, whose rates
-// grow more slowly than the fleet. With a watch for every VM, 6,700 VMs would
-// hold 6,700 watches and each change would leave the store as often. Two for
-// each data centre are 30 at 15 data centres; the others learn by the
-// heartbeat that a peer is ahead and fetch the delta from it. One would do;
-// the second saves the time to notice the first one's loss.
+// Load pattern: the store counts each open watch as a call, and its rates grow more slowly than
+// the number of VMs. With one watch per VM, 6,700 VMs would hold 6,700 watches, and the store
+// would send each change as often. Two per data centre are 30 for 15 data centres; the other
+// agents learn from heartbeats that a peer has a newer revision and fetch the delta from it. One
+// would be enough; the second avoids the time to detect the loss of the first.
 const watchersPerDataCentre = 2
 
-// shouldWatch decides whether an agent watches the store.
-// Only a watch that works counts: agents that are cut off from the store do not keep others from
-// watching. An agent gives way only to working ones of lower name, so two do not both stop.
+// shouldWatch reports whether an agent should watch the store. Only working watches count, so
+// agents that are partitioned from the store do not keep others from watching. An agent that
+// watches yields only to agents with lower names, so that two agents never yield to each other.
 func shouldWatch(self wire.Member, live []wire.Member) bool {
 	working := 0
 	for _, m := range live {
--- a/internal/agent/watcher.go
+++ b/internal/agent/watcher.go
@@ -17,26 +17,27 @@
 	"hemlockquay/internal/wire"
 )
 
-// Times of the watch.
+// Timings of the watch.
 const (
-	// watchBackoffMin and watchPauseMax bound the pause after a broken watch.
+	// watchBackoffMin and watchBackoffMax bound the retry delay after a watch fails.
 	watchBackoffMin = 100 * time.Millisecond
 	watchBackoffMax = 5 * time.Second
-	// watchSilenceTimeout is how long a watch may be without event or bookmark.
-	// Bookmarks come each second; three missing ones are no accident.
+	// watchSilenceTimeout is how long a watch may deliver neither event nor bookmark. Bookmarks
+	// arrive every second, so this is three missing ones.
 	watchSilenceTimeout = 3500 * time.Millisecond
 )
 
-// errWatchSilent reports a watch without bookmarks.
-var errWatchSilent = errors.New("watch went silent")
+// errWatchSilent reports a watch that no longer delivers bookmarks.
+var errWatchSilent = errors.New("watch timed out: no event or bookmark")
 
-// errNotElected reports that enough other agents watch.
-var errNotElected = errors.New("other agents watch")
+// errNotElected reports that enough other agents of the data centre watch the store.
+var errNotElected = errors.New("enough other agents watch the store")
 
-// electionInterval is how often an agent that does not watch looks whether it should.
+// electionInterval is the longest time between two checks by which an agent that does not watch
+// finds out whether it should.
 const electionInterval = 500 * time.Millisecond
 
-// watcher keeps the configuration current from the store.
+// watcher keeps the configuration up to date from the store.
 type watcher struct {
 	store        platform.Store
 	config       *configuration
@@ -45,13 +46,13 @@
 	log          *log.Logger
 	olderRefused metrics.Counter
 
-	// broken is set while the store does not answer.
+	// broken is set when a watch fails and cleared by the next event.
 	broken atomic.Bool
-	// relist demands a listing before the next watch.
+	// relist requires a listing before the next watch.
 	relist bool
 }
 
-// working reports whether the store may be expected to bring the next change.
+// working reports whether the next change can be expected from the store.
 func (w *watcher) working() bool {
 	return !w.broken.Load() && (w.members.selfMember().Watching || !w.ready())
 }
@@ -67,7 +68,7 @@
 	w.members.updateSelf(func(m *wire.Member) { m.Watching = on })
 }
 
-// run lists and watches until the context ends. It is one goroutine.
+// run lists and watches until the context is cancelled. It runs in one goroutine.
 func (w *watcher) run(ctx context.Context) {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.InitialInterval, retryBackoff.MaxInterval = watchBackoffMin, watchBackoffMax
@@ -89,12 +90,13 @@
 			continue
 		}
 		w.broken.Store(true)
-		w.log.Warn().Err(err).Str("step", "watch").Str("peer", "store").Msg("watch broke")
+		w.log.Warn().Err(err).Str("step", "watch").Str("peer", "store").Msg("watch of the store failed; it will be retried")
 		pause.For(ctx, retryBackoff.NextBackOff())
 	}
 }
 
-// listAndWatch watches from the revision held, or lists first.
+// listAndWatch watches from the current revision. It lists first if there is no configuration
+// yet, or if relist is set.
 func (w *watcher) listAndWatch(ctx context.Context) error {
 	if !w.ready() || w.relist {
 		if err := w.list(ctx); err != nil {
@@ -109,9 +111,11 @@
 	return err
 }
 
-// list takes everything.
-// A listing below the revision held means that the store was restored. Its new changes reuse the
-// numbers, so only a listing above that revision ends this.
+// list replaces the configuration by a listing.
+//
+// A listing below the current revision means that the store was restored from a backup. The
+// restored store reuses revision numbers, so listings are requested until one has reached the
+// current revision.
 func (w *watcher) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, w.timeout)
 	defer cancel()
@@ -127,9 +131,9 @@
 	return err
 }
 
-// watch ends a watch that went silent.
-// A store that accepts a watch and sends nothing, or a half-open connection, shows no error.
-// Bookmarks come once a second, so a longer silence means a dead watch.
+// watch applies events from the given revision on. A store that accepts a watch and sends
+// nothing, or a half-open connection, causes no error, so a watch without events or bookmarks is
+// cancelled after watchSilenceTimeout.
 func (w *watcher) watch(ctx context.Context, from uint64) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -147,12 +151,12 @@
 		return nil
 	})
 	if cause := context.Cause(ctx); errors.Is(cause, errWatchSilent) {
-		return fmt.Errorf("watch from %d: %w", from, cause)
+		return fmt.Errorf("watch from revision %d: %w", from, cause)
 	}
 	return err
 }
 
-// markWorking notes the first sign of life of a watch.
+// markWorking records that the watch delivers events.
 func (w *watcher) markWorking() {
 	w.broken.Store(false)
 	w.setWatching(true)
