--- a/internal/agent/faultscenario_test.go
+++ b/internal/agent/faultscenario_test.go
@@ -80,9 +80,9 @@
 }
 
 func (cs *changeScenario) startVM(i int) {
-	n := cs.vms[i]
-	n.agent, n.daemon = newConfiguration(func() {}), newConfiguration(func() {})
-	n.revision, n.version, n.stopped = 0, 0, false
+	vm := cs.vms[i]
+	vm.agent, vm.daemon = newConfiguration(func() {}), newConfiguration(func() {})
+	vm.revision, vm.version, vm.stopped = 0, 0, false
 }
 
 // recordEvent records a call that belongs to a step of the change, and injects the fault after
@@ -193,7 +193,8 @@
 	scenario *changeScenario
 }
 
-// delay simulates the network time of a request or an answer.
+// delay simulates the transmission of a request or an answer: it takes time, and fails
+// while the store is down.
 func (s *faultyStore) delay() error {
 	time.Sleep(5 * time.Millisecond)
 	if s.scenario.isBefore(&s.scenario.slowUntil) {
@@ -250,21 +251,21 @@
 	defer cs.mu.Unlock()
 	now := time.Now()
 	watching := -1
-	for i, n := range cs.vms {
-		if n.stopped && !now.Before(n.stoppedUntil) {
+	for i, vm := range cs.vms {
+		if vm.stopped && !now.Before(vm.stoppedUntil) {
 			cs.startVM(i)
 		}
-		if watching < 0 && !n.stopped && (i == len(cs.vms)-1 || !now.Before(n.pausedUntil)) {
+		if watching < 0 && !vm.stopped && (i == len(cs.vms)-1 || !now.Before(vm.pausedUntil)) {
 			watching = i
 		}
 	}
-	for i, n := range cs.vms {
-		if n.stopped || now.Before(n.pausedUntil) {
+	for i, vm := range cs.vms {
+		if vm.stopped || now.Before(vm.pausedUntil) {
 			continue
 		}
 		cs.syncAgent(i, i == watching, now)
-		cs.syncDaemon(n, now)
-		cs.checkVM(n)
+		cs.syncDaemon(vm, now)
+		cs.checkVM(vm)
 	}
 	return !cs.applyEndedAt.IsZero() && cs.inForceEverywhere()
 }
@@ -272,19 +273,19 @@
 // syncAgent updates one agent: from the store if it watches or has no configuration, otherwise
 // from a peer with a newer revision.
 func (cs *changeScenario) syncAgent(i int, watching bool, now time.Time) {
-	n := cs.vms[i]
-	revision, ready := n.agent.heldRevision()
+	vm := cs.vms[i]
+	revision, ready := vm.agent.heldRevision()
 	if (watching || !ready) && !now.Before(cs.downUntil) && !now.Before(cs.slowUntil) {
-		cs.syncFromStore(n.agent)
+		cs.syncFromStore(vm.agent)
 	}
 	for j, peer := range cs.vms {
-		ahead, peerReady := peer.agent.heldRevision()
-		if i == j || peer.stopped || now.Before(peer.pausedUntil) || now.Before(cs.partitionedUntil) || !peerReady || ahead <= revision {
+		peerRevision, peerReady := peer.agent.heldRevision()
+		if i == j || peer.stopped || now.Before(peer.pausedUntil) || now.Before(cs.partitionedUntil) || !peerReady || peerRevision <= revision {
 			continue
 		}
 		var reply wire.PullReply
 		peer.agent.changesSince(revision, allKinds, &reply)
-		if n.agent.applyReply(revision, &reply) == nil {
+		if vm.agent.applyReply(revision, &reply) == nil {
 			cs.recordIfStored("pull")
 		}
 		return
@@ -314,36 +315,36 @@
 	}
 }
 
-func (cs *changeScenario) syncDaemon(n *changeVM, now time.Time) {
-	if now.Before(n.daemonStoppedUntil) {
+func (cs *changeScenario) syncDaemon(vm *changeVM, now time.Time) {
+	if now.Before(vm.daemonStoppedUntil) {
 		return
 	}
-	revision, _ := n.daemon.heldRevision()
+	revision, _ := vm.daemon.heldRevision()
 	var reply wire.PullReply
-	n.agent.changesSince(revision, isDaemonKind, &reply)
+	vm.agent.changesSince(revision, isDaemonKind, &reply)
 	if !reply.Ready || reply.Revision <= revision {
 		return
 	}
-	if n.daemon.applyReply(revision, &reply) == nil {
+	if vm.daemon.applyReply(revision, &reply) == nil {
 		cs.recordIfStored("load")
 	}
 }
 
-func (cs *changeScenario) checkVM(n *changeVM) {
-	revision, _ := n.agent.heldRevision()
-	require.GreaterOrEqual(cs.t, revision, n.revision, "an agent's revision decreased")
-	n.revision = revision
-	for _, o := range n.daemon.list() {
-		require.GreaterOrEqual(cs.t, o.Version, n.version, "a daemon returned to an older version of the contract")
-		n.version = o.Version
+func (cs *changeScenario) checkVM(vm *changeVM) {
+	revision, _ := vm.agent.heldRevision()
+	require.GreaterOrEqual(cs.t, revision, vm.revision, "an agent's revision decreased")
+	vm.revision = revision
+	for _, o := range vm.daemon.list() {
+		require.GreaterOrEqual(cs.t, o.Version, vm.version, "a daemon returned to an older version of the contract")
+		vm.version = o.Version
 	}
 }
 
 // inForceEverywhere reports whether the stored version is in force on every running VM.
 func (cs *changeScenario) inForceEverywhere() bool {
 	want := cs.storedContract().Version
-	for _, n := range cs.vms {
-		if !n.stopped && n.version != want {
+	for _, vm := range cs.vms {
+		if !vm.stopped && vm.version != want {
 			return false
 		}
 	}
@@ -358,6 +359,6 @@
 }
 
 func (cs *changeScenario) stopDaemon(i int) {
-	n := cs.vms[i]
-	n.daemon, n.version, n.daemonStoppedUntil = newConfiguration(func() {}), 0, time.Now().Add(time.Second)
+	vm := cs.vms[i]
+	vm.daemon, vm.version, vm.daemonStoppedUntil = newConfiguration(func() {}), 0, time.Now().Add(time.Second)
 }
--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -157,9 +157,9 @@
 // observer returns what heartbeats report about a group.
 type observer func(service string, id uint64) grants.Observation
 
-// observeGrants updates, once per observeInterval, which groups a live agent reports a grant of,
-// and reports whether it did. It is run that rarely because it visits all grants and nothing that
-// must happen within a second depends on it.
+// observeGrants updates servedGroups and highestRanks once per observeInterval, and reports
+// whether it did. It runs no more often because it visits all grants, and nothing that must
+// happen within a second depends on it.
 func (gr *grantor) observeGrants(now time.Duration, live map[string]bool) bool {
 	if now < gr.observedAt+observeInterval {
 		return false
--- a/internal/agent/lateorders_test.go
+++ b/internal/agent/lateorders_test.go
@@ -106,8 +106,8 @@
 func newPartitionScenario(t *testing.T) *partitionScenario {
 	ps := &partitionScenario{t: t, now: time.Hour}
 	ps.owner, ps.standby, ps.witness = newFencedTarget(t, "owner", time.Minute), newFencedTarget(t, "standby", 0), newFencedTarget(t, "witness", time.Hour)
-	ref := func(h *fencedTarget) model.TargetRef {
-		return model.TargetRef{Name: h.name, Incarnation: h.name + "-1"}
+	ref := func(ft *fencedTarget) model.TargetRef {
+		return model.TargetRef{Name: ft.name, Incarnation: ft.name + "-1"}
 	}
 	ps.group = grants.New(defaultParams(), model.Group{
 		Epoch: 1, Grantors: []string{"vm1"}, Author: "planner-1", Slices: []keyspace.Slice{groupSlice},
@@ -124,8 +124,8 @@
 // advance advances the time of the agent and of all targets.
 func (ps *partitionScenario) advance(d time.Duration) {
 	ps.now += d
-	for _, h := range []*fencedTarget{ps.owner, ps.standby, ps.witness} {
-		h.setTime(ps.now)
+	for _, ft := range []*fencedTarget{ps.owner, ps.standby, ps.witness} {
+		ft.setTime(ps.now)
 	}
 }
 
--- a/internal/agent/recorder.go
+++ b/internal/agent/recorder.go
@@ -149,7 +149,8 @@
 	return record, urgent
 }
 
-// nextRetryDelay returns the pause after a write that returned err.
+// nextRetryDelay returns the pause after a write that returned err: none after a success or a
+// conflict, otherwise a delay that doubles with each failure.
 func (r *recorder) nextRetryDelay(service string, err error) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/recorder_test.go
+++ b/internal/agent/recorder_test.go
@@ -46,11 +46,11 @@
 	require.NoError(t, err)
 	seen, version := storedRecord(t, store)
 	held := &serviceState{record: &seen, recordVersion: version}
-	propose := func(h *serviceState, writer string, id int) {
+	propose := func(svc *serviceState, writer string, id int) {
 		r := newRecorder(store, store, func() string { return writer }, time.Second, &log.Logger{Level: log.PanicLevel})
-		next := h.record.Groups[id]
+		next := svc.record.Groups[id]
 		next.Epoch, next.Author = 2, writer
-		r.writeProposals(context.Background(), h, []model.Group{next})
+		r.writeProposals(context.Background(), svc, []model.Group{next})
 		r.wait()
 	}
 	propose(held, "vm1-1", 0)
