--- a/internal/agent/config_test.go
+++ b/internal/agent/config_test.go
@@ -31,22 +31,23 @@
 	return platform.Listing{Revision: revision, Objects: objects}
 }
 
-// Three agents learn of a store's changes in any order: watch events that
-// repeat, listings, questions to peers whose answers arrive late, restarts of an
-// agent. However it goes, no revision falls, no object goes back, and an agent
-// that reached the store's revision holds exactly what the store holds.
+// Guards against agents whose configuration regresses or differs from the store's. Three agents
+// learn of the store's changes in any order: duplicate watch events, listings, delayed replies of
+// peers, restarts of an agent. No revision may decrease, no object may return to an older
+// version, and an agent that has reached the store's revision must hold exactly the store's
+// objects.
 func TestConfigurationFollowsStoreInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
 		store := memstore.New()
-		fresh := func() *configuration { return newConfiguration(func() {}) }
-		agents := []*configuration{fresh(), fresh(), fresh()}
-		var late []wire.PullReply
-		var from []uint64
+		newEmpty := func() *configuration { return newConfiguration(func() {}) }
+		agents := []*configuration{newEmpty(), newEmpty(), newEmpty()}
+		var replies []wire.PullReply
+		var bases []uint64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, 2).Draw(t, "agent")
 			c := agents[i]
-			before, _ := c.state()
+			before, _ := c.heldRevision()
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
@@ -61,29 +62,29 @@
 				l, _ := store.List(ctx)
 				require.NoError(t, c.replace(l))
 			case 2:
-				watchOnce(store, c)
+				replayWatch(store, c)
 			case 3:
 				var r wire.PullReply
-				agents[rapid.IntRange(0, 2).Draw(t, "peer")].since(before, everyKind, &r)
-				late, from = append(late, r), append(from, before)
+				agents[rapid.IntRange(0, 2).Draw(t, "peer")].changesSince(before, allKinds, &r)
+				replies, bases = append(replies, r), append(bases, before)
 			case 4:
-				if len(late) > 0 {
-					k := rapid.IntRange(0, len(late)-1).Draw(t, "answer")
-					_ = c.take(from[k], &late[k])
+				if len(replies) > 0 {
+					k := rapid.IntRange(0, len(replies)-1).Draw(t, "answer")
+					_ = c.applyReply(bases[k], &replies[k])
 				}
 			case 5:
-				agents[i], before = fresh(), 0
+				agents[i], before = newEmpty(), 0
 			}
-			after, _ := agents[i].state()
+			after, _ := agents[i].heldRevision()
 			require.GreaterOrEqual(t, after, before)
-			requireSame(t, store, agents[i])
+			requireMatchesStore(t, store, agents[i])
 		}
 	})
 }
 
-// watchOnce applies what a watch from one change before the revision held brings.
-func watchOnce(store platform.Store, c *configuration) {
-	revision, ready := c.state()
+// replayWatch applies the events of a watch that starts one change before the current revision.
+func replayWatch(store platform.Store, c *configuration) {
+	revision, ready := c.heldRevision()
 	if !ready {
 		return
 	}
@@ -92,32 +93,32 @@
 	_ = store.Watch(ctx, revision-min(revision, 1), func(e platform.Event) error { c.apply(e); return nil })
 }
 
-func requireSame(t *rapid.T, store platform.Store, c *configuration) {
+func requireMatchesStore(t *rapid.T, store platform.Store, c *configuration) {
 	want, _ := store.List(context.Background())
-	if revision, ready := c.state(); !ready || revision != want.Revision {
+	if revision, ready := c.heldRevision(); !ready || revision != want.Revision {
 		return
 	}
 	require.ElementsMatch(t, want.Objects, c.list())
 }
 
-// The store is restored from a copy. Operators see limits that they replaced
-// long ago: an agent read the old listing and took it. It must refuse it, from
-// the store and from a peer that restarted meanwhile.
+// Guards against limits returning that operators replaced long ago, after the store was restored
+// from a backup. The agent must reject the old listing, from the store and from a peer that
+// restarted meanwhile.
 func TestConfigurationRefusesOlderState(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(9, contract("a", 9, 5))))
-	require.ErrorIs(t, c.replace(listing(7, contract("a", 4, 1))), errOlder)
-	require.ErrorIs(t, c.take(0, &wire.PullReply{Ready: true, Snapshot: true, Revision: 8, Objects: []platform.Object{contract("a", 4, 1)}}), errOlder)
-	require.ErrorIs(t, c.take(9, &wire.PullReply{Ready: true, Revision: 8}), errOlder)
-	require.ErrorIs(t, c.take(5, &wire.PullReply{Ready: true, Revision: 12}), errBase)
-	require.ErrorIs(t, c.take(9, &wire.PullReply{}), errEmpty)
+	require.ErrorIs(t, c.replace(listing(7, contract("a", 4, 1))), errOlderRevision)
+	require.ErrorIs(t, c.applyReply(0, &wire.PullReply{Ready: true, Snapshot: true, Revision: 8, Objects: []platform.Object{contract("a", 4, 1)}}), errOlderRevision)
+	require.ErrorIs(t, c.applyReply(9, &wire.PullReply{Ready: true, Revision: 8}), errOlderRevision)
+	require.ErrorIs(t, c.applyReply(5, &wire.PullReply{Ready: true, Revision: 12}), errBaseMismatch)
+	require.ErrorIs(t, c.applyReply(9, &wire.PullReply{}), errNoConfiguration)
 	require.NoError(t, c.replace(listing(12, contract("a", 4, 1))))
 	require.Equal(t, uint64(9), c.list()[0].Version)
 }
 
-// Somebody writes a contract with a rate of -1 past hqctl. Callers of that
-// customer would all be refused. The last good version stays, the problem shows,
-// and a good version clears it.
+// Guards against an invalid contract refusing all requests of a customer. A contract with a rate
+// of -1 is written without hqctl. The last valid version stays in force, the problem is reported,
+// and a valid version clears it.
 func TestConfigurationKeepsLastGoodVersion(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(1, contract("a", 1, 5))))
@@ -130,27 +131,27 @@
 	require.Empty(t, c.problems())
 }
 
-// A reader lags behind more changes than the log holds. A delta would miss the
-// deletions that fell out of the log, so it gets a snapshot.
+// Guards against a delta that lacks deletions which are no longer in the log. A reader that lags
+// behind by more changes than the log holds must get a snapshot.
 func TestConfigurationGivesSnapshotBeyondLog(t *testing.T) {
 	c := newConfiguration(func() {})
 	require.NoError(t, c.replace(listing(1, contract("gone", 1, 5))))
 	c.apply(platform.Event{Type: platform.EventDelete, Object: contract("gone", 1, 5), Revision: 2})
 	var r wire.PullReply
-	c.since(1, everyKind, &r)
+	c.changesSince(1, allKinds, &r)
 	require.False(t, r.Snapshot)
 	require.Equal(t, []platform.ID{{Kind: model.KindContract, Name: "gone"}}, r.Deleted)
-	for v := range uint64(logLength) {
+	for v := range uint64(maxLogLength) {
 		c.apply(put(contract("a", 3+v, 5)))
 	}
 	r = wire.PullReply{}
-	c.since(1, everyKind, &r)
+	c.changesSince(1, allKinds, &r)
 	require.True(t, r.Snapshot)
 	require.Len(t, r.Objects, 1)
 }
 
-// All agents that watch lose the store while the others could reach it. Changes
-// would stop although a path exists. Only a working watch counts.
+// Guards against changes that no longer arrive because all watching agents lose the store while
+// others could reach it. Only working watches count.
 func TestShouldWatch(t *testing.T) {
 	m := func(vm, dc string, watching bool) wire.Member {
 		return wire.Member{VM: vm, DataCentre: dc, Watching: watching}
--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -11,9 +11,9 @@
 	"hemlockquay/internal/statechart"
 )
 
-// changeSteps are the calls by which a change of configuration comes from the
-// operator's file into force. No code interprets a chart of them; the play
-// notes each call under the name of its step, and a call that has no step fails.
+// changeSteps are the calls by which a change of configuration comes into force, from the
+// operator's file to the daemons. No code interprets this chart. The scenario reports each call
+// under the name of its step, and a call without a step fails.
 const changeSteps = `{
 	"name": "configchange",
 	"initial": "draft",
@@ -33,38 +33,38 @@
 	noLease   = "nobody holds a lease on configuration: each write is conditional on the version read"
 )
 
-// changeBreakages has an entry for each fault: why it cannot be, or what it does.
-// lasts is the fault's length.
-var changeBreakages = map[faults.Fault]struct {
+// changeFaults has an entry for each fault: how it is injected and how long it lasts, or why it
+// cannot affect a change.
+var changeFaults = map[faults.Fault]struct {
 	impossible string
-	lasts      time.Duration
-	inject     func(*changePlay)
+	duration   time.Duration
+	inject     func(*changeScenario)
 }{
-	faults.None:            {inject: func(*changePlay) {}},
-	faults.Partition:       {lasts: 3 * time.Second, inject: func(p *changePlay) { p.cut(3 * time.Second) }},
-	faults.Pause:           {lasts: 3 * time.Second, inject: func(p *changePlay) { p.pause(0, 3*time.Second) }},
-	faults.EntryLost:       {lasts: time.Second, inject: func(p *changePlay) { p.loseDaemon(2) }},
-	faults.DispatchLost:    {lasts: time.Second, inject: func(p *changePlay) { p.loseDaemon(1) }},
-	faults.AgentLost:       {lasts: 3 * time.Second, inject: func(p *changePlay) { p.lose(0, 3*time.Second) }},
+	faults.None:            {inject: func(*changeScenario) {}},
+	faults.Partition:       {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.partition(3 * time.Second) }},
+	faults.Pause:           {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.pause(0, 3*time.Second) }},
+	faults.EntryLost:       {duration: time.Second, inject: func(cs *changeScenario) { cs.stopDaemon(2) }},
+	faults.DispatchLost:    {duration: time.Second, inject: func(cs *changeScenario) { cs.stopDaemon(1) }},
+	faults.AgentLost:       {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.stopVM(0, 3*time.Second) }},
 	faults.TargetFrozen:    {impossible: noTargets},
 	faults.TargetLost:      {impossible: noTargets},
-	faults.StoreDown:       {lasts: 10 * time.Second, inject: func(p *changePlay) { p.downTo = time.Now().Add(10 * time.Second) }},
-	faults.StoreSlow:       {lasts: 10 * time.Second, inject: func(p *changePlay) { p.slowTo = time.Now().Add(10 * time.Second) }},
-	faults.StoreAnswerLost: {inject: func(p *changePlay) { p.loseAnswer = true }},
+	faults.StoreDown:       {duration: 10 * time.Second, inject: func(cs *changeScenario) { cs.downUntil = time.Now().Add(10 * time.Second) }},
+	faults.StoreSlow:       {duration: 10 * time.Second, inject: func(cs *changeScenario) { cs.slowUntil = time.Now().Add(10 * time.Second) }},
+	faults.StoreAnswerLost: {inject: func(cs *changeScenario) { cs.loseAnswer = true }},
 	faults.LeaseLapsed:     {impossible: noLease},
-	faults.OperatorsRace:   {inject: (*changePlay).rival},
+	faults.OperatorsRace:   {inject: (*changeScenario).startRival},
 	faults.CrashingRequest: {impossible: noTargets},
-	faults.VMLeaves:        {inject: func(p *changePlay) { p.lose(0, time.Hour) }},
+	faults.VMLeaves:        {inject: func(cs *changeScenario) { cs.stopVM(0, time.Hour) }},
 	faults.TargetLeaves:    {impossible: noTargets},
-	faults.DataCentreLost:  {lasts: 3 * time.Second, inject: func(p *changePlay) { p.lose(0, 3*time.Second); p.lose(1, 3*time.Second) }},
+	faults.DataCentreLost:  {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.stopVM(0, 3*time.Second); cs.stopVM(1, 3*time.Second) }},
 	faults.TargetLostTwice: {impossible: noTargets},
-	faults.PartitionTwice: {lasts: 5 * time.Second, inject: func(p *changePlay) {
-		p.cut(time.Second)
-		time.AfterFunc(1537*time.Millisecond, func() { p.mu.Lock(); defer p.mu.Unlock(); p.cut(3 * time.Second) })
+	faults.PartitionTwice: {duration: 5 * time.Second, inject: func(cs *changeScenario) {
+		cs.partition(time.Second)
+		time.AfterFunc(1537*time.Millisecond, func() { cs.mu.Lock(); defer cs.mu.Unlock(); cs.partition(3 * time.Second) })
 	}},
 	faults.TargetAndStore:   {impossible: noTargets + ": see store down"},
 	faults.AgentAndTarget:   {impossible: noTargets + ": see agent lost"},
-	faults.PauseInPartition: {lasts: 3 * time.Second, inject: func(p *changePlay) { p.cut(3 * time.Second); p.pause(1, 3*time.Second) }},
+	faults.PauseInPartition: {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.partition(3 * time.Second); cs.pause(1, 3*time.Second) }},
 }
 
 const changeAbout = `An operator applies a contract by ctl.Apply, over a store in memory with a wrapper for its faults; three
@@ -78,24 +78,24 @@
 holds what was accepted last; a change that was refused was not written; of two racing
 operators one got a conflict (every order of their calls is the matter of internal/ctl's test); the stored version is in force everywhere.`
 
-// An operator's change is accepted and not in force on some VM, or falls back, or
-// one of two racing changes is lost without a word: something broke between the
-// file and the daemons. docs/faults/configchange.md shows each fault at each step.
+// Guards against an accepted change that is not in force on some VM or is reverted, and against
+// one of two concurrent changes being lost without an error, after a fault between the operator's
+// file and the daemons. docs/faults/configchange.md shows the outcome of each fault at each step.
 func TestFaultsAtStepsOfConfigurationChange(t *testing.T) {
 	chart, err := statechart.Parse("steps", []byte(changeSteps))
 	require.NoError(t, err)
 	m := faults.New(chart, changeAbout)
 	for _, step := range faults.Steps(chart) {
 		for _, f := range faults.All() {
-			b, ok := changeBreakages[f]
-			require.True(t, ok, "no entry for %s", f)
+			b, ok := changeFaults[f]
+			require.True(t, ok, "no case for fault %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
 			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					m.Set(f, step, newChangePlay(t, chart, step, b.inject, b.lasts).run())
+					m.Set(f, step, newChangeScenario(t, chart, step, b.inject, b.duration).run())
 				})
 			})
 		}
--- a/internal/agent/lister.go
+++ b/internal/agent/lister.go
@@ -10,10 +10,11 @@
 	"hemlockquay/internal/platform"
 )
 
-// listEvery is how often the platform's list of VMs is read; it lags anyway.
-const listEvery = time.Second
+// listInterval is the time between two reads of the platform's list of VMs. The list lags behind
+// the VMs, so more frequent reads would gain nothing.
+const listInterval = time.Second
 
-// lister reads the platform's list. It is one goroutine.
+// lister reads the platform's list of VMs. It runs in one goroutine.
 type lister struct {
 	store   platform.Store
 	members *members
@@ -23,18 +24,18 @@
 
 func (l *lister) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.once(ctx)
-		pause.For(ctx, listEvery)
+		l.readList(ctx)
+		pause.For(ctx, listInterval)
 	}
 }
 
-func (l *lister) once(ctx context.Context) {
+func (l *lister) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.timeout)
 	defer cancel()
 	vms, err := l.store.VMs(ctx)
 	if err != nil {
-		// The list in force stays: an outage of the platform ends no VM.
-		l.log.Debug().Err(err).Str("step", "list-vms").Str("peer", "platform").Msg("list not read")
+		// The previous list stays in force: an outage of the platform must not remove VMs.
+		l.log.Debug().Err(err).Str("step", "list-vms").Str("peer", "platform").Msg("cannot read the list of VMs; the previous list stays in force")
 		return
 	}
 	l.members.setList(vms)
--- a/internal/agent/members.go
+++ b/internal/agent/members.go
@@ -10,32 +10,32 @@
 	"hemlockquay/internal/wire"
 )
 
-// members knows the VMs of the system. It is safe for concurrent use.
+// members holds the VMs of the system. It is safe for concurrent use.
 type members struct {
-	clock   boottime.Clock
-	silence time.Duration
-	begun   time.Duration
-	// changed is notified of members, grantsChanged of peers' grants.
+	clock          boottime.Clock
+	silenceTimeout time.Duration
+	startedAt      time.Duration
+	// changed is called when members change, grantsChanged when grants of peers change.
 	changed, grantsChanged func()
 
 	mu    sync.Mutex
 	self  wire.Member
 	peers map[string]*peerState
-	// listed says that the platform's list was read.
-	listed bool
+	// listRead is set once the platform's list was read.
+	listRead bool
 }
 
 func newMembers(self wire.Member, clock boottime.Clock, silence time.Duration, changed func()) *members {
 	return &members{
-		self: self, clock: clock, silence: silence, begun: clock.Now(), changed: changed, grantsChanged: changed,
+		self: self, clock: clock, silenceTimeout: silence, startedAt: clock.Now(), changed: changed, grantsChanged: changed,
 		peers: make(map[string]*peerState),
 	}
 }
 
-// setList takes the platform's list. VMs that left the list are forgotten.
+// setList stores the platform's list and removes VMs that are not on it.
 func (m *members) setList(vms []platform.VM) {
 	m.mu.Lock()
-	m.listed = true
+	m.listRead = true
 	listed := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		listed[vm.Name] = true
@@ -58,7 +58,7 @@
 	m.changed()
 }
 
-// updateSelf changes what heartbeats report of this VM.
+// updateSelf changes what heartbeats report about this VM.
 func (m *members) updateSelf(change func(*wire.Member)) {
 	m.mu.Lock()
 	before := m.self
@@ -70,15 +70,16 @@
 	}
 }
 
-func (m *members) me() wire.Member {
+func (m *members) selfMember() wire.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// ahead returns the agents that hold a newer configuration, of the own data
-// centre and of others. Without one of our own, any that holds one is ahead.
-func (m *members) ahead(revision uint64, ready bool) (near, far []string) {
+// peersAhead returns the agents with a newer configuration in the own data centre (near) and in
+// others (far). If this agent has no configuration (ready is false), every agent with one counts
+// as newer.
+func (m *members) peersAhead(revision uint64, ready bool) (near, far []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
@@ -94,7 +95,7 @@
 	return near, far
 }
 
-// live returns this VM and the peers that are alive, sorted by name.
+// live returns this VM and the live peers, sorted by name.
 func (m *members) live() []wire.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,31 +112,30 @@
 	return out
 }
 
-// aliveWithin returns the VMs whose heartbeats came within the time, or within what their
-// heartbeats need under load; this one included.
+// aliveWithin returns the VMs whose last heartbeat arrived within d, or within the longer timeout
+// that their heartbeats need under load, and this VM.
 //
-// A VM that reports that it leaves is left out: the next in the succession takes its groups over
-// while it still renews them, and its end costs no gap.
+// VMs that report that they are leaving are excluded, so that the next in the succession takes
+// over their groups while they still renew the grants, and their end causes no gap.
 func (m *members) aliveWithin(d time.Duration) map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string]bool{m.self.VM: true}
 	now := m.clock.Now()
 	for name, p := range m.peers {
-		if p.known && !p.member.Leaving && p.heard.Alive(now, d) {
+		if p.heartbeatSeen && !p.member.Leaving && p.detector.Alive(now, d) {
 			out[name] = true
 		}
 	}
 	return out
 }
 
-// places returns all listed VMs, this one too, sorted by name; none before the
-// list was read. To name this VM alone would give its entry the whole of
-// every contract.
-func (m *members) places() []wire.Place {
+// listedPlaces returns all listed VMs including this one, sorted by name, or nil before the list
+// was read. A list of only this VM would give its entry the whole limit of every contract.
+func (m *members) listedPlaces() []wire.Place {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.listed {
+	if !m.listRead {
 		return nil
 	}
 	out := []wire.Place{{VM: m.self.VM, DataCentre: m.self.DataCentre}}
@@ -146,38 +146,38 @@
 	return out
 }
 
-// settleWithin bounds how long a new agent waits for the reports of its peers: a
-// peer that has not answered within the time that makes it silent is gone.
-const settleWithin = time.Second
+// settleTimeout bounds how long a new agent waits for the reports of its peers. It is longer than
+// the silence after which a peer counts as lost.
+const settleTimeout = time.Second
 
-// settled reports whether members and grants are complete enough to act on.
-// Daemons are ready only once each listed peer has reported its grants, or counts as failed: with
-// less, every key seems to be without an owner.
+// settled reports whether members and grants are complete enough to act on: every listed live
+// peer has reported its grants, or settleTimeout has passed. Daemons become ready only then; with
+// less, keys would appear to have no owner.
 func (m *members) settled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.clock.Now()-m.begun >= settleWithin {
+	if m.clock.Now()-m.startedAt >= settleTimeout {
 		return true
 	}
-	if !m.listed {
+	if !m.listRead {
 		return false
 	}
 	for _, p := range m.peers {
-		if p.source == "" && p.listed.State == platform.VMLive {
+		if p.grantSource == "" && p.listed.State == platform.VMLive {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *members) isListed() bool {
+func (m *members) isListRead() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.listed
+	return m.listRead
 }
 
-// addrs returns the agents of all listed peers.
-func (m *members) addrs() map[string]string {
+// peerAddrs returns the agent addresses of all listed peers by VM.
+func (m *members) peerAddrs() map[string]string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[string]string, len(m.peers))
@@ -187,9 +187,9 @@
 	return out
 }
 
-// storeWatched reports whether any live agent's watch of the store works. While one
-// does, an outranked grantor writes a new epoch; a claim by the next in the succession at the
-// old one would only be cut short by it, and callers refused twice.
+// storeWatched reports whether the watch of any live agent works. While one does, an outranked
+// grantor writes a new epoch. A claim by the next in the succession at the old epoch would then
+// soon be superseded, and callers would be refused twice.
 func (m *members) storeWatched() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/agent/members_test.go
+++ b/internal/agent/members_test.go
@@ -10,21 +10,21 @@
 	"hemlockquay/internal/wire"
 )
 
-// handClock is a clock that a test moves.
-type handClock struct{ now time.Duration }
+// manualClock is a clock that tests advance.
+type manualClock struct{ now time.Duration }
 
-func (c *handClock) Now() time.Duration { return c.now }
+func (c *manualClock) Now() time.Duration { return c.now }
 
-func twoMembers(clock *handClock) *members {
+func twoMembers(clock *manualClock) *members {
 	m := newMembers(wire.Member{VM: "vm1"}, clock, time.Second, func() {})
 	m.setList([]platform.VM{{Name: "vm1"}, {Name: "vm2", State: platform.VMLive}})
 	return m
 }
 
-// A VM is replaced under its old name. A heartbeat of the old process, held up
-// on the way, arrives after the new one's: requests would go to the old address.
+// Guards against requests to the address of a replaced process. A VM is replaced under the same
+// name, and a delayed heartbeat of the old process arrives after those of the new one.
 func TestMembersIgnoreOlderIncarnation(t *testing.T) {
-	clock := &handClock{now: time.Hour}
+	clock := &manualClock{now: time.Hour}
 	m := twoMembers(clock)
 	m.recordHeartbeat(wire.Member{VM: "vm2", Incarnation: "vm2-200", DispatchAddr: "new"})
 	m.recordHeartbeat(wire.Member{VM: "vm2", Incarnation: "vm2-100", DispatchAddr: "old"})
@@ -34,27 +34,27 @@
 	require.Equal(t, "clock set back", m.live()[1].DispatchAddr)
 }
 
-// A VM freezes for a minute and returns. Every peer seems silent, and its
-// daemons would send all requests to themselves. The pause is no silence.
+// Guards against a VM that considers all peers lost after it was suspended for a minute, so that
+// its daemons would send all requests to themselves. The pause must not count as silence.
 func TestMembersSurviveOwnPause(t *testing.T) {
-	clock := &handClock{now: time.Hour}
+	clock := &manualClock{now: time.Hour}
 	m := twoMembers(clock)
 	m.recordHeartbeat(wire.Member{VM: "vm2", Incarnation: "vm2-1"})
 	clock.now += time.Minute
-	m.resumed(time.Minute)
+	m.excludePause(time.Minute)
 	require.Len(t, m.live(), 2)
 	clock.now += time.Second
 	require.Len(t, m.live(), 1)
 }
 
-// An agent starts while the platform's list cannot be read: peers that speak
-// count until the list comes, which then rules.
+// An agent starts while the platform's list cannot be read. Peers that send heartbeats count as
+// members until the list is read, which then decides.
 func TestMembersBeforeFirstList(t *testing.T) {
-	clock := &handClock{now: time.Hour}
+	clock := &manualClock{now: time.Hour}
 	m := newMembers(wire.Member{VM: "vm1"}, clock, time.Second, func() {})
 	m.recordHeartbeat(wire.Member{VM: "vm2", Incarnation: "vm2-1", AgentAddr: "a2", Held: 4, Holds: true})
-	_, far := m.ahead(0, false)
-	near, _ := m.ahead(3, true)
+	_, far := m.peersAhead(0, false)
+	near, _ := m.peersAhead(3, true)
 	require.Equal(t, []string{"a2"}, append(near, far...)[:1])
 	m.setList([]platform.VM{{Name: "vm1"}})
 	require.Len(t, m.live(), 1)
@@ -62,18 +62,18 @@
 	require.Len(t, m.live(), 1)
 }
 
-// A VM is replaced under load. Its dispatcher gets requests before its agent has
-// heard who owns which key, and callers wait out their deadline. The agent is
-// settled only with every listed peer's grants, or once silence shows.
+// Guards against callers waiting until their deadline after a VM was replaced under load: its
+// dispatcher gets requests before its agent knows the owners of the keys. The agent is settled
+// only when every listed peer has reported its grants, or after settleTimeout.
 func TestMembersSettle(t *testing.T) {
-	clock := &handClock{now: time.Hour}
+	clock := &manualClock{now: time.Hour}
 	m := twoMembers(clock)
 	require.False(t, m.settled())
 	m.recordHeartbeat(wire.Member{VM: "vm2", Incarnation: "vm2-1"})
 	require.False(t, m.settled())
-	m.takeGrants("vm2", &wire.BeatReply{Member: wire.Member{Incarnation: "vm2-1"}})
+	m.setPeerGrants("vm2", &wire.BeatReply{Member: wire.Member{Incarnation: "vm2-1"}})
 	require.True(t, m.settled())
-	lonely := twoMembers(clock)
-	clock.now += settleWithin
-	require.True(t, lonely.settled())
+	unreachable := twoMembers(clock)
+	clock.now += settleTimeout
+	require.True(t, unreachable.settled())
 }
--- a/internal/agent/puller.go
+++ b/internal/agent/puller.go
@@ -15,66 +15,66 @@
 	"hemlockquay/internal/wire"
 )
 
-// watchGrace is how long an agent whose watch works waits for the store before
-// it asks a peer: the store's event is in flight and costs nothing more.
+// watchGrace is how long an agent with a working watch waits for the store's event before it
+// queries a peer. The event is already on its way and costs no further call.
 const watchGrace = 300 * time.Millisecond
 
-// syncTimeout bounds one question to a peer; a snapshot of some megabytes takes
-// well under a second between data centres.
+// syncTimeout bounds one query to a peer. A snapshot of several megabytes takes well under a
+// second between data centres.
 const syncTimeout = 3 * time.Second
 
-// puller fetches from a peer what the store does not bring. It is one goroutine.
+// puller fetches changes from a peer that do not arrive from the store. It runs in one goroutine.
 //
-// Heartbeats report which revision each peer holds, so at rest no question is
-// asked, and a change costs each agent without a watch one delta from one peer.
-// The peer is drawn at random among those ahead, the own data centre first: no
-// peer has to answer all. The answers spread as an epidemic does, so that the
-// agents with a watch are asked by few.
+// Heartbeats report each peer's revision, so nothing is queried while there are no changes, and
+// each change costs an agent without a watch one delta from one peer. The peer is chosen at
+// random among those with a newer revision, preferably in the own data centre, so that no peer
+// has to answer all the others. Changes spread epidemically, so the agents with a watch answer
+// only a few queries.
 type puller struct {
-	config  *configuration
-	members *members
-	watch   *watcher
-	peers   *peer.Pool
-	every   time.Duration
-	log     *log.Logger
+	config   *configuration
+	members  *members
+	watch    *watcher
+	peers    *peer.Pool
+	interval time.Duration
+	log      *log.Logger
 
-	// joined says that a snapshot of a peer was taken in this life.
-	joined bool
-	behind time.Time
+	// synced is set once this process has synchronised with a peer.
+	synced      bool
+	behindSince time.Time
 
-	syncs, snapshots, refused metrics.Counter
+	syncs, snapshots, olderRefused metrics.Counter
 }
 
 func newPuller(a *agent, w *watcher) *puller {
 	return &puller{
-		config: a.config, members: a.members, watch: w, peers: a.peers, every: a.Settings.Heartbeat.D(), log: a.Log,
-		syncs:     metrics.GetOrRegisterCounter("config.syncs", a.Registry),
-		snapshots: metrics.GetOrRegisterCounter("config.snapshots", a.Registry),
-		refused:   metrics.GetOrRegisterCounter("config.refused.older", a.Registry),
+		config: a.config, members: a.members, watch: w, peers: a.peers, interval: a.Settings.Heartbeat.D(), log: a.Log,
+		syncs:        metrics.GetOrRegisterCounter("config.syncs", a.Registry),
+		snapshots:    metrics.GetOrRegisterCounter("config.snapshots", a.Registry),
+		olderRefused: metrics.GetOrRegisterCounter("config.refused.older", a.Registry),
 	}
 }
 
 func (p *puller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if addr := p.source(time.Now()); addr != "" {
+		if addr := p.choosePeer(time.Now()); addr != "" {
 			p.sync(ctx, addr)
 		}
-		pause.For(ctx, p.every/4+rand.N(p.every/4))
+		pause.For(ctx, p.interval/4+rand.N(p.interval/4))
 	}
 }
 
-// source returns the peer to ask now, or "".
-func (p *puller) source(now time.Time) string {
-	revision, ready := p.config.state()
-	near, far := p.members.ahead(revision, ready)
+// choosePeer returns the address of the peer to query now, or "".
+func (p *puller) choosePeer(now time.Time) string {
+	revision, ready := p.config.heldRevision()
+	near, far := p.members.peersAhead(revision, ready)
 	if len(near)+len(far) == 0 {
-		p.behind = time.Time{}
+		p.behindSince = time.Time{}
 		return ""
 	}
-	if p.behind.IsZero() {
-		p.behind = now
+	if p.behindSince.IsZero() {
+		p.behindSince = now
 	}
-	if p.watch.working() && now.Sub(p.behind) < watchGrace {
+	if p.watch.working() && now.Sub(p.behindSince) < watchGrace {
 		return ""
 	}
 	if len(near) > 0 {
@@ -83,35 +83,34 @@
 	return far[rand.N(len(far))]
 }
 
-// sync asks one peer.
-// The base of a restarted agent may belong to another history than the peers', so its first query
-// asks for everything.
+// sync queries one peer. The configuration of a restarted agent may come from another history
+// than its peers', so the first query requests a snapshot.
 func (p *puller) sync(ctx context.Context, addr string) {
-	from := uint64(0)
-	if p.joined {
-		from, _ = p.config.state()
+	base := uint64(0)
+	if p.synced {
+		base, _ = p.config.heldRevision()
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	var reply wire.PullReply
 	p.syncs.Inc(1)
-	err := p.peers.Get(addr).Call(ctx, wire.MethodSync, &wire.PullArgs{Process: agentProcess, Revision: from}, &reply)
+	err := p.peers.Get(addr).Call(ctx, wire.MethodSync, &wire.PullArgs{Process: agentProcess, Revision: base}, &reply)
 	if err == nil {
-		err = p.config.take(from, &reply)
+		err = p.config.applyReply(base, &reply)
 	}
 	if err != nil {
-		p.note(addr, err)
+		p.logFailure(addr, err)
 		return
 	}
 	if reply.Snapshot {
 		p.snapshots.Inc(1)
 	}
-	p.joined = true
+	p.synced = true
 }
 
-func (p *puller) note(addr string, err error) {
-	if errors.Is(err, errOlder) {
-		p.refused.Inc(1)
+func (p *puller) logFailure(addr string, err error) {
+	if errors.Is(err, errOlderRevision) {
+		p.olderRefused.Inc(1)
 	}
-	p.log.Warn().Err(fmt.Errorf("sync with %s: %w", addr, err)).Str("step", "sync").Str("peer", addr).Msg("no configuration from the peer")
+	p.log.Warn().Err(fmt.Errorf("sync with %s: %w", addr, err)).Str("step", "sync").Str("peer", addr).Msg("cannot get the configuration from the peer")
 }
