--- a/internal/agent/reporter.go
+++ b/internal/agent/reporter.go
@@ -80,8 +80,8 @@
 	r.problemGauge.Update(int64(len(problems)))
 	for _, p := range problems {
 		if !slices.Contains(r.loggedProblems, p) {
-			r.log.Error().Str("step", "configure").Msg("object rejected; its last valid version stays in force: " + p)
-			r.agent.Journal.Add("configure", "object rejected; its last valid version stays in force: "+p)
+			r.log.Error().Str("step", "configure").Msg("object refused, the last good version stays: " + p)
+			r.agent.Journal.Add("configure", "object refused, the last good version stays: "+p)
 		}
 	}
 	r.loggedProblems = problems
