--- a/internal/platform/counted.go
+++ b/internal/platform/counted.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (c *Counted) note(err error) {
+func (c *Counted) record(err error) {
 	c.calls.Inc(1)
 	if err != nil {
 		c.failures.Inc(1)
@@ -47,28 +47,28 @@
 // Get implements Store.
 func (c *Counted) Get(ctx context.Context, id ID) (Object, error) {
 	o, err := c.store.Get(ctx, id)
-	c.note(err)
+	c.record(err)
 	return o, err
 }
 
 // List implements Store.
 func (c *Counted) List(ctx context.Context) (Listing, error) {
 	l, err := c.store.List(ctx)
-	c.note(err)
+	c.record(err)
 	return l, err
 }
 
 // Put implements Store.
 func (c *Counted) Put(ctx context.Context, o Object) (Object, error) {
 	w, err := c.store.Put(ctx, o)
-	c.note(err)
+	c.record(err)
 	return w, err
 }
 
 // Delete implements Store.
 func (c *Counted) Delete(ctx context.Context, o Object) error {
 	err := c.store.Delete(ctx, o)
-	c.note(err)
+	c.record(err)
 	return err
 }
 
@@ -81,6 +81,6 @@
 // VMs implements Store.
 func (c *Counted) VMs(ctx context.Context) ([]VM, error) {
 	v, err := c.store.VMs(ctx)
-	c.note(err)
+	c.record(err)
 	return v, err
 }
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -22,33 +22,33 @@
 const (
 	budgetWrites = 150
 	budgetReads  = 1000
-	// burst is how many seconds of a share may be used at once.
-	burst = 2
-	// minShare keeps a VM able to speak at all when there are very many.
-	minShare = 0.2
+	// burstSeconds is how many seconds of a share may be used at once.
+	burstSeconds = 2
+	// minRate keeps a VM able to speak at all when there are very many.
+	minRate = 0.2
 )
 
 // The circuit breaker.
 const (
-	// tripAfter failures in a row open the circuit: one or two are lost answers.
-	tripAfter = 3
-	// probeEvery is the mean pause between two probes of an open circuit. Nine
+	// tripAfterFailures failures in a row open the circuit: one or two are lost answers.
+	tripAfterFailures = 3
+	// probeInterval is the mean pause between two probes of an open circuit. Nine
 	// VMs then make nine calls a second at a dead store, and find it alive again
 	// within about a second.
-	probeEvery = time.Second
-	// probeSpread is the part of probeEvery by which VMs differ, so that they
+	probeInterval = time.Second
+	// probeJitter is the part of probeEvery by which VMs differ, so that they
 	// do not probe in step.
-	probeSpread = 0.5
-	// watchProof is how long a watch must last without an error, where no event
+	probeJitter = 0.5
+	// watchHealthyAfter is how long a watch must last without an error, where no event
 	// comes, to count as a success. Bookmarks come once a second.
-	watchProof = 1500 * time.Millisecond
+	watchHealthyAfter = 1500 * time.Millisecond
 )
 
 // Pauses between repeats of a read.
 const (
-	readPauseMin = 50 * time.Millisecond
-	readPauseMax = time.Second
-	readTries    = 3
+	readBackoffMin  = 50 * time.Millisecond
+	readBackoffMax  = time.Second
+	maxReadAttempts = 3
 )
 
 // Guard protects the store from one VM. It is safe for concurrent use.
@@ -68,17 +68,17 @@
 // NewGuard returns a guard with the whole budget as its share.
 func NewGuard(registry metrics.Registry) *Guard {
 	g := &Guard{
-		reads:   rate.NewLimiter(budgetReads, burst*budgetReads),
-		writes:  rate.NewLimiter(budgetWrites, burst*budgetWrites),
+		reads:   rate.NewLimiter(budgetReads, burstSeconds*budgetReads),
+		writes:  rate.NewLimiter(budgetWrites, burstSeconds*budgetWrites),
 		refused: metrics.GetOrRegisterCounter("store.refused", registry),
 	}
 	open := metrics.GetOrRegisterGauge("store.circuit.open", registry)
-	spread := 1 + probeSpread*(rand.Float64()-0.5)
+	spread := 1 + probeJitter*(rand.Float64()-0.5)
 	g.breaker = gobreaker.NewCircuitBreaker[struct{}](gobreaker.Settings{
 		Name:        "store",
 		MaxRequests: 1,
-		Timeout:     time.Duration(float64(probeEvery) * spread),
-		ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= tripAfter },
+		Timeout:     time.Duration(float64(probeInterval) * spread),
+		ReadyToTrip: func(c gobreaker.Counts) bool { return c.ConsecutiveFailures >= tripAfterFailures },
 		IsSuccessful: func(err error) bool {
 			return !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrAmbiguous)
 		},
@@ -92,22 +92,22 @@
 
 // Share sets this VM's part of the budget, one of vms equal parts.
 func (g *Guard) Share(vms int) {
-	setShare(g.reads, budgetReads, vms)
-	setShare(g.writes, budgetWrites, vms)
+	setRateLimit(g.reads, budgetReads, vms)
+	setRateLimit(g.writes, budgetWrites, vms)
 }
 
-func setShare(l *rate.Limiter, whole float64, vms int) {
-	share := max(whole/float64(max(vms, 1)), minShare)
+func setRateLimit(l *rate.Limiter, whole float64, vms int) {
+	share := max(whole/float64(max(vms, 1)), minRate)
 	if l.Limit() == rate.Limit(share) {
 		return
 	}
 	l.SetLimit(rate.Limit(share))
-	l.SetBurst(max(1, int(burst*share)))
+	l.SetBurst(max(1, int(burstSeconds*share)))
 }
 
 // Wrap returns the store behind the guard. All stores that one guard wraps
 // share its rates and its circuit.
-func (g *Guard) Wrap(s Store) Store { return &guarded{g, s} }
+func (g *Guard) Wrap(s Store) Store { return &guardedStore{g, s} }
 
 // do passes one call.
 func (g *Guard) do(ctx context.Context, l *rate.Limiter, call func() error) error {
@@ -127,7 +127,7 @@
 // A call that the guard itself refused is not repeated: the pause is the point.
 func read[T any](ctx context.Context, g *Guard, call func() (T, error)) (T, error) {
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval = readPauseMin, readPauseMax
+	pauses.InitialInterval, pauses.MaxInterval = readBackoffMin, readBackoffMax
 	var out T
 	for try := 1; ; try++ {
 		reached := false
@@ -138,35 +138,35 @@
 			return err
 		})
 		failed := errors.Is(err, ErrUnavailable) || errors.Is(err, ErrAmbiguous)
-		if !failed || !reached || try == readTries || !pause.For(ctx, pauses.NextBackOff()) {
+		if !failed || !reached || try == maxReadAttempts || !pause.For(ctx, pauses.NextBackOff()) {
 			return out, err
 		}
 	}
 }
 
-// guarded is a Store behind a guard.
-type guarded struct {
+// guardedStore is a Store behind a guard.
+type guardedStore struct {
 	guard *Guard
 	store Store
 }
 
 // Get implements Store.
-func (s *guarded) Get(ctx context.Context, id ID) (Object, error) {
+func (s *guardedStore) Get(ctx context.Context, id ID) (Object, error) {
 	return read(ctx, s.guard, func() (Object, error) { return s.store.Get(ctx, id) })
 }
 
 // List implements Store.
-func (s *guarded) List(ctx context.Context) (Listing, error) {
+func (s *guardedStore) List(ctx context.Context) (Listing, error) {
 	return read(ctx, s.guard, func() (Listing, error) { return s.store.List(ctx) })
 }
 
 // VMs implements Store.
-func (s *guarded) VMs(ctx context.Context) ([]VM, error) {
+func (s *guardedStore) VMs(ctx context.Context) ([]VM, error) {
 	return read(ctx, s.guard, func() ([]VM, error) { return s.store.VMs(ctx) })
 }
 
 // Put implements Store. It is never repeated here; see Write.
-func (s *guarded) Put(ctx context.Context, o Object) (Object, error) {
+func (s *guardedStore) Put(ctx context.Context, o Object) (Object, error) {
 	var written Object
 	err := s.guard.do(ctx, s.guard.writes, func() error {
 		var err error
@@ -177,13 +177,13 @@
 }
 
 // Delete implements Store.
-func (s *guarded) Delete(ctx context.Context, o Object) error {
+func (s *guardedStore) Delete(ctx context.Context, o Object) error {
 	return s.guard.do(ctx, s.guard.writes, func() error { return s.store.Delete(ctx, o) })
 }
 
 // Watch implements Store. The circuit counts the watch's beginning, not its end:
 // a watch ends for many reasons, and a probe must not last as long as a watch.
-func (s *guarded) Watch(ctx context.Context, from uint64, handle func(Event) error) error {
+func (s *guardedStore) Watch(ctx context.Context, from uint64, handle func(Event) error) error {
 	ended := make(chan error, 1)
 	var once sync.Once
 	first := make(chan struct{})
@@ -196,7 +196,7 @@
 				return handle(e)
 			})
 		}()
-		proof := time.NewTimer(watchProof)
+		proof := time.NewTimer(watchHealthyAfter)
 		defer proof.Stop()
 		select {
 		case err := <-ended:
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -40,7 +40,7 @@
 // The store is down for a minute. Each VM's duties ask again and again; when the
 // store returns it is buried under the repeats and stays down. Cause: nothing
 // holds the calls back while they all fail.
-func TestOutageLetsOneProbeThrough(t *testing.T) {
+func TestOutageAllowsOnlyProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var down atomic.Bool
 		down.Store(true)
@@ -68,7 +68,7 @@
 		require.GreaterOrEqual(t, during, int64(40))
 		require.LessOrEqual(t, during, int64(85), "calls in a minute of outage by 20 callers")
 		down.Store(false)
-		time.Sleep(2 * probeEvery)
+		time.Sleep(2 * probeInterval)
 		_, err := s.Get(ctx, ID{})
 		require.NoError(t, err, "the circuit closes after the outage")
 		cancel()
@@ -78,7 +78,7 @@
 
 // A VM in a loop writes as fast as it can. The other VMs' writes are refused by
 // the store, and nobody knows why. Cause: no VM has a share of its own.
-func TestShareBoundsOneVM(t *testing.T) {
+func TestShareLimitsOneVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{put: func(o Object) (Object, error) { return o, nil }}
 		g := NewGuard(metrics.NewRegistry())
@@ -93,13 +93,13 @@
 			}
 		}
 		share := float64(budgetWrites) / 9
-		require.InDelta(t, share*(60+burst), float64(f.puts.Load()), share)
+		require.InDelta(t, share*(60+burstSeconds), float64(f.puts.Load()), share)
 	})
 }
 
 // A quiet watch runs for minutes after the outage while every other call is
 // refused. Cause: the circuit takes the watch for its probe and waits for its end.
-func TestWatchIsNoEndlessProbe(t *testing.T) {
+func TestWatchDoesNotOccupyProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		down := true
 		f := &fakeStore{get: func() (Object, error) {
@@ -112,10 +112,10 @@
 		_, err := s.Get(t.Context(), ID{})
 		require.ErrorIs(t, err, ErrUnavailable)
 		down = false
-		time.Sleep(2 * probeEvery)
+		time.Sleep(2 * probeInterval)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = s.Watch(ctx, 0, func(Event) error { return nil }) }()
-		time.Sleep(watchProof + time.Millisecond)
+		time.Sleep(watchHealthyAfter + time.Millisecond)
 		require.Equal(t, int64(1), f.watches.Load())
 		_, err = s.Get(t.Context(), ID{})
 		require.NoError(t, err)
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -14,8 +14,8 @@
 // Pauses between two attempts to settle a lost answer: the first after about
 // ten times the store's usual answer of a few milliseconds.
 const (
-	settlePauseMin = 50 * time.Millisecond
-	settlePauseMax = time.Second
+	resolveBackoffMin = 50 * time.Millisecond
+	resolveBackoffMax = time.Second
 )
 
 // ReadWriter is the part of a store that Write needs.
@@ -45,10 +45,10 @@
 func Write(ctx context.Context, s ReadWriter, o Object) (Object, error) {
 	written, err := s.Put(ctx, o)
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval = settlePauseMin, settlePauseMax
+	pauses.InitialInterval, pauses.MaxInterval = resolveBackoffMin, resolveBackoffMax
 	for errors.Is(err, ErrAmbiguous) {
 		again := false
-		if written, again, err = settle(ctx, s, o, err); !again {
+		if written, again, err = resolve(ctx, s, o, err); !again {
 			return written, err
 		}
 		if !pause.For(ctx, pauses.NextBackOff()) {
@@ -58,9 +58,9 @@
 	return written, err
 }
 
-// settle reads the object and repeats the write if that is safe. again says that
+// resolve reads the object and repeats the write if that is safe. again says that
 // the outcome is still open.
-func settle(ctx context.Context, s ReadWriter, o Object, lost error) (written Object, again bool, err error) {
+func resolve(ctx context.Context, s ReadWriter, o Object, lost error) (written Object, again bool, err error) {
 	current, err := s.Get(ctx, o.ID())
 	switch {
 	case err == nil && current.Writer == o.Writer:
