--- a/internal/platform/counted.go
+++ b/internal/platform/counted.go
@@ -6,11 +6,11 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// Cause says why the system calls the store. Calls are counted by cause,
-// because the store's rates are a budget that the whole system shares.
+// Cause is the purpose of a store call. Calls are counted by cause because all
+// processes of the system share the store's rate limits.
 type Cause string
 
-// The causes of calls.
+// Causes of store calls.
 const (
 	CauseConfig     Cause = "config"
 	CauseMembership Cause = "membership"
@@ -21,14 +21,14 @@
 	CauseOperator   Cause = "operator"
 )
 
-// Counted is a Store that counts its calls as store.calls.CAUSE and the failed
-// ones as store.failures.CAUSE.
+// Counted is a Store that counts calls in the metric store.calls.CAUSE and failed
+// calls in store.failures.CAUSE.
 type Counted struct {
 	store           Store
 	calls, failures metrics.Counter
 }
 
-// Count returns the store with its calls counted under the cause.
+// Count wraps a store so that its calls are counted under the cause.
 func Count(s Store, cause Cause, registry metrics.Registry) *Counted {
 	return &Counted{
 		store:    s,
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -16,56 +16,60 @@
 	"hemlockquay/internal/pause"
 )
 
-// The budget. The store takes several hundred writes and about 2,000 reads a
-// second from the whole system. Half of 300 and of 2,000 is planned for, so that
-// operators' tools and a wrong count of VMs fit into the other half.
+// Rate limits. The store accepts several hundred writes and about 2,000 reads per
+// second from the whole system. The VMs together use half of 300 and of 2,000; the
+// other half is left for operators' tools and for a wrong count of VMs.
 const (
 	budgetWrites = 150
 	budgetReads  = 1000
-	// burstSeconds is how many seconds of a share may be used at once.
+	// burstSeconds is the size of a burst, in seconds at the VM's rate.
 	burstSeconds = 2
-	// minRate keeps a VM able to speak at all when there are very many.
+	// minRate is the lowest rate of a VM, calls per second, so that it can still call
+	// the store when very many VMs share the budget.
 	minRate = 0.2
 )
 
-// The circuit breaker.
+// Parameters of the circuit breaker.
 const (
-	// tripAfterFailures failures in a row open the circuit: one or two are lost answers.
+	// tripAfterFailures is how many consecutive failures open the circuit. One or
+	// two failures may be single lost answers.
 	tripAfterFailures = 3
-	// probeInterval is the mean pause between two probes of an open circuit. Nine
-	// VMs then make nine calls a second at a dead store, and find it alive again
-	// within about a second.
+	// probeInterval is the mean interval between probes while the circuit is open.
+	// Nine VMs then make nine calls per second to an unavailable store and detect
+	// its recovery within about a second.
 	probeInterval = time.Second
-	// probeJitter is the part of probeEvery by which VMs differ, so that they
-	// do not probe in step.
+	// probeJitter is the width of the range in which the VMs' probe intervals lie, as
+	// a fraction of probeInterval. It keeps VMs from probing at the same time.
 	probeJitter = 0.5
-	// watchHealthyAfter is how long a watch must last without an error, where no event
-	// comes, to count as a success. Bookmarks come once a second.
+	// watchHealthyAfter is how long a watch without events must run without an error
+	// to count as a success. Bookmarks arrive once per second.
 	watchHealthyAfter = 1500 * time.Millisecond
 )
 
-// Pauses between repeats of a read.
+// Backoff and attempts of reads.
 const (
 	readBackoffMin  = 50 * time.Millisecond
 	readBackoffMax  = time.Second
 	maxReadAttempts = 3
 )
 
-// Guard protects the store from one VM. It is safe for concurrent use.
+// Guard limits the load that one VM puts on the store. It is safe for concurrent
+// use.
 //
-// Failure: in an outage of the store each duty of each VM repeats its calls.
-// When the store returns, all the calls arrive at once, its rates are exceeded,
-// and the outage goes on. Three measures hold against it: a rate for each VM,
-// the shares adding up to half of what the store takes; repeats of reads with
-// exponential pauses and jitter; and a circuit breaker that, while the store
-// fails, refuses calls with ErrUnavailable but for one probe at a time.
+// It prevents retry storms. During an outage of the store every task on every VM
+// retries its calls; when the store recovers, all the calls arrive at once, exceed
+// its rate limits and prolong the outage. Guard has three measures against this: a
+// rate limit for each VM, with all limits adding up to half of what the store
+// accepts; retries of reads with exponential backoff and jitter; and a circuit
+// breaker that, while the store fails, rejects all calls with ErrUnavailable except
+// one probe at a time.
 type Guard struct {
 	reads, writes *rate.Limiter
 	breaker       *gobreaker.CircuitBreaker[struct{}]
 	refused       metrics.Counter
 }
 
-// NewGuard returns a guard with the whole budget as its share.
+// NewGuard returns a guard that may use the whole budget until Share is called.
 func NewGuard(registry metrics.Registry) *Guard {
 	g := &Guard{
 		reads:   rate.NewLimiter(budgetReads, burstSeconds*budgetReads),
@@ -90,7 +94,7 @@
 	return g
 }
 
-// Share sets this VM's part of the budget, one of vms equal parts.
+// Share limits this VM to its part of the budget, divided equally among vms VMs.
 func (g *Guard) Share(vms int) {
 	setRateLimit(g.reads, budgetReads, vms)
 	setRateLimit(g.writes, budgetWrites, vms)
@@ -105,26 +109,27 @@
 	l.SetBurst(max(1, int(burstSeconds*share)))
 }
 
-// Wrap returns the store behind the guard. All stores that one guard wraps
-// share its rates and its circuit.
+// Wrap returns a store whose calls pass through the guard. All stores that one
+// guard wraps share its rate limits and its circuit breaker.
 func (g *Guard) Wrap(s Store) Store { return &guardedStore{g, s} }
 
-// do passes one call.
+// do makes one call within the rate limit and through the circuit breaker.
 func (g *Guard) do(ctx context.Context, l *rate.Limiter, call func() error) error {
 	if err := l.Wait(ctx); err != nil {
 		g.refused.Inc(1)
-		return fmt.Errorf("store budget: %w", errors.Join(ErrUnavailable, err))
+		return fmt.Errorf("store rate limit: %w", errors.Join(ErrUnavailable, err))
 	}
 	_, err := g.breaker.Execute(func() (struct{}, error) { return struct{}{}, call() })
 	if errors.Is(err, gobreaker.ErrOpenState) || errors.Is(err, gobreaker.ErrTooManyRequests) {
 		g.refused.Inc(1)
-		return fmt.Errorf("store circuit: %w", errors.Join(ErrUnavailable, err))
+		return fmt.Errorf("store circuit breaker: %w", errors.Join(ErrUnavailable, err))
 	}
 	return err
 }
 
-// read passes a read and repeats it. Reads have no effect, so repeating is safe.
-// A call that the guard itself refused is not repeated: the pause is the point.
+// read makes a read call and retries it. Reads have no effect, so retrying is safe. A
+// call that the guard itself rejected is not retried, as its purpose is to reduce the
+// load.
 func read[T any](ctx context.Context, g *Guard, call func() (T, error)) (T, error) {
 	pauses := backoff.NewExponentialBackOff()
 	pauses.InitialInterval, pauses.MaxInterval = readBackoffMin, readBackoffMax
@@ -144,7 +149,7 @@
 	}
 }
 
-// guardedStore is a Store behind a guard.
+// guardedStore is a Store whose calls pass through a Guard.
 type guardedStore struct {
 	guard *Guard
 	store Store
@@ -165,7 +170,7 @@
 	return read(ctx, s.guard, func() ([]VM, error) { return s.store.VMs(ctx) })
 }
 
-// Put implements Store. It is never repeated here; see Write.
+// Put implements Store. It is not retried here; see Write.
 func (s *guardedStore) Put(ctx context.Context, o Object) (Object, error) {
 	var written Object
 	err := s.guard.do(ctx, s.guard.writes, func() error {
@@ -181,8 +186,8 @@
 	return s.guard.do(ctx, s.guard.writes, func() error { return s.store.Delete(ctx, o) })
 }
 
-// Watch implements Store. The circuit counts the watch's beginning, not its end:
-// a watch ends for many reasons, and a probe must not last as long as a watch.
+// Watch implements Store. The circuit breaker counts whether the watch starts, not how
+// it ends: a watch ends for many reasons, and a probe must not take as long as a watch.
 func (s *guardedStore) Watch(ctx context.Context, from uint64, handle func(Event) error) error {
 	ended := make(chan error, 1)
 	var once sync.Once
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/pause"
 )
 
-// fakeStore answers Get, Put and Watch as set.
+// fakeStore counts Get, Put and Watch calls; get and put return the results.
 type fakeStore struct {
 	Store
 	gets, puts, watches atomic.Int64
@@ -37,9 +37,8 @@
 	return ctx.Err()
 }
 
-// The store is down for a minute. Each VM's duties ask again and again; when the
-// store returns it is buried under the repeats and stays down. Cause: nothing
-// holds the calls back while they all fail.
+// The store is down for a minute while callers keep retrying. Without a circuit breaker
+// the retries overload the store when it recovers, and the outage goes on.
 func TestOutageAllowsOnlyProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var down atomic.Bool
@@ -66,7 +65,7 @@
 		time.Sleep(time.Minute)
 		during := f.gets.Load() - before
 		require.GreaterOrEqual(t, during, int64(40))
-		require.LessOrEqual(t, during, int64(85), "calls in a minute of outage by 20 callers")
+		require.LessOrEqual(t, during, int64(85), "calls of 20 callers in a minute of outage")
 		down.Store(false)
 		time.Sleep(2 * probeInterval)
 		_, err := s.Get(ctx, ID{})
@@ -76,8 +75,8 @@
 	})
 }
 
-// A VM in a loop writes as fast as it can. The other VMs' writes are refused by
-// the store, and nobody knows why. Cause: no VM has a share of its own.
+// A VM writes in a tight loop. Without a rate limit for each VM it uses up the store's
+// rate, and the store rejects the writes of the other VMs.
 func TestShareLimitsOneVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{put: func(o Object) (Object, error) { return o, nil }}
@@ -97,8 +96,8 @@
 	})
 }
 
-// A quiet watch runs for minutes after the outage while every other call is
-// refused. Cause: the circuit takes the watch for its probe and waits for its end.
+// After an outage the first call is a watch, which may run for minutes without events.
+// If the circuit breaker waits for its end as for a probe, it rejects all other calls.
 func TestWatchDoesNotOccupyProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		down := true
@@ -124,11 +123,9 @@
 	})
 }
 
-// An update is sent, its answer is lost, and the packet itself is late. The
-// object still shows the old version, so the update is sent again; meanwhile the
-// late copy arrives and takes effect. The repeat conflicts with it, and the
-// operator reads that somebody else won. Cause: a conflict of a repeat taken for
-// another's write.
+// The answer to an update is lost and the update itself is delayed. The object still has
+// the old version, so the update is retried; meanwhile the delayed copy takes effect and
+// the retry conflicts with it. The conflict must not be reported as another writer's.
 func TestConflictWithOwnDelayedCopyIsSuccess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := Object{Name: "a", Version: 7, Writer: "other"}
@@ -146,9 +143,8 @@
 	})
 }
 
-// A contract is created, the answer is lost, an operator deletes the contract,
-// and it is there again. Cause: the absent object was taken for a create that
-// never arrived, and the create was repeated.
+// The answer to a create is lost and an operator deletes the object. If the absent object
+// is taken for a create that never arrived, the retry restores the deleted object.
 func TestLostCreateIsNotRepeatedAfterDelete(t *testing.T) {
 	f := &fakeStore{
 		get: func() (Object, error) { return Object{}, ErrNotFound },
--- a/internal/platform/kinds.go
+++ b/internal/platform/kinds.go
@@ -7,24 +7,25 @@
 	"hemlockquay/internal/model"
 )
 
-// Changes are what a watch of one kind returned. To go on, watch from Revision.
+// Changes is the result of a watch of one kind. The next watch starts from Revision.
 type Changes struct {
 	Events   []Event
 	Revision uint64
 }
 
-// ObjectStore is a store that lists and watches by kind and ends each watch with
-// its first changes. Every call counts, so callers watch few kinds and wait
-// long. Errors are those of Store.
+// ObjectStore is a store that lists and watches by kind. A watch returns with the first
+// changes (long polling). Every call counts against the store's rate limits, so callers
+// should watch few kinds with long waits. Errors are those of Store.
 type ObjectStore interface {
-	// Get returns one object, current at the time of the call, or ErrNotFound.
+	// Get returns the current state of one object, or ErrNotFound.
 	Get(ctx context.Context, id ID) (Object, error)
-	// Put writes the object if its stored version is o.Version, creates it
-	// where that is 0, and returns it with its new version.
+	// Put writes the object if its stored version is o.Version, or creates it
+	// if o.Version is 0, and returns it with its new version.
 	Put(ctx context.Context, o Object) (Object, error)
 	// ListKind returns all objects of a kind.
 	ListKind(ctx context.Context, kind model.Kind) (Listing, error)
-	// WatchKind waits for changes of a kind after the revision from; with
-	// none, it returns without events when the wait is over. ErrGone.
+	// WatchKind waits for changes of a kind after the revision from. If there are
+	// none, it returns without events after wait. It returns ErrGone if from is too
+	// old.
 	WatchKind(ctx context.Context, kind model.Kind, from uint64, wait time.Duration) (Changes, error)
 }
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -1,11 +1,11 @@
-// Package platform is the port to the platform that the system runs on: its
+// Package platform defines the interface to the platform that the system runs on: its
 // object store and its list of VMs.
 //
-// The store is the only place that keeps anything. It has versions, conditional
-// writes and watches. It may be down or slow for long, and an answer may be lost
-// after its write took effect. Package objectapi speaks its protocol, package
-// memstore is an in-memory one for tests and the stand-in; both pass the suite
-// in package conformance.
+// The store holds all durable state. It has versions, conditional writes and
+// watches. It may be down or slow for a long time, and an answer may be lost after its
+// write took effect. Package objectapi implements its HTTP protocol; package memstore
+// is an in-memory store for tests and the stand-in. Both pass the suite in package
+// conformance.
 package platform
 
 import (
@@ -16,79 +16,79 @@
 	"hemlockquay/internal/model"
 )
 
-// Errors of a Store. An error that is none of these is a refusal of the call
-// as it stands; repeating it does not help.
+// Errors of a Store. Any other error means that the store rejected the call, and
+// that retrying it does not help.
 var (
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound reports that the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict says that the object's version is not the expected one. The
+	// ErrConflict reports that the object's version is not the expected one. The
 	// write did not take effect.
 	ErrConflict = errors.New("version conflict")
-	// ErrGone says that a watch cannot start at so old a revision.
+	// ErrGone reports that the store cannot start a watch at the requested revision.
 	ErrGone = errors.New("revision too old")
-	// ErrUnavailable says that the call surely had no effect: it never left.
+	// ErrUnavailable reports that the call certainly had no effect.
 	ErrUnavailable = errors.New("store unavailable")
-	// ErrAmbiguous says that the answer was lost: a write may have taken
+	// ErrAmbiguous reports that the answer was lost: a write may have taken
 	// effect. See Write.
 	ErrAmbiguous = errors.New("store answer lost")
 )
 
-// Object is one stored object. Its spec is JSON of the kind's model type.
+// Object is one stored object. Its spec is the JSON encoding of the kind's model type.
 type Object struct {
 	Kind model.Kind `json:"kind"`
 	Name string     `json:"name"`
-	// Version is the store's revision at the object's last change; 0 in a
-	// write demands that the object does not exist.
+	// Version is the store's revision at the object's last change. In a write, 0
+	// requires that the object does not exist.
 	Version uint64 `json:"version"`
-	// Writer is the tag of the write that made this version.
+	// Writer is the tag of the write that produced this version.
 	Writer string          `json:"writer"`
 	Spec   json.RawMessage `json:"spec"`
 }
 
-// ID names an object.
+// ID identifies an object.
 type ID struct {
 	Kind model.Kind `json:"kind"`
 	Name string     `json:"name"`
 }
 
-// ID returns the object's name.
+// ID returns the object's identifier.
 func (o Object) ID() ID { return ID{o.Kind, o.Name} }
 
-// EventType says what happened to an object.
+// EventType is the type of a change to an object.
 type EventType string
 
-// The events of a watch.
+// Types of watch events.
 const (
 	EventPut    EventType = "put"
 	EventDelete EventType = "delete"
-	// EventBookmark only carries the revision reached; it shows that a silent
-	// watch is alive.
+	// EventBookmark carries only the current revision. It shows that a watch without
+	// changes is still connected.
 	EventBookmark EventType = "bookmark"
 )
 
-// Event is one change. Revision is the store's revision after it.
+// Event is one change. Revision is the store's revision after the change.
 type Event struct {
 	Type     EventType `json:"type"`
 	Object   Object    `json:"object"`
 	Revision uint64    `json:"revision"`
 }
 
-// Listing is all objects at one revision.
+// Listing holds all objects at one revision.
 type Listing struct {
 	Objects  []Object `json:"objects"`
 	Revision uint64   `json:"revision"`
 }
 
-// VMState is the platform's view of a VM. It lags.
+// VMState is the platform's view of a VM. It may be out of date.
 type VMState string
 
-// The states in the platform's list.
+// States of a VM in the platform's list.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VM is an entry of the platform's list.
+// VM is an entry in the platform's list of VMs.
 type VM struct {
 	Name       string  `json:"name"`
 	DataCentre string  `json:"dataCentre"`
@@ -96,20 +96,22 @@
 	State      VMState `json:"state"`
 }
 
-// Store is what the system asks of the platform. Every method honours the
-// context's deadline and counts as one call, a waiting watch too.
+// Store is the platform's object store and list of VMs. Every method honours the
+// context's deadline and counts as one call against the store's rate limits; this
+// includes a watch, however long it runs.
 type Store interface {
-	// Get returns one object or ErrNotFound.
+	// Get returns one object, or ErrNotFound.
 	Get(ctx context.Context, id ID) (Object, error)
 	// List returns all objects.
 	List(ctx context.Context) (Listing, error)
 	// Put writes the object if its stored version is o.Version and returns it
-	// with its new version. ErrConflict, ErrAmbiguous.
+	// with its new version. It may return ErrConflict or ErrAmbiguous.
 	Put(ctx context.Context, o Object) (Object, error)
 	// Delete removes the object if its stored version is o.Version.
 	Delete(ctx context.Context, o Object) error
-	// Watch calls handle for every change after revision from, in order,
-	// until the context ends, the watch breaks or handle fails. ErrGone.
+	// Watch calls handle for every change after the revision from, in order, until
+	// the context is done, the watch breaks or handle returns an error. It returns
+	// ErrGone if it cannot start at from.
 	Watch(ctx context.Context, from uint64, handle func(Event) error) error
 	// VMs returns the platform's list of VMs.
 	VMs(ctx context.Context) ([]VM, error)
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -9,9 +9,9 @@
 	"net/http"
 )
 
-// TransportError returns the error of an HTTP call that brought no answer:
-// ErrUnavailable for a call that never left, ErrAmbiguous for one whose answer was lost.
-// Only a failed dial is certain.
+// TransportError classifies the error of an HTTP call without a response: ErrUnavailable
+// if the request was certainly not sent, which only a failed dial shows, and ErrAmbiguous
+// otherwise.
 func TransportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -20,8 +20,8 @@
 	return errors.Join(ErrAmbiguous, err)
 }
 
-// StatusError reads the status of an answer over HTTP; nil for a success. A server
-// error may come from behind the write.
+// StatusError maps an HTTP status to an error, nil for a success. A server error is
+// ErrAmbiguous, as it may arise after the write took effect.
 func StatusError(status int) error {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -38,11 +38,12 @@
 	if status >= http.StatusInternalServerError {
 		return fmt.Errorf("status %d: %w", status, ErrAmbiguous)
 	}
-	return fmt.Errorf("store refused: status %d", status)
+	return fmt.Errorf("store rejected the call: status %d", status)
 }
 
-// ReadAnswer reads a success's body, most bytes at most, to its end, so that the
-// connection is kept, into out. A broken one is ErrAmbiguous: the call was carried out.
+// ReadAnswer decodes the body of a successful response, of at most most bytes, into out.
+// It reads the body to its end, so that the connection can be reused. If that fails, the
+// error is ErrAmbiguous, because the call was carried out.
 func ReadAnswer(body io.Reader, most int64, out any) error {
 	text, err := io.ReadAll(io.LimitReader(body, most))
 	if err == nil {
--- a/internal/platform/write.go
+++ b/internal/platform/write.go
@@ -11,37 +11,37 @@
 	"hemlockquay/internal/pause"
 )
 
-// Pauses between two attempts to settle a lost answer: the first after about
-// ten times the store's usual answer of a few milliseconds.
+// Backoff between attempts to resolve a lost answer. The first delay is about ten
+// times the store's usual response time of a few milliseconds.
 const (
 	resolveBackoffMin = 50 * time.Millisecond
 	resolveBackoffMax = time.Second
 )
 
-// ReadWriter is the part of a store that Write needs.
+// ReadWriter holds the store methods that Write needs.
 type ReadWriter interface {
 	Get(ctx context.Context, id ID) (Object, error)
 	Put(ctx context.Context, o Object) (Object, error)
 }
 
-// Write is a conditional write that settles a lost answer.
+// Write is a conditional write that resolves a lost answer.
 //
-// Failure: the store's answer is lost after the write took effect. It shows as
-// ErrAmbiguous. A blind repeat would fail with ErrConflict against our own
-// write, and reporting that conflict would call a success a failure. Each write
-// carries a tag of its own; reading the object shows whose write it holds. An
-// object still at the expected version may yet be changed by a delayed copy of
-// this write, so the repeat is the same conditional write: whichever of the two
-// arrives first makes the other fail. A conflict of a repeat may therefore be
-// with our own delayed copy, and is settled by the tag too.
+// If the store's answer is lost, the write may have taken effect and its error is
+// ErrAmbiguous. A blind retry would then fail with ErrConflict because of the first
+// attempt, and a success would be reported as a failure. Each write therefore carries
+// a unique tag, and reading the object shows which write produced it. If the object
+// is still at the expected version, a delayed copy of the write may yet arrive, so the
+// retry is the same conditional write: whichever copy arrives first makes the other
+// fail. A conflict of the retry may thus be caused by the delayed copy, and the tag
+// resolves it too.
 //
-// A create whose answer is lost is not repeated while the object is absent: it
-// may have taken effect and have been deleted since, and the repeat would bring
-// back what an operator removed. ErrAmbiguous is returned then. Versions of the
-// store never repeat, so an update has no such gap.
+// A create whose answer is lost is not retried while the object is absent, and
+// ErrAmbiguous is returned: the create may have taken effect and an operator may have
+// deleted the object since, and a retry would restore it. Updates do not have this
+// problem, because the store never reuses a version.
 //
-// ErrConflict after a lost answer says that another's write stands now; ours
-// may have stood before it for a moment.
+// ErrConflict after a lost answer means that the object now holds another write. This
+// write may have taken effect before it.
 func Write(ctx context.Context, s ReadWriter, o Object) (Object, error) {
 	written, err := s.Put(ctx, o)
 	pauses := backoff.NewExponentialBackOff()
@@ -58,26 +58,27 @@
 	return written, err
 }
 
-// resolve reads the object and repeats the write if that is safe. again says that
-// the outcome is still open.
+// resolve reads the object and retries the write if that is safe. again reports that
+// the outcome is still unknown.
 func resolve(ctx context.Context, s ReadWriter, o Object, lost error) (written Object, again bool, err error) {
 	current, err := s.Get(ctx, o.ID())
 	switch {
 	case err == nil && current.Writer == o.Writer:
 		return current, false, nil
 	case err == nil && current.Version != o.Version:
-		return current, false, fmt.Errorf("settle %s %s: %w", o.Kind, o.Name, ErrConflict)
+		return current, false, fmt.Errorf("resolve write of %s %s: %w", o.Kind, o.Name, ErrConflict)
 	case errors.Is(err, ErrNotFound) && o.Version != 0:
-		return Object{}, false, fmt.Errorf("settle %s %s: deleted meanwhile: %w", o.Kind, o.Name, ErrConflict)
+		return Object{}, false, fmt.Errorf("resolve write of %s %s: object deleted: %w", o.Kind, o.Name, ErrConflict)
 	case errors.Is(err, ErrNotFound):
-		return Object{}, false, fmt.Errorf("settle %s %s: not there: %w", o.Kind, o.Name, lost)
+		return Object{}, false, fmt.Errorf("resolve write of %s %s: object does not exist: %w", o.Kind, o.Name, lost)
 	case err != nil:
-		return Object{}, true, fmt.Errorf("settle %s %s: %w", o.Kind, o.Name, errors.Join(ErrAmbiguous, err))
+		return Object{}, true, fmt.Errorf("resolve write of %s %s: %w", o.Kind, o.Name, errors.Join(ErrAmbiguous, err))
 	}
 	written, err = s.Put(ctx, o)
 	if errors.Is(err, ErrConflict) || errors.Is(err, ErrUnavailable) {
-		// Perhaps our own delayed copy won, or may still; read once more.
-		return Object{}, true, fmt.Errorf("repeat %s %s: %w", o.Kind, o.Name, ErrAmbiguous)
+		// The delayed copy of this write may have taken effect, or may still do; read the
+		// object again.
+		return Object{}, true, fmt.Errorf("retry write of %s %s: %w", o.Kind, o.Name, ErrAmbiguous)
 	}
 	return written, errors.Is(err, ErrAmbiguous), err
 }
