--- a/internal/platform/conformance/bykind.go
+++ b/internal/platform/conformance/bykind.go
@@ -9,8 +9,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// kindWait is how long one watch of a kind waits.
-const kindWait = 200 * time.Millisecond
+// watchWait is how long one watch of a kind waits.
+const watchWait = 200 * time.Millisecond
 
 // errNoList says that a store by kind has no list of VMs.
 var errNoList = errors.New("no list of VMs")
@@ -44,7 +44,7 @@
 
 func (s byKind) Watch(ctx context.Context, from uint64, handle func(platform.Event) error) error {
 	for ctx.Err() == nil {
-		changes, err := s.WatchKind(ctx, s.kind, from, kindWait)
+		changes, err := s.WatchKind(ctx, s.kind, from, watchWait)
 		if err != nil {
 			return err
 		}
--- a/internal/platform/conformance/conformance.go
+++ b/internal/platform/conformance/conformance.go
@@ -20,11 +20,11 @@
 	"hemlockquay/internal/platform"
 )
 
-// patience bounds one case; it only ends cases that hang.
-const patience = 20 * time.Second
+// caseTimeout bounds one case; it only ends cases that hang.
+const caseTimeout = 20 * time.Second
 
-// history is more changes than any store keeps for a watch.
-const history = 5000
+// historyOverflow is more changes than any store keeps for a watch.
+const historyOverflow = 5000
 
 // Store is a store under test and what the suite needs to disturb it.
 type Store struct {
@@ -63,7 +63,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ctx, cancel := context.WithTimeout(t.Context(), patience)
+			ctx, cancel := context.WithTimeout(t.Context(), caseTimeout)
 			defer cancel()
 			c.run(t, ctx, newStore(t))
 		})
@@ -77,7 +77,7 @@
 	}
 }
 
-func put(t *testing.T, ctx context.Context, s platform.Store, o platform.Object) platform.Object {
+func mustPut(t *testing.T, ctx context.Context, s platform.Store, o platform.Object) platform.Object {
 	t.Helper()
 	written, err := s.Put(ctx, o)
 	require.NoError(t, err)
@@ -87,11 +87,11 @@
 func conditionalWrites(t *testing.T, ctx context.Context, s Store) {
 	_, err := s.Get(ctx, object("a", "", 0).ID())
 	require.ErrorIs(t, err, platform.ErrNotFound)
-	first := put(t, ctx, s, object("a", "w1", 0))
+	first := mustPut(t, ctx, s, object("a", "w1", 0))
 	require.NotZero(t, first.Version)
 	_, err = s.Put(ctx, object("a", "w2", 0))
 	require.ErrorIs(t, err, platform.ErrConflict, "create of what exists")
-	second := put(t, ctx, s, object("a", "w3", first.Version))
+	second := mustPut(t, ctx, s, object("a", "w3", first.Version))
 	require.Greater(t, second.Version, first.Version)
 	_, err = s.Put(ctx, object("a", "w4", first.Version))
 	require.ErrorIs(t, err, platform.ErrConflict, "update of an old version")
@@ -105,20 +105,20 @@
 }
 
 func deletes(t *testing.T, ctx context.Context, s Store) {
-	first := put(t, ctx, s, object("a", "w1", 0))
-	second := put(t, ctx, s, object("a", "w2", first.Version))
+	first := mustPut(t, ctx, s, object("a", "w1", 0))
+	second := mustPut(t, ctx, s, object("a", "w2", first.Version))
 	require.ErrorIs(t, s.Delete(ctx, first), platform.ErrConflict)
 	require.NoError(t, s.Delete(ctx, second))
 	require.ErrorIs(t, s.Delete(ctx, second), platform.ErrNotFound)
 	_, err := s.Put(ctx, object("a", "w3", second.Version))
 	require.ErrorIs(t, err, platform.ErrConflict, "update of what was deleted")
-	again := put(t, ctx, s, object("a", "w4", 0))
+	again := mustPut(t, ctx, s, object("a", "w4", 0))
 	require.Greater(t, again.Version, second.Version, "a version came back after delete and create")
 }
 
 func list(t *testing.T, ctx context.Context, s Store) {
-	b := put(t, ctx, s, object("b", "w1", 0))
-	a := put(t, ctx, s, object("a", "w2", 0))
+	b := mustPut(t, ctx, s, object("b", "w1", 0))
+	a := mustPut(t, ctx, s, object("a", "w2", 0))
 	l, err := s.List(ctx)
 	require.NoError(t, err)
 	require.Equal(t, a.Version, l.Revision)
@@ -138,11 +138,11 @@
 	require.Equal(t, want, got)
 }
 
-// errEnough ends a watch.
-var errEnough = errors.New("seen enough")
+// errStopWatch ends a watch.
+var errStopWatch = errors.New("seen enough")
 
 func watchOrder(t *testing.T, ctx context.Context, s Store) {
-	a := put(t, ctx, s, object("a", "w1", 0))
+	a := mustPut(t, ctx, s, object("a", "w1", 0))
 	seen := make(chan platform.Event, 16)
 	ended := make(chan error, 1)
 	go func() {
@@ -152,16 +152,16 @@
 			}
 			seen <- e
 			if len(seen) == 4 {
-				return errEnough
+				return errStopWatch
 			}
 			return nil
 		})
 	}()
-	b := put(t, ctx, s, object("b", "w2", 0))
-	a2 := put(t, ctx, s, object("a", "w3", a.Version))
+	b := mustPut(t, ctx, s, object("b", "w2", 0))
+	a2 := mustPut(t, ctx, s, object("a", "w3", a.Version))
 	require.NoError(t, s.Delete(ctx, b))
-	b2 := put(t, ctx, s, object("b", "w4", 0))
-	require.ErrorIs(t, <-ended, errEnough)
+	b2 := mustPut(t, ctx, s, object("b", "w4", 0))
+	require.ErrorIs(t, <-ended, errStopWatch)
 	var got []platform.Event
 	for range 4 {
 		got = append(got, <-seen)
@@ -182,25 +182,25 @@
 	if s.Bulk != nil {
 		bulk = s.Bulk
 	}
-	o := put(t, ctx, bulk, object("a", "w", 0))
+	o := mustPut(t, ctx, bulk, object("a", "w", 0))
 	first := o.Version
-	for i := range history {
+	for i := range historyOverflow {
 		// A store may take a write that changes nothing for none.
 		o.Writer = fmt.Sprint("w", i)
-		o = put(t, ctx, bulk, o)
+		o = mustPut(t, ctx, bulk, o)
 	}
-	err := s.Watch(ctx, first, func(platform.Event) error { return errEnough })
+	err := s.Watch(ctx, first, func(platform.Event) error { return errStopWatch })
 	require.ErrorIs(t, err, platform.ErrGone)
-	err = s.Watch(ctx, o.Version+1, func(platform.Event) error { return errEnough })
+	err = s.Watch(ctx, o.Version+1, func(platform.Event) error { return errStopWatch })
 	require.ErrorIs(t, err, platform.ErrGone, "a revision that the store never had")
 }
 
 func watchEndsWithHandle(t *testing.T, ctx context.Context, s Store) {
-	o := put(t, ctx, s, object("a", "w1", 0))
+	o := mustPut(t, ctx, s, object("a", "w1", 0))
 	calls := 0
-	put(t, ctx, s, object("a", "w2", o.Version))
-	err := s.Watch(ctx, o.Version, func(platform.Event) error { calls++; return errEnough })
-	require.ErrorIs(t, err, errEnough)
+	mustPut(t, ctx, s, object("a", "w2", o.Version))
+	err := s.Watch(ctx, o.Version, func(platform.Event) error { calls++; return errStopWatch })
+	require.ErrorIs(t, err, errStopWatch)
 	require.Equal(t, 1, calls)
 }
 
@@ -208,19 +208,19 @@
 	if !s.Bookmarks {
 		t.Skip("the store shows no bookmarks")
 	}
-	o := put(t, ctx, s, object("a", "w1", 0))
+	o := mustPut(t, ctx, s, object("a", "w1", 0))
 	err := s.Watch(ctx, o.Version, func(e platform.Event) error {
 		require.Equal(t, platform.EventBookmark, e.Type)
 		require.Equal(t, o.Version, e.Revision)
-		return errEnough
+		return errStopWatch
 	})
-	require.ErrorIs(t, err, errEnough)
+	require.ErrorIs(t, err, errStopWatch)
 }
 
 func largeValue(t *testing.T, ctx context.Context, s Store) {
 	o := object("a", "w1", 0)
 	o.Spec = json.RawMessage(`{"name":"` + strings.Repeat("x", 1<<20-12) + `"}`)
-	put(t, ctx, s, o)
+	mustPut(t, ctx, s, o)
 	held, err := s.Get(ctx, o.ID())
 	require.NoError(t, err)
 	require.Equal(t, len(o.Spec), len(held.Spec))
@@ -233,7 +233,7 @@
 	if s.LoseAnswers == nil {
 		t.Skip("the store loses nothing")
 	}
-	first := put(t, ctx, s, object("a", "w1", 0))
+	first := mustPut(t, ctx, s, object("a", "w1", 0))
 	s.LoseAnswers(1)
 	_, err := s.Put(ctx, object("a", "w2", first.Version))
 	require.ErrorIs(t, err, platform.ErrAmbiguous)
@@ -266,7 +266,7 @@
 	if s.LoseRequests == nil {
 		t.Skip("the store loses nothing")
 	}
-	first := put(t, ctx, s, object("a", "w1", 0))
+	first := mustPut(t, ctx, s, object("a", "w1", 0))
 	s.LoseRequests(2)
 	written, err := platform.Write(ctx, s, object("a", "w2", first.Version))
 	require.NoError(t, err)
--- a/internal/platform/conformance/conformance_test.go
+++ b/internal/platform/conformance/conformance_test.go
@@ -19,7 +19,7 @@
 	})
 }
 
-func overHTTP(t *testing.T) Store {
+func newHTTPStore(t *testing.T) Store {
 	world := standin.NewStore()
 	server := httptest.NewServer(world.Handler())
 	t.Cleanup(server.Close)
@@ -32,11 +32,11 @@
 	}
 }
 
-func TestObjectAPI(t *testing.T) { Run(t, overHTTP) }
+func TestObjectAPI(t *testing.T) { Run(t, newHTTPStore) }
 
 func TestGuardedObjectAPI(t *testing.T) {
 	Run(t, func(t *testing.T) Store {
-		s := overHTTP(t)
+		s := newHTTPStore(t)
 		s.Bulk = s.Store
 		s.Store = platform.NewGuard(metrics.NewRegistry()).Wrap(s.Store)
 		return s
