--- a/internal/platform/conformance/bykind.go
+++ b/internal/platform/conformance/bykind.go
@@ -9,21 +9,21 @@
 	"hemlockquay/internal/platform"
 )
 
-// watchWait is how long one watch of a kind waits.
+// watchWait is the long-poll wait of one watch call.
 const watchWait = 200 * time.Millisecond
 
-// errNoList says that a store by kind has no list of VMs.
+// errNoList is the error of VMs, which an ObjectStore does not have.
 var errNoList = errors.New("no list of VMs")
 
-// byKind shows one kind of a store that lists and watches by kind as a whole store.
+// byKind adapts one kind of an ObjectStore to platform.Store.
 type byKind struct {
 	platform.ObjectStore
 	kind   model.Kind
 	remove func(id platform.ID)
 }
 
-// ByKind returns a store for the suite from one that lists and watches by kind.
-// remove deletes an object as another client does, for such stores need not delete.
+// ByKind adapts a store that lists and watches by kind to the suite. remove deletes an
+// object as another client would, because platform.ObjectStore has no Delete.
 func ByKind(s platform.ObjectStore, remove func(id platform.ID)) platform.Store {
 	return byKind{ObjectStore: s, kind: model.KindService, remove: remove}
 }
--- a/internal/platform/conformance/conformance.go
+++ b/internal/platform/conformance/conformance.go
@@ -1,8 +1,7 @@
-// Package conformance is the suite that every platform.Store passes: the store
-// in memory, the client against the stand-in, the client behind its guard, and the
-// adapter's client of a store by kind.
-// A test that passes against the store in memory then says something about the
-// real one.
+// Package conformance is the test suite that every platform.Store must pass: the
+// in-memory store, the HTTP client against the stand-in, the same client behind its
+// guard, and the adapter's client of a store that lists by kind. Tests that use the
+// in-memory store are then valid for the real one too.
 package conformance
 
 import (
@@ -20,25 +19,25 @@
 	"hemlockquay/internal/platform"
 )
 
-// caseTimeout bounds one case; it only ends cases that hang.
+// caseTimeout only ends cases that hang.
 const caseTimeout = 20 * time.Second
 
-// historyOverflow is more changes than any store keeps for a watch.
+// historyOverflow is a number of changes that exceeds the watch history of every store.
 const historyOverflow = 5000
 
-// Store is a store under test and what the suite needs to disturb it.
+// Store is a store under test with the hooks that the suite needs.
 type Store struct {
 	platform.Store
-	// Bulk is the same store without a limit of its rate, for the one case that
-	// needs thousands of writes. nil where Store has none.
+	// Bulk is the same store without a rate limit, for the one case that needs
+	// thousands of writes. It is nil if Store itself has no rate limit.
 	Bulk platform.Store
-	// SetVMs replaces the platform's list. nil where the store has none.
+	// SetVMs replaces the platform's list of VMs. It is nil if the store has no list.
 	SetVMs func([]platform.VM)
-	// LoseAnswers drops the answers of the next n writes after they took
-	// effect, LoseRequests the next n writes before. nil where the store
-	// cannot lose any.
+	// LoseAnswers drops the answers to the next n writes after the writes took
+	// effect; LoseRequests drops the next n writes before they take effect. Both are
+	// nil if the store cannot simulate this.
 	LoseAnswers, LoseRequests func(n int)
-	// Bookmarks says that the store shows that a quiet watch lives.
+	// Bookmarks reports that the store sends bookmarks on a watch without changes.
 	Bookmarks bool
 }
 
@@ -90,13 +89,13 @@
 	first := mustPut(t, ctx, s, object("a", "w1", 0))
 	require.NotZero(t, first.Version)
 	_, err = s.Put(ctx, object("a", "w2", 0))
-	require.ErrorIs(t, err, platform.ErrConflict, "create of what exists")
+	require.ErrorIs(t, err, platform.ErrConflict, "create of an existing object")
 	second := mustPut(t, ctx, s, object("a", "w3", first.Version))
 	require.Greater(t, second.Version, first.Version)
 	_, err = s.Put(ctx, object("a", "w4", first.Version))
 	require.ErrorIs(t, err, platform.ErrConflict, "update of an old version")
 	_, err = s.Put(ctx, object("b", "w5", first.Version))
-	require.ErrorIs(t, err, platform.ErrConflict, "update of what does not exist")
+	require.ErrorIs(t, err, platform.ErrConflict, "update of a missing object")
 	held, err := s.Get(ctx, first.ID())
 	require.NoError(t, err)
 	require.Equal(t, "w3", held.Writer)
@@ -111,9 +110,9 @@
 	require.NoError(t, s.Delete(ctx, second))
 	require.ErrorIs(t, s.Delete(ctx, second), platform.ErrNotFound)
 	_, err := s.Put(ctx, object("a", "w3", second.Version))
-	require.ErrorIs(t, err, platform.ErrConflict, "update of what was deleted")
+	require.ErrorIs(t, err, platform.ErrConflict, "update of a deleted object")
 	again := mustPut(t, ctx, s, object("a", "w4", 0))
-	require.Greater(t, again.Version, second.Version, "a version came back after delete and create")
+	require.Greater(t, again.Version, second.Version, "a version was reused after delete and create")
 }
 
 func list(t *testing.T, ctx context.Context, s Store) {
@@ -138,8 +137,8 @@
 	require.Equal(t, want, got)
 }
 
-// errStopWatch ends a watch.
-var errStopWatch = errors.New("seen enough")
+// errStopWatch is returned by a handler to end its watch.
+var errStopWatch = errors.New("stop watch")
 
 func watchOrder(t *testing.T, ctx context.Context, s Store) {
 	a := mustPut(t, ctx, s, object("a", "w1", 0))
@@ -185,14 +184,14 @@
 	o := mustPut(t, ctx, bulk, object("a", "w", 0))
 	first := o.Version
 	for i := range historyOverflow {
-		// A store may take a write that changes nothing for none.
+		// A store may ignore a write that changes nothing.
 		o.Writer = fmt.Sprint("w", i)
 		o = mustPut(t, ctx, bulk, o)
 	}
 	err := s.Watch(ctx, first, func(platform.Event) error { return errStopWatch })
 	require.ErrorIs(t, err, platform.ErrGone)
 	err = s.Watch(ctx, o.Version+1, func(platform.Event) error { return errStopWatch })
-	require.ErrorIs(t, err, platform.ErrGone, "a revision that the store never had")
+	require.ErrorIs(t, err, platform.ErrGone, "watch from a future revision")
 }
 
 func watchEndsWithHandle(t *testing.T, ctx context.Context, s Store) {
@@ -206,7 +205,7 @@
 
 func bookmarks(t *testing.T, ctx context.Context, s Store) {
 	if !s.Bookmarks {
-		t.Skip("the store shows no bookmarks")
+		t.Skip("the store sends no bookmarks")
 	}
 	o := mustPut(t, ctx, s, object("a", "w1", 0))
 	err := s.Watch(ctx, o.Version, func(e platform.Event) error {
@@ -227,11 +226,11 @@
 	require.JSONEq(t, string(o.Spec), string(held.Spec))
 }
 
-// An operator's update took effect, and the answer was lost. Reported as a
-// conflict with itself, it would look as if another operator had won.
+// An operator's update takes effect and the answer is lost. Reported as a conflict with
+// itself, it would look as if another operator had changed the object.
 func lostAnswers(t *testing.T, ctx context.Context, s Store) {
 	if s.LoseAnswers == nil {
-		t.Skip("the store loses nothing")
+		t.Skip("the store cannot simulate lost messages")
 	}
 	first := mustPut(t, ctx, s, object("a", "w1", 0))
 	s.LoseAnswers(1)
@@ -251,7 +250,7 @@
 
 func lostCreate(t *testing.T, ctx context.Context, s Store) {
 	if s.LoseAnswers == nil {
-		t.Skip("the store loses nothing")
+		t.Skip("the store cannot simulate lost messages")
 	}
 	s.LoseAnswers(1)
 	created, err := platform.Write(ctx, s, object("a", "w1", 0))
@@ -259,12 +258,12 @@
 	require.Equal(t, "w1", created.Writer)
 	s.LoseRequests(1)
 	_, err = platform.Write(ctx, s, object("b", "w2", 0))
-	require.ErrorIs(t, err, platform.ErrAmbiguous, "an absent object does not show that the create never was")
+	require.ErrorIs(t, err, platform.ErrAmbiguous, "an absent object does not prove that the create had no effect")
 }
 
 func lostRequests(t *testing.T, ctx context.Context, s Store) {
 	if s.LoseRequests == nil {
-		t.Skip("the store loses nothing")
+		t.Skip("the store cannot simulate lost messages")
 	}
 	first := mustPut(t, ctx, s, object("a", "w1", 0))
 	s.LoseRequests(2)
