--- a/internal/platform/memstore/memstore.go
+++ b/internal/platform/memstore/memstore.go
@@ -13,8 +13,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// historyLength is how many changes a watch may lag before it gets ErrGone.
-const historyLength = 4096
+// maxHistory is how many changes a watch may lag before it gets ErrGone.
+const maxHistory = 4096
 
 // Store implements platform.Store. It is safe for concurrent use.
 type Store struct {
@@ -86,7 +86,7 @@
 	s.revision++
 	o.Version = s.revision
 	s.objects[o.ID()] = o
-	s.record(platform.Event{Type: platform.EventPut, Object: o, Revision: s.revision})
+	s.appendEvent(platform.Event{Type: platform.EventPut, Object: o, Revision: s.revision})
 	return o, nil
 }
 
@@ -103,14 +103,14 @@
 	}
 	s.revision++
 	delete(s.objects, o.ID())
-	s.record(platform.Event{Type: platform.EventDelete, Object: current, Revision: s.revision})
+	s.appendEvent(platform.Event{Type: platform.EventDelete, Object: current, Revision: s.revision})
 	return nil
 }
 
-func (s *Store) record(e platform.Event) {
+func (s *Store) appendEvent(e platform.Event) {
 	s.history = append(s.history, e)
-	if len(s.history) > historyLength {
-		s.history = slices.Delete(s.history, 0, len(s.history)-historyLength)
+	if len(s.history) > maxHistory {
+		s.history = slices.Delete(s.history, 0, len(s.history)-maxHistory)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -119,7 +119,7 @@
 // Watch implements platform.Store.
 func (s *Store) Watch(ctx context.Context, from uint64, handle func(platform.Event) error) error {
 	for {
-		events, changed, err := s.after(from)
+		events, changed, err := s.eventsAfter(from)
 		if err != nil {
 			return err
 		}
@@ -140,9 +140,9 @@
 	}
 }
 
-// after returns the changes since the revision, and a channel that closes at the
+// eventsAfter returns the changes since the revision, and a channel that closes at the
 // next change.
-func (s *Store) after(from uint64) ([]platform.Event, <-chan struct{}, error) {
+func (s *Store) eventsAfter(from uint64) ([]platform.Event, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if from > s.revision || (len(s.history) > 0 && from+1 < s.history[0].Revision) {
@@ -156,6 +156,6 @@
 
 // CheckRevision returns ErrGone where a watch cannot start at the revision.
 func (s *Store) CheckRevision(from uint64) error {
-	_, _, err := s.after(from)
+	_, _, err := s.eventsAfter(from)
 	return err
 }
