--- a/internal/platform/memstore/memstore.go
+++ b/internal/platform/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is the platform's store in memory, for tests and for the
-// stand-in. It keeps a bounded history for watches.
+// Package memstore is an in-memory implementation of the platform's store, for tests
+// and for the stand-in. It keeps a bounded history for watches.
 package memstore
 
 import (
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/platform"
 )
 
-// maxHistory is how many changes a watch may lag before it gets ErrGone.
+// maxHistory is how many changes a watch may lag behind before it gets ErrGone.
 const maxHistory = 4096
 
 // Store implements platform.Store. It is safe for concurrent use.
@@ -58,7 +58,7 @@
 	return o, nil
 }
 
-// List implements platform.Store. Objects come sorted by kind and name.
+// List implements platform.Store. Objects are sorted by kind and name.
 func (s *Store) List(context.Context) (platform.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +140,8 @@
 	}
 }
 
-// eventsAfter returns the changes since the revision, and a channel that closes at the
-// next change.
+// eventsAfter returns the changes after the revision, and a channel that is closed at
+// the next change.
 func (s *Store) eventsAfter(from uint64) ([]platform.Event, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +154,7 @@
 	return slices.Clone(s.history[i:]), s.changed, nil
 }
 
-// CheckRevision returns ErrGone where a watch cannot start at the revision.
+// CheckRevision returns ErrGone if a watch cannot start at the revision.
 func (s *Store) CheckRevision(from uint64) error {
 	_, _, err := s.eventsAfter(from)
 	return err
