--- a/internal/platform/objectapi/client.go
+++ b/internal/platform/objectapi/client.go
@@ -13,9 +13,9 @@
 	"hemlockquay/internal/platform"
 )
 
-// maxAnswer bounds an answer of the store, bytes: a thousand values of a
+// maxResponseBytes bounds an answer of the store, bytes: a thousand values of a
 // megabyte would be a mistake, not a configuration.
-const maxAnswer = 256 << 20
+const maxResponseBytes = 256 << 20
 
 // Client implements platform.Store over HTTP.
 type Client struct {
@@ -111,7 +111,7 @@
 		if err := lines.Decode(&line); err != nil {
 			return fmt.Errorf("watch: read event: %w", errors.Join(platform.ErrAmbiguous, err))
 		}
-		event, err := fromWatch(line)
+		event, err := toEvent(line)
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-func fromWatch(line WatchEvent) (platform.Event, error) {
+func toEvent(line WatchEvent) (platform.Event, error) {
 	revision, err := ParseVersion(line.Object.Metadata.ResourceVersion)
 	if err != nil {
 		return platform.Event{}, err
@@ -158,7 +158,7 @@
 	if out == nil {
 		return nil
 	}
-	return platform.ReadAnswer(resp.Body, maxAnswer, out)
+	return platform.ReadAnswer(resp.Body, maxResponseBytes, out)
 }
 
 func (c *Client) send(ctx context.Context, method, target string, in any) (*http.Response, error) {
