--- a/internal/platform/objectapi/client.go
+++ b/internal/platform/objectapi/client.go
@@ -13,8 +13,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// maxResponseBytes bounds an answer of the store, bytes: a thousand values of a
-// megabyte would be a mistake, not a configuration.
+// maxResponseBytes bounds a response of the store. A configuration of a thousand
+// values of a megabyte would be an error.
 const maxResponseBytes = 256 << 20
 
 // Client implements platform.Store over HTTP.
@@ -25,8 +25,8 @@
 
 var _ platform.Store = (*Client)(nil)
 
-// New returns a client of the API at base, e.g. "http://10.0.0.1:8001". The
-// context of each call carries its deadline.
+// New returns a client of the API at base, e.g. "http://10.0.0.1:8001". It sets no
+// timeouts: each call is bounded by its context.
 func New(base string) *Client {
 	return &Client{base: base, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 }
@@ -136,7 +136,7 @@
 	case Deleted:
 		event.Type = platform.EventDelete
 	default:
-		return event, fmt.Errorf("watch: event %q: %w", line.Type, platform.ErrGone)
+		return event, fmt.Errorf("watch: unexpected event type %q: %w", line.Type, platform.ErrGone)
 	}
 	event.Object, err = FromItem(line.Object)
 	return event, err
--- a/internal/platform/objectapi/wire.go
+++ b/internal/platform/objectapi/wire.go
@@ -1,9 +1,9 @@
-// Package objectapi is the client of the platform's object API over HTTP.
+// Package objectapi is a client of the platform's object API over HTTP.
 //
-// The protocol follows the published conventions of the Kubernetes API for one
-// custom resource: metadata.resourceVersion as the expected version of a write,
-// 409 for a conflict, 410 for a watch that starts too far back, and a watch as a
-// stream of JSON events with bookmarks.
+// The protocol follows the conventions of the Kubernetes API for one custom resource:
+// metadata.resourceVersion is the expected version of a write, status 409 reports a
+// conflict, 410 a watch from too old a revision, and a watch is a stream of JSON events
+// with bookmarks.
 package objectapi
 
 import (
@@ -16,17 +16,17 @@
 	"hemlockquay/internal/platform"
 )
 
-// Paths and names of the API.
+// Paths and names in the API.
 const (
 	APIVersion  = "hemlockquay.example/v1"
 	ObjectsPath = "/apis/hemlockquay.example/v1/quayobjects"
 	VMsPath     = "/apis/platform.example/v1/vms"
 	ItemKind    = "QuayObject"
-	// WriterAnnotation holds the tag of the write that made the version.
+	// WriterAnnotation holds the tag of the write that produced the version.
 	WriterAnnotation = "hemlockquay.example/writer"
 )
 
-// Event types on the wire.
+// Event types in the wire format.
 const (
 	Added    = "ADDED"
 	Modified = "MODIFIED"
@@ -35,14 +35,14 @@
 	Failure  = "ERROR"
 )
 
-// Metadata is an item's or a list's metadata.
+// Metadata is the metadata of an item or a list.
 type Metadata struct {
 	Name            string            `json:"name,omitempty"`
 	ResourceVersion string            `json:"resourceVersion,omitempty"`
 	Annotations     map[string]string `json:"annotations,omitempty"`
 }
 
-// Item is one object on the wire.
+// Item is the wire format of one object.
 type Item struct {
 	APIVersion string          `json:"apiVersion"`
 	Kind       string          `json:"kind"`
@@ -50,7 +50,7 @@
 	Spec       json.RawMessage `json:"spec,omitempty"`
 }
 
-// List is a collection on the wire.
+// List is the wire format of a list of objects.
 type List struct {
 	APIVersion string   `json:"apiVersion"`
 	Kind       string   `json:"kind"`
@@ -64,15 +64,15 @@
 	Object Item   `json:"object"`
 }
 
-// VMList is the platform's list on the wire.
+// VMList is the wire format of the platform's list of VMs.
 type VMList struct {
 	Items []platform.VM `json:"items"`
 }
 
-// ItemName returns the name on the wire: KIND.NAME.
+// ItemName returns an object's name in the API, KIND.NAME.
 func ItemName(id platform.ID) string { return string(id.Kind) + "." + id.Name }
 
-// ToItem renders an object.
+// ToItem converts an object to its wire format.
 func ToItem(o platform.Object) Item {
 	return Item{
 		APIVersion: APIVersion,
@@ -86,7 +86,7 @@
 	}
 }
 
-// FromItem reads an object.
+// FromItem converts an object from its wire format.
 func FromItem(i Item) (platform.Object, error) {
 	id, err := ParseItemName(i.Metadata.Name)
 	if err != nil {
@@ -105,26 +105,26 @@
 	}, nil
 }
 
-// ParseVersion reads a resource version; "" is 0.
+// ParseVersion parses a resource version; "" is 0.
 func ParseVersion(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
 	}
 	v, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("read resource version: %w", err)
+		return 0, fmt.Errorf("parse resource version: %w", err)
 	}
 	return v, nil
 }
 
-// FormatVersion renders a version or revision.
+// FormatVersion formats a version or revision.
 func FormatVersion(v uint64) string { return strconv.FormatUint(v, 10) }
 
-// ParseItemName reads a name on the wire.
+// ParseItemName parses an object's name in the API.
 func ParseItemName(name string) (platform.ID, error) {
 	kind, rest, ok := strings.Cut(name, ".")
 	if !ok {
-		return platform.ID{}, fmt.Errorf("read item: name %q is not KIND.NAME", name)
+		return platform.ID{}, fmt.Errorf("parse item name: %q does not have the form KIND.NAME", name)
 	}
 	return platform.ID{Kind: model.Kind(kind), Name: rest}, nil
 }
