--- a/internal/view/slope_test.go
+++ b/internal/view/slope_test.go
@@ -14,8 +14,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// record is an assignment of n groups of one slice over n/8 targets.
-func record(n int) *model.Assignment {
+// newAssignment is an assignment of n groups of one slice over n/8 targets.
+func newAssignment(n int) *model.Assignment {
 	a := &model.Assignment{Service: "shelf", NextGroup: uint64(n + 1)}
 	target := func(i int) model.TargetRef {
 		return model.TargetRef{Name: fmt.Sprintf("shelf-%05d", i%max(n/8, 3)), Incarnation: fmt.Sprintf("shelf-%05d-1796255323000000000", i%max(n/8, 3))}
@@ -38,8 +38,8 @@
 	return out
 }
 
-func recordObject(b *testing.B, n int) platform.Object {
-	text, err := json.Marshal(record(n))
+func assignmentObject(b *testing.B, n int) platform.Object {
+	text, err := json.Marshal(newAssignment(n))
 	require.NoError(b, err)
 	return platform.Object{Kind: model.KindAssignment, Name: "shelf", Version: 5, Spec: text}
 }
@@ -49,7 +49,7 @@
 func BenchmarkSlopeRecordDecode(b *testing.B) {
 	for _, n := range groupCounts {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			o := recordObject(b, n)
+			o := assignmentObject(b, n)
 			for b.Loop() {
 				if _, err := model.Decode(o.Kind, o.Name, o.Spec); err != nil {
 					b.Fatal(err)
@@ -64,10 +64,10 @@
 func BenchmarkSlopeViewGrants(b *testing.B) {
 	for _, n := range groupCounts {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			objects, grants := []platform.Object{recordObject(b, n)}, grantsOf(record(n))
+			objects, grants := []platform.Object{assignmentObject(b, n)}, grantsOf(newAssignment(n))
 			var c Cache
 			c.Build(objects, nil, grants)
-			kept := capacity.Retained(func() any { return Build(objects, nil, grantsOf(record(n))) })
+			kept := capacity.Retained(func() any { return Build(objects, nil, grantsOf(newAssignment(n))) })
 			for b.Loop() {
 				c.Build(objects, nil, grants)
 			}
@@ -79,7 +79,7 @@
 func BenchmarkSlopeOwner(b *testing.B) {
 	for _, n := range groupCounts {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
-			v := Build(nil, nil, grantsOf(record(n)))
+			v := Build(nil, nil, grantsOf(newAssignment(n)))
 			for b.Loop() {
 				if v.Owner("shelf", keyspace.Of("key")) == nil {
 					b.Fatal("no owner")
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -130,15 +130,15 @@
 	return nil
 }
 
-// errToken says that two contracts hold the same token.
-var errToken = errors.New("another contract holds this token")
+// errDuplicateToken says that two contracts hold the same token.
+var errDuplicateToken = errors.New("another contract holds this token")
 
 // addContract refuses the later of two contracts with one token.
 // Objects come by version, so every VM keeps the same one of the two.
 func (v *View) addContract(c *model.Contract) error {
 	hash := strings.ToLower(c.TokenSHA256)
 	if held := v.byToken[hash]; held != nil {
-		return fmt.Errorf("customer %s: %w", held.Customer, errToken)
+		return fmt.Errorf("customer %s: %w", held.Customer, errDuplicateToken)
 	}
 	v.byToken[hash] = c
 	return nil
