--- a/internal/view/slope_test.go
+++ b/internal/view/slope_test.go
@@ -14,7 +14,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// newAssignment is an assignment of n groups of one slice over n/8 targets.
+// newAssignment returns an assignment of n groups of one slice each over n/8 targets.
 func newAssignment(n int) *model.Assignment {
 	a := &model.Assignment{Service: "shelf", NextGroup: uint64(n + 1)}
 	target := func(i int) model.TargetRef {
@@ -60,7 +60,7 @@
 	}
 }
 
-// BenchmarkSlopeViewGrants is a new view after a change of one grant of n.
+// BenchmarkSlopeViewGrants builds a new view after one of n grants changed.
 func BenchmarkSlopeViewGrants(b *testing.B) {
 	for _, n := range groupCounts {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
@@ -101,7 +101,7 @@
 
 var contractCounts = []int{1000, 4000, 16000}
 
-// BenchmarkSlopeViewContracts is a new view after a change of one contract of n.
+// BenchmarkSlopeViewContracts builds a new view after one of n contracts changed.
 func BenchmarkSlopeViewContracts(b *testing.B) {
 	for _, n := range contractCounts {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,8 +1,8 @@
-// Package view is what a daemon knows of the system: services, contracts,
-// members and grants, as one immutable value that is replaced whole.
+// Package view defines a daemon's snapshot of the system: services, contracts,
+// members and grants. A View is immutable; a change replaces it with a new one.
 //
-// Readers take the current view once and use it for one decision, so that no
-// decision mixes two configurations.
+// Readers load the current view once for each decision, so that no decision mixes two
+// configurations.
 package view
 
 import (
@@ -22,46 +22,45 @@
 	"hemlockquay/internal/wire"
 )
 
-// View is one state of the system. It is never changed after Build.
+// View is a snapshot of the system. It is immutable after Build.
 type View struct {
-	// Source and State identify the agent's state; Revision the configuration.
+	// Source and State identify the agent's state, Revision the configuration.
 	Source   string
 	State    uint64
 	Revision uint64
 
 	Members []wire.Member
 	Grants  []wire.Grant
-	// Listed are all VMs of the platform's list.
+	// Listed holds all VMs in the platform's list.
 	Listed []wire.Place
 
 	services map[string]*model.Service
-	// byToken finds a contract by the hash of its token.
+	// byToken maps the hash of a token to its contract.
 	byToken     map[string]*model.Contract
 	assignments map[string]*model.Assignment
 	grants      map[string][]ownedSlice
-	// Problems lists the objects that were refused.
+	// Problems lists the objects that were rejected and why.
 	Problems []string
 }
 
-// ownedSlice is a slice with its grant; a service's list is sorted by slice.
+// ownedSlice is a slice with its grant. Each service's list is sorted by slice.
 type ownedSlice struct {
 	slice keyspace.Slice
 	grant *wire.Grant
 }
 
-// Build returns the view of the objects, members and grants. An object that
-// fails its check is left out and reported in Problems; the caller keeps the
-// last good version of it.
+// Build returns a view of the objects, members and grants. An object that fails
+// validation is omitted and reported in Problems; the caller is responsible for
+// passing its last valid version instead.
 func Build(objects []platform.Object, members []wire.Member, grants []wire.Grant) *View {
 	return new(Cache).Build(objects, members, grants)
 }
 
-// Cache keeps decoded objects from one view to the next. It is for one
-// goroutine.
+// Cache keeps decoded objects between builds. It is not safe for concurrent use.
 //
-// Load pattern: a change of configuration alters one object of thousands, and a
-// change of members none. Without the cache each of them decodes all objects
-// again. A version of an object never changes, so it is decoded once.
+// A change of configuration alters one object of thousands and a change of members
+// none. Without the cache, each such change would decode all objects again. A version
+// of an object never changes, so it needs to be decoded only once.
 type Cache struct {
 	objects map[platform.ID]decoded
 }
@@ -72,7 +71,7 @@
 	err     error
 }
 
-// decode returns the object of that version.
+// decode returns the decoded object, from the cache if it holds the same version.
 func (c *Cache) decode(o platform.Object) decoded {
 	if d, ok := c.objects[o.ID()]; ok && d.version == o.Version && o.Version != 0 {
 		return d
@@ -81,7 +80,7 @@
 	return decoded{o.Version, object, err}
 }
 
-// Build is the function Build with what was decoded before.
+// Build does the same as the function Build, but reuses cached objects.
 func (c *Cache) Build(objects []platform.Object, members []wire.Member, grants []wire.Grant) *View {
 	v := &View{
 		Members:     members,
@@ -130,11 +129,11 @@
 	return nil
 }
 
-// errDuplicateToken says that two contracts hold the same token.
-var errDuplicateToken = errors.New("another contract holds this token")
+// errDuplicateToken reports that two contracts have the same token.
+var errDuplicateToken = errors.New("another contract has the same token")
 
-// addContract refuses the later of two contracts with one token.
-// Objects come by version, so every VM keeps the same one of the two.
+// addContract rejects the later of two contracts with the same token. Objects are added
+// in order of version, so every VM keeps the same contract.
 func (v *View) addContract(c *model.Contract) error {
 	hash := strings.ToLower(c.TokenSHA256)
 	if held := v.byToken[hash]; held != nil {
@@ -150,7 +149,7 @@
 	}
 }
 
-// LongestDeadline returns the longest deadline that a service allows.
+// LongestDeadline returns the longest deadline that any service allows.
 func (v *View) LongestDeadline() time.Duration {
 	var longest time.Duration
 	for _, s := range v.services {
@@ -159,7 +158,7 @@
 	return longest
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (v *View) Service(name string) *model.Service { return v.services[name] }
 
 // Services returns all services, sorted by name.
@@ -172,10 +171,10 @@
 	return out
 }
 
-// Assignment returns the record of a service, or nil.
+// Assignment returns the assignment of a service, or nil.
 func (v *View) Assignment(service string) *model.Assignment { return v.assignments[service] }
 
-// ContractOf returns the contract of a bearer token, or nil.
+// ContractOf returns the contract for a bearer token, or nil.
 func (v *View) ContractOf(token string) *model.Contract {
 	sum := sha256.Sum256([]byte(token))
 	return v.byToken[hex.EncodeToString(sum[:])]
@@ -191,7 +190,7 @@
 	return out
 }
 
-// Owner returns the grant that covers the point, or nil where nobody owns it.
+// Owner returns the grant that covers the point, or nil if it has no owner.
 func (v *View) Owner(service string, p keyspace.Point) *wire.Grant {
 	owned := v.grants[service]
 	i := sort.Search(len(owned), func(i int) bool { return owned[i].slice.Last >= p })
@@ -201,7 +200,7 @@
 	return owned[i].grant
 }
 
-// Dispatchers returns the members that take requests, in the list's order.
+// Dispatchers returns the members that accept requests, in the order of Members.
 func (v *View) Dispatchers() []wire.Member {
 	out := make([]wire.Member, 0, len(v.Members))
 	for _, m := range v.Members {
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -19,9 +19,9 @@
 		`{"customer":%q,"tokenSHA256":%q,"services":[{"service":"s","rate":%d,"burst":1,"concurrency":1}]}`, name, hash, version)}
 }
 
-// Two contracts hold one token, one in capitals. Whose limits a caller meets
-// depends on the order in which a VM read them. The later one is refused on
-// every VM, and the caller is found under the earlier one.
+// Two contracts have the same token hash, one in upper case. If both were accepted, the
+// limits of a caller would depend on the order in which a VM read them. Every VM must
+// reject the later contract and keep the earlier one.
 func TestLaterContractWithSameTokenIsRefused(t *testing.T) {
 	first, second := contract("z", strings.ToUpper(tokenHash), 3), contract("b", tokenHash, 4)
 	for _, objects := range [][]platform.Object{{first, second}, {second, first}} {
@@ -32,7 +32,7 @@
 	}
 }
 
-// A cache that kept a replaced or deleted object would leave old limits in force.
+// If the cache returned a replaced or deleted object, outdated limits would stay in force.
 func TestCacheFollowsVersions(t *testing.T) {
 	var c Cache
 	require.Equal(t, 3.0, c.Build([]platform.Object{contract("a", tokenHash, 3)}, nil, nil).ContractOf("a").Services[0].Rate)
