--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -33,14 +33,14 @@
 	pullWait = 2 * time.Second
 	// pullTimeout bounds a pull; the margin covers a busy agent.
 	pullTimeout = pullWait + time.Second
-	// retryPause is the pause after a failed pull.
-	retryPause = 200 * time.Millisecond
-	// readyPause is the pause while the agent is not ready.
-	readyPause = 50 * time.Millisecond
-	// reportEvery is how often the daemon reports to the agent that it lives.
-	reportEvery = 500 * time.Millisecond
-	// reportLeast is the pause before a report of a new revision.
-	reportLeast = 20 * time.Millisecond
+	// retryDelay is the pause after a failed pull.
+	retryDelay = 200 * time.Millisecond
+	// notReadyDelay is the pause while the agent is not ready.
+	notReadyDelay = 50 * time.Millisecond
+	// reportInterval is how often the daemon reports to the agent that it lives.
+	reportInterval = 500 * time.Millisecond
+	// reportDebounce is the pause before a report of a new revision.
+	reportDebounce = 20 * time.Millisecond
 )
 
 // Endpoint says where the agent is and what to report to it.
@@ -62,20 +62,20 @@
 	log      *log.Logger
 	client   *peer.Client
 	current  atomic.Pointer[view.View]
-	lag      metrics.Gauge
+	revisionGauge      metrics.Gauge
 
 	mu      sync.Mutex
 	changed chan struct{}
 	// inForce are the versions of the objects, for the dump.
 	inForce []version
-	// revised asks for a report of the revision in force.
-	revised chan struct{}
+	// revisionChanged asks for a report of the revision in force.
+	revisionChanged chan struct{}
 
 	objects  map[platform.ID]platform.Object
 	refused  map[platform.ID]string
 	cache    view.Cache
-	refusals metrics.Gauge
-	older    metrics.Counter
+	refusedGauge metrics.Gauge
+	olderReplies    metrics.Counter
 	cancel   context.CancelFunc
 	done     sync.WaitGroup
 }
@@ -87,13 +87,13 @@
 		life:     life,
 		log:      logger,
 		client:   peer.NewClient(e.Agent, 2),
-		lag:      metrics.GetOrRegisterGauge("feed.revision", registry),
+		revisionGauge:      metrics.GetOrRegisterGauge("feed.revision", registry),
 		changed:  make(chan struct{}),
-		revised:  make(chan struct{}, 1),
+		revisionChanged:  make(chan struct{}, 1),
 		objects:  make(map[platform.ID]platform.Object),
 		refused:  make(map[platform.ID]string),
-		refusals: metrics.GetOrRegisterGauge("config.refused", registry),
-		older:    metrics.GetOrRegisterCounter("config.refused.older", registry),
+		refusedGauge: metrics.GetOrRegisterGauge("config.refused", registry),
+		olderReplies:    metrics.GetOrRegisterCounter("config.refused.older", registry),
 	}
 	f.current.Store(view.Build(nil, nil, nil))
 	life.Section("view", func() any { return f.dump() })
@@ -123,7 +123,7 @@
 func (f *Feed) stop(context.Context) error {
 	f.cancel()
 	f.done.Wait()
-	ctx, cancel := context.WithTimeout(context.Background(), reportEvery)
+	ctx, cancel := context.WithTimeout(context.Background(), reportInterval)
 	defer cancel()
 	f.report(ctx, true)
 	f.client.Close()
@@ -136,7 +136,7 @@
 		if err := f.pull(ctx); err != nil {
 			f.life.NotReadyBecause("agent " + f.endpoint.Agent + ": " + err.Error())
 			f.log.Debug().Err(err).Str("step", "pull").Str("peer", f.endpoint.Agent).Msg("no news from the agent")
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryDelay)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	}
 	if !reply.Ready {
 		f.life.NotReadyBecause("agent " + f.endpoint.Agent + " holds no configuration yet or has not heard its peers")
-		pause.For(ctx, readyPause)
+		pause.For(ctx, notReadyDelay)
 		return nil
 	}
 	f.apply(v, &reply)
@@ -166,7 +166,7 @@
 // with an older configuration.
 func (f *Feed) apply(old *view.View, reply *wire.PullReply) {
 	if reply.Revision < old.Revision {
-		f.older.Inc(1)
+		f.olderReplies.Inc(1)
 	}
 	config := reply.Revision > old.Revision || (reply.Snapshot && reply.Revision == old.Revision && old.Revision == 0)
 	if !config && !reply.Changed {
@@ -183,11 +183,11 @@
 	next.Listed = listed
 	next.Problems = append(f.problems(), next.Problems...)
 	next.Source, next.State, next.Revision = reply.Source, reply.State, max(old.Revision, reply.Revision)
-	f.lag.Update(int64(next.Revision))
+	f.revisionGauge.Update(int64(next.Revision))
 	f.publish(next, config)
 	if next.Revision != old.Revision {
 		select {
-		case f.revised <- struct{}{}:
+		case f.revisionChanged <- struct{}{}:
 		default:
 		}
 	}
@@ -205,12 +205,12 @@
 		delete(f.refused, id)
 	}
 	for _, o := range reply.Objects {
-		f.put(o, held)
+		f.mergeObject(o, held)
 	}
-	f.refusals.Update(int64(len(f.refused)))
+	f.refusedGauge.Update(int64(len(f.refused)))
 }
 
-func (f *Feed) put(o platform.Object, held map[platform.ID]platform.Object) {
+func (f *Feed) mergeObject(o platform.Object, held map[platform.ID]platform.Object) {
 	old, known := held[o.ID()]
 	if known && old.Version >= o.Version {
 		f.objects[o.ID()] = old
@@ -220,7 +220,7 @@
 	if err == nil {
 		f.objects[o.ID()] = o
 		delete(f.refused, o.ID())
-		f.note(o, known, old.Version)
+		f.recordVersion(o, known, old.Version)
 		return
 	}
 	f.refused[o.ID()] = fmt.Sprintf("%s %s version %d: %v", o.Kind, o.Name, o.Version, err)
@@ -230,9 +230,9 @@
 	}
 }
 
-// note records which version came into force, for hqctl explain. A first
+// recordVersion records which version came into force, for hqctl explain. A first
 // snapshot is one entry.
-func (f *Feed) note(o platform.Object, known bool, old uint64) {
+func (f *Feed) recordVersion(o platform.Object, known bool, old uint64) {
 	if f.Current().Revision == 0 || (o.Kind != model.KindContract && o.Kind != model.KindService) {
 		return
 	}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -13,13 +13,13 @@
 	"hemlockquay/internal/wire"
 )
 
-// holding returns a feed that holds contract a of version 9, rate 9.
-func holding(t *testing.T) *Feed {
+// newTestFeed returns a feed that holds contract a of version 9, rate 9.
+func newTestFeed(t *testing.T) *Feed {
 	t.Helper()
 	r := metrics.NewRegistry()
 	f := &Feed{
-		log: &log.Logger{Level: log.FatalLevel}, changed: make(chan struct{}), revised: make(chan struct{}, 1),
-		lag: metrics.NewGauge(), refusals: metrics.GetOrRegisterGauge("config.refused", r), older: metrics.NewCounter(),
+		log: &log.Logger{Level: log.FatalLevel}, changed: make(chan struct{}), revisionChanged: make(chan struct{}, 1),
+		revisionGauge: metrics.NewGauge(), refusedGauge: metrics.GetOrRegisterGauge("config.refused", r), olderReplies: metrics.NewCounter(),
 		objects: make(map[platform.ID]platform.Object), refused: make(map[platform.ID]string),
 	}
 	f.current.Store(view.Build(nil, nil, nil))
@@ -39,7 +39,7 @@
 // it from a peer that was cut off. Limits fall back to replaced values. The
 // daemon takes the agent's members and keeps its own configuration.
 func TestOlderReplyIsRefused(t *testing.T) {
-	f := holding(t)
+	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{
 		Source: "2", Ready: true, Snapshot: true, Revision: 7, Objects: []platform.Object{contract(4, "4")},
 		Changed: true, Members: []wire.Member{{VM: "vm2"}},
@@ -47,13 +47,13 @@
 	require.Equal(t, 9.0, rate(f))
 	require.Equal(t, uint64(9), f.Current().Revision)
 	require.Len(t, f.Current().Members, 1)
-	require.Equal(t, int64(1), f.older.Count())
+	require.Equal(t, int64(1), f.olderReplies.Count())
 }
 
 // A snapshot of a newer revision holds an older version of one object: the store
 // was restored and went on. That object stays as it is.
 func TestOlderObjectOfNewerSnapshotIsRefused(t *testing.T) {
-	f := holding(t)
+	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{Source: "2", Ready: true, Snapshot: true, Revision: 12, Objects: []platform.Object{contract(4, "4")}})
 	require.Equal(t, 9.0, rate(f))
 	require.Equal(t, uint64(12), f.Current().Revision)
@@ -62,12 +62,12 @@
 // A contract with an impossible rate reaches a daemon. Its last good version
 // stays in force and the problem is shown until a good one comes; a deletion
 // ends both.
-func TestBadObjectKeepsLastGoodVersion(t *testing.T) {
-	f := holding(t)
+func TestInvalidObjectKeepsLastValidVersion(t *testing.T) {
+	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{Source: "1", Ready: true, Snapshot: true, Revision: 10, Objects: []platform.Object{contract(10, "-1")}})
 	require.Equal(t, 9.0, rate(f))
 	require.Len(t, f.Current().Problems, 1)
-	require.Equal(t, int64(1), f.refusals.Value())
+	require.Equal(t, int64(1), f.refusedGauge.Value())
 	f.apply(f.Current(), &wire.PullReply{Source: "1", Ready: true, Revision: 11, Deleted: []platform.ID{{Kind: model.KindContract, Name: "a"}}})
 	require.Nil(t, f.Current().ContractOf("a"))
 	require.Empty(t, f.Current().Problems)
--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -18,11 +18,11 @@
 	for ctx.Err() == nil {
 		f.report(ctx, false)
 		select {
-		case <-time.After(reportEvery):
-		case <-f.revised:
+		case <-time.After(reportInterval):
+		case <-f.revisionChanged:
 			// Operators wait for the revision in force; a burst of changes
 			// is reported once.
-			pause.For(ctx, reportLeast)
+			pause.For(ctx, reportDebounce)
 		case <-draining:
 			// Told at once, so that peers stop sending new work.
 			draining = nil
@@ -46,7 +46,7 @@
 	if f.endpoint.Loads != nil {
 		args.Loads = f.endpoint.Loads()
 	}
-	ctx, cancel := context.WithTimeout(ctx, reportEvery)
+	ctx, cancel := context.WithTimeout(ctx, reportInterval)
 	defer cancel()
 	if err := f.client.Call(ctx, wire.MethodReport, &args, &wire.Empty{}); err != nil {
 		f.log.Debug().Err(err).Str("step", "report").Str("peer", f.endpoint.Agent).Msg("agent not reached")
