--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,8 +1,7 @@
-// Package feed keeps a daemon's view current by pulling it from the VM's agent.
+// Package feed keeps a daemon's view up to date by long-polling the VM's agent.
 //
-// The loss of the agent stops nothing: the daemon goes on with the view it
-// holds. A view never goes back: a configuration of an older revision is
-// refused, whoever sends it.
+// If the agent is lost, the daemon continues with its current view. A view never goes
+// back to an older configuration: an older revision is rejected, whoever sends it.
 package feed
 
 import (
@@ -27,72 +26,73 @@
 	"hemlockquay/internal/wire"
 )
 
-// Times of the feed.
+// Intervals and timeouts of the feed.
 const (
-	// pullWait is how long the agent may hold a pull without a change.
+	// pullWait is how long the agent may hold a pull (long poll) without a change.
 	pullWait = 2 * time.Second
-	// pullTimeout bounds a pull; the margin covers a busy agent.
+	// pullTimeout bounds a pull. The margin over pullWait allows for a busy agent.
 	pullTimeout = pullWait + time.Second
-	// retryDelay is the pause after a failed pull.
+	// retryDelay is the delay after a failed pull.
 	retryDelay = 200 * time.Millisecond
-	// notReadyDelay is the pause while the agent is not ready.
+	// notReadyDelay is the delay between pulls while the agent is not ready.
 	notReadyDelay = 50 * time.Millisecond
-	// reportInterval is how often the daemon reports to the agent that it lives.
+	// reportInterval is the interval of the daemon's periodic reports to the agent.
 	reportInterval = 500 * time.Millisecond
-	// reportDebounce is the pause before a report of a new revision.
+	// reportDebounce is the delay before a report of a new revision.
 	reportDebounce = 20 * time.Millisecond
 )
 
-// Endpoint says where the agent is and what to report to it.
+// Endpoint holds the agent's address and what the daemon reports to it.
 type Endpoint struct {
 	// Agent is the agent's IP:PORT.
 	Agent string
 	// Process is the daemon's name.
 	Process string
-	// Data is the daemon's data address, "" if it takes none.
+	// Data is the address on which the daemon accepts requests, "" if there is none.
 	Data string
-	// Loads returns the daemon's hottest groups; nil where it takes no requests.
+	// Loads returns the daemon's hottest groups. It is nil if the daemon accepts no
+	// requests.
 	Loads func() []wire.GroupLoad
 }
 
-// Feed holds the current view. Current is safe for concurrent use.
+// Feed holds the current view. Its exported methods are safe for concurrent use.
 type Feed struct {
-	endpoint Endpoint
-	life     *daemon.Life
-	log      *log.Logger
-	client   *peer.Client
-	current  atomic.Pointer[view.View]
-	revisionGauge      metrics.Gauge
+	endpoint      Endpoint
+	life          *daemon.Life
+	log           *log.Logger
+	client        *peer.Client
+	current       atomic.Pointer[view.View]
+	revisionGauge metrics.Gauge
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// inForce are the versions of the objects, for the dump.
+	// inForce holds the versions of the objects in force, for the dump.
 	inForce []version
-	// revisionChanged asks for a report of the revision in force.
+	// revisionChanged triggers a report of the revision in force.
 	revisionChanged chan struct{}
 
-	objects  map[platform.ID]platform.Object
-	refused  map[platform.ID]string
-	cache    view.Cache
+	objects      map[platform.ID]platform.Object
+	refused      map[platform.ID]string
+	cache        view.Cache
 	refusedGauge metrics.Gauge
-	olderReplies    metrics.Counter
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
+	olderReplies metrics.Counter
+	cancel       context.CancelFunc
+	done         sync.WaitGroup
 }
 
-// New returns a feed that runs for the application's life.
+// New returns a feed that runs for the lifetime of the application.
 func New(lc fx.Lifecycle, e Endpoint, life *daemon.Life, logger *log.Logger, registry metrics.Registry) *Feed {
 	f := &Feed{
-		endpoint: e,
-		life:     life,
-		log:      logger,
-		client:   peer.NewClient(e.Agent, 2),
-		revisionGauge:      metrics.GetOrRegisterGauge("feed.revision", registry),
-		changed:  make(chan struct{}),
-		revisionChanged:  make(chan struct{}, 1),
-		objects:  make(map[platform.ID]platform.Object),
-		refused:  make(map[platform.ID]string),
-		refusedGauge: metrics.GetOrRegisterGauge("config.refused", registry),
+		endpoint:        e,
+		life:            life,
+		log:             logger,
+		client:          peer.NewClient(e.Agent, 2),
+		revisionGauge:   metrics.GetOrRegisterGauge("feed.revision", registry),
+		changed:         make(chan struct{}),
+		revisionChanged: make(chan struct{}, 1),
+		objects:         make(map[platform.ID]platform.Object),
+		refused:         make(map[platform.ID]string),
+		refusedGauge:    metrics.GetOrRegisterGauge("config.refused", registry),
 		olderReplies:    metrics.GetOrRegisterCounter("config.refused.older", registry),
 	}
 	f.current.Store(view.Build(nil, nil, nil))
@@ -104,7 +104,7 @@
 // Current returns the view in force.
 func (f *Feed) Current() *view.View { return f.current.Load() }
 
-// Changed returns a channel that closes when the next view comes into force.
+// Changed returns a channel that is closed when the next view comes into force.
 func (f *Feed) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +135,7 @@
 	for ctx.Err() == nil {
 		if err := f.pull(ctx); err != nil {
 			f.life.NotReadyBecause("agent " + f.endpoint.Agent + ": " + err.Error())
-			f.log.Debug().Err(err).Str("step", "pull").Str("peer", f.endpoint.Agent).Msg("no news from the agent")
+			f.log.Debug().Err(err).Str("step", "pull").Str("peer", f.endpoint.Agent).Msg("pull from the agent failed")
 			pause.For(ctx, retryDelay)
 		}
 	}
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// apply puts the reply into force.
-// Revisions only rise: a restarted agent, or one that relays from a peer that was cut off, may answer
-// with an older configuration.
+// apply publishes a view with the reply's changes. It ignores a configuration of an older
+// revision, which may come from a restarted agent or from one that relays the state of a
+// partitioned peer.
 func (f *Feed) apply(old *view.View, reply *wire.PullReply) {
 	if reply.Revision < old.Revision {
 		f.olderReplies.Inc(1)
@@ -193,8 +193,8 @@
 	}
 }
 
-// merge keeps the last good version of an object that fails its check, and the
-// newer of two versions.
+// merge adds the objects of a reply. It keeps the last valid version of an object that
+// fails validation, and the newer one of two versions.
 func (f *Feed) merge(reply *wire.PullReply) {
 	held := f.objects
 	if reply.Snapshot {
@@ -224,26 +224,26 @@
 		return
 	}
 	f.refused[o.ID()] = fmt.Sprintf("%s %s version %d: %v", o.Kind, o.Name, o.Version, err)
-	f.log.Error().Err(err).Str("step", "configure").Msg("object refused, the last good version stays")
+	f.log.Error().Err(err).Str("step", "configure").Msg("object rejected, keeping its last valid version")
 	if known {
 		f.objects[o.ID()] = old
 	}
 }
 
-// recordVersion records which version came into force, for hqctl explain. A first
-// snapshot is one entry.
+// recordVersion adds a journal entry, for hqctl explain, when a version of a contract or
+// service comes into force. The objects of the first snapshot get no entries of their own.
 func (f *Feed) recordVersion(o platform.Object, known bool, old uint64) {
 	if f.Current().Revision == 0 || (o.Kind != model.KindContract && o.Kind != model.KindService) {
 		return
 	}
-	before := "it is new"
+	before := "the object is new"
 	if known {
-		before = fmt.Sprintf("version %d was before", old)
+		before = fmt.Sprintf("previous version %d", old)
 	}
 	f.life.Note("configure", fmt.Sprintf("%s %s version %d is in force, %s", o.Kind, o.Name, o.Version, before), o.Name, journal.Version(o.Name, o.Version))
 }
 
-// problems returns what is not in force and why, sorted.
+// problems returns the rejected objects with the reasons, sorted.
 func (f *Feed) problems() []string {
 	out := make([]string, 0, len(f.refused))
 	for _, reason := range f.refused {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// newTestFeed returns a feed that holds contract a of version 9, rate 9.
+// newTestFeed returns a feed that holds version 9 of contract a, with rate 9.
 func newTestFeed(t *testing.T) *Feed {
 	t.Helper()
 	r := metrics.NewRegistry()
@@ -35,9 +35,9 @@
 
 func rate(f *Feed) float64 { return f.Current().ContractOf("a").Services[0].Rate }
 
-// The agent is restarted while the store answers from an old copy, or learns of
-// it from a peer that was cut off. Limits fall back to replaced values. The
-// daemon takes the agent's members and keeps its own configuration.
+// A restarted agent sends an outdated configuration, read from a stale copy of the store
+// or from a partitioned peer. If the daemon accepted it, limits would revert to replaced
+// values. It must accept the agent's members and keep its own configuration.
 func TestOlderReplyIsRefused(t *testing.T) {
 	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{
@@ -50,8 +50,8 @@
 	require.Equal(t, int64(1), f.olderReplies.Count())
 }
 
-// A snapshot of a newer revision holds an older version of one object: the store
-// was restored and went on. That object stays as it is.
+// A snapshot of a newer revision holds an older version of one object, because the store
+// was restored from a backup and then changed. The feed must keep the newer version.
 func TestOlderObjectOfNewerSnapshotIsRefused(t *testing.T) {
 	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{Source: "2", Ready: true, Snapshot: true, Revision: 12, Objects: []platform.Object{contract(4, "4")}})
@@ -59,9 +59,8 @@
 	require.Equal(t, uint64(12), f.Current().Revision)
 }
 
-// A contract with an impossible rate reaches a daemon. Its last good version
-// stays in force and the problem is shown until a good one comes; a deletion
-// ends both.
+// A daemon receives a contract with an invalid rate. The last valid version must stay in
+// force and the problem must be reported until the contract is deleted.
 func TestInvalidObjectKeepsLastValidVersion(t *testing.T) {
 	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{Source: "1", Ready: true, Snapshot: true, Revision: 10, Objects: []platform.Object{contract(10, "-1")}})
--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -20,11 +20,11 @@
 		select {
 		case <-time.After(reportInterval):
 		case <-f.revisionChanged:
-			// Operators wait for the revision in force; a burst of changes
-			// is reported once.
+			// Report soon, as operators wait for the new revision to be in
+			// force; the delay combines a burst of changes into one report.
 			pause.For(ctx, reportDebounce)
 		case <-draining:
-			// Told at once, so that peers stop sending new work.
+			// Report immediately, so that peers stop sending new requests.
 			draining = nil
 		case <-ctx.Done():
 		}
@@ -49,18 +49,18 @@
 	ctx, cancel := context.WithTimeout(ctx, reportInterval)
 	defer cancel()
 	if err := f.client.Call(ctx, wire.MethodReport, &args, &wire.Empty{}); err != nil {
-		f.log.Debug().Err(err).Str("step", "report").Str("peer", f.endpoint.Agent).Msg("agent not reached")
+		f.log.Debug().Err(err).Str("step", "report").Str("peer", f.endpoint.Agent).Msg("report to the agent failed")
 	}
 }
 
-// version is one object in force.
+// version identifies the version of one object in force.
 type version struct {
 	Kind    model.Kind `json:"kind"`
 	Name    string     `json:"name"`
 	Version uint64     `json:"version"`
 }
 
-// versions returns the objects in force, by kind and name.
+// versions returns the versions of the objects in force, sorted by kind and name.
 func (f *Feed) versions() []version {
 	out := make([]version, 0, len(f.objects))
 	for id, o := range f.objects {
@@ -72,7 +72,7 @@
 	return out
 }
 
-// totals are the lengths of the lists before they were cut.
+// totals holds the lengths of the dump's lists before truncation.
 type totals struct {
 	Objects  int `json:"objects"`
 	Members  int `json:"members"`
