--- a/internal/wire/read_test.go
+++ b/internal/wire/read_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReadAllIgnoresAWrongLength(t *testing.T) {
-	for _, size := range []int{0, 1, 511, 512, maxPresized + 1} {
+func TestReadAllIgnoresWrongLength(t *testing.T) {
+	for _, size := range []int{0, 1, 511, 512, maxPreallocated + 1} {
 		for _, announced := range []int64{-1, 0, 1, int64(size), 1 << 60} {
 			body := bytes.Repeat([]byte{7}, size)
 			got, err := ReadAll(iotest.HalfReader(bytes.NewReader(body)), announced)
