--- a/internal/wire/limits.go
+++ b/internal/wire/limits.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RPC methods of limits, intents and quarantine.
+// RPC methods for limits, intents and quarantine.
 const (
 	MethodShare   = "Entry.Share"
 	MethodClaim   = "Dispatch.Claim"
@@ -15,27 +15,27 @@
 	MethodCases   = "Dispatch.Cases"
 )
 
-// AwaitArgs asks a coordinator for the end of a request that it runs.
+// AwaitArgs asks a coordinator for the result of a request that it runs.
 type AwaitArgs struct {
 	// Claim is the claim's ID.
 	Claim string
-	// Wait bounds how long the call may be held.
+	// Wait bounds how long the coordinator may hold the call.
 	Wait time.Duration
 }
 
-// AwaitReply says what became of a claim.
+// AwaitReply is the state of a claim.
 type AwaitReply struct {
-	// Known is false where the coordinator never heard of the claim: it is
-	// another life, or forgot.
+	// Known is false if the coordinator has no record of the claim, because it
+	// restarted or dropped the record.
 	Known bool
-	// Released says that the request surely was not run.
+	// Released reports that the request was certainly not run.
 	Released bool
 	// Answer is nil while the request runs.
 	Answer *Answer
 }
 
-// Place is a VM as the platform lists it. Unlike Member it says nothing about
-// whether the VM answers.
+// Place is a VM in the platform's list. Unlike Member, it does not imply that the VM
+// responds.
 type Place struct {
 	VM         string
 	DataCentre string
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -5,15 +5,15 @@
 	"io"
 )
 
-// maxPreallocated bounds the memory that is taken on an announced length alone: a
-// sender that announces 64 MiB and sends nothing must not cost them.
+// maxPreallocated bounds the memory allocated for an announced length: a sender that
+// announces 64 MiB and sends nothing must not make the receiver allocate that much.
 const maxPreallocated = 256 << 10
 
-// ReadAll reads to the end. announced is the length that the sender named, -1 for
-// none: a body of that length is read without growing its memory step by step.
+// ReadAll reads r to its end. announced is the length that the sender declared, -1 for
+// none; it is only used to allocate the buffer in advance.
 func ReadAll(r io.Reader, announced int64) ([]byte, error) {
 	if announced == 0 {
-		// Still read to the end: what was announced is not trusted.
+		// The announced length is not trusted, so read to the end.
 		return io.ReadAll(r)
 	}
 	var b bytes.Buffer
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire holds the messages between hemlockquay's own processes. They
-// travel by net/rpc; see package peer.
+// Package wire defines the messages between hemlockquay's own processes. They are sent
+// with net/rpc; see package peer.
 package wire
 
 import (
@@ -25,32 +25,33 @@
 	MethodSync   = "Agent.Sync"
 )
 
-// Request is a caller's request in flight from an entry to a dispatcher.
+// Request is a caller's request that an entry sends to a dispatcher.
 type Request struct {
-	// ID is unique over all entries and their restarts.
+	// ID is unique across all entries and their restarts.
 	ID       string
 	Service  string
 	Customer string
 	Class    model.Class
 	Weight   int
-	// Key is the routing key; "" where the service is unkeyed.
+	// Key is the routing key, "" if the service is unkeyed.
 	Key    string
 	Method string
 	// Path is the path and query below /s/SERVICE.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Sum is the body's xxhash64; a mismatch is an error, never a part.
+	// Sum is the xxhash64 of the body. On a mismatch the request is rejected;
+	// a partial body is never used.
 	Sum uint64
-	// Budget is the time left until the caller's deadline when it was sent.
+	// Budget is the time left until the caller's deadline, when the message was sent.
 	Budget time.Duration
-	// Idempotent says that running it twice does no harm.
+	// Idempotent reports that the request may safely run more than once.
 	Idempotent bool
-	// IdempotencyKey names the logical request across the caller's repeats.
+	// IdempotencyKey identifies the logical request across the caller's retries.
 	IdempotencyKey string
 }
 
-// Answer is a target's whole answer, or the problem in its place.
+// Answer is a target's complete answer, or the problem that is returned instead.
 type Answer struct {
 	ID      string
 	Status  int
@@ -61,58 +62,60 @@
 	Problem *problem.Error
 }
 
-// Sum returns the checksum that goes with a body.
+// Sum returns the checksum of a body.
 func Sum(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Whole reports whether the answer belongs to the request and is complete.
+// Whole reports whether the answer belongs to the request with that ID and its body is
+// complete.
 func (a *Answer) Whole(id string) bool { return a.ID == id && a.Sum == Sum(a.Body) }
 
-// Refused returns the answer of a request that ended in a problem.
+// Refused returns the answer to a request that ended in a problem.
 func Refused(id string, p *problem.Error) Answer { return Answer{ID: id, Problem: p, Sum: Sum(nil)} }
 
-// CancelArgs asks a dispatcher to drop a request whose caller went away.
+// CancelArgs asks a dispatcher to cancel a request whose caller disconnected.
 type CancelArgs struct{ ID string }
 
 // Empty is a reply without content.
 type Empty struct{}
 
-// Member is one VM as the agents see it.
+// Member is the agents' view of one VM.
 type Member struct {
 	VM           string
 	DataCentre   string
 	Incarnation  string
 	AgentAddr    string
 	DispatchAddr string
-	// EntryAddr is where the VM's entry takes calls of other entries.
+	// EntryAddr is the address on which the VM's entry accepts calls from other
+	// entries.
 	EntryAddr string
-	// Leaving VMs get no new work.
+	// Leaving reports that the VM must get no new requests.
 	Leaving bool
-	// Revision is the configuration in force on all daemons of the VM, and
-	// Held the one that its agent holds. Both are sent between agents only.
+	// Revision is the configuration in force on all daemons of the VM, Held the
+	// one that its agent holds. Both are sent between agents only.
 	Revision uint64
 	Held     uint64
-	// Holds says that the agent holds a configuration at all.
+	// Holds reports that the agent holds a configuration.
 	Holds bool
-	// Watching says that the agent's watch of the store works.
+	// Watching reports that the agent's watch of the store works.
 	Watching bool
 	// AdminAddr is the agent's admin HTTP address.
 	AdminAddr string
 }
 
-// Rank orders the grantors of a group. A higher one fences all lower ones.
+// Rank orders the grantors of a group. A higher rank fences all lower ones.
 type Rank struct {
 	// Epoch comes from the group's record in the store.
 	Epoch uint64 `json:"epoch"`
-	// Succession is the grantor's place in the line of succession.
+	// Succession is the grantor's position in the order of succession.
 	Succession uint64 `json:"succession"`
-	// Incarnation is when the granting agent started, nanoseconds; a
-	// restarted agent never uses a rank of its earlier life.
+	// Incarnation is the start time of the granting agent, nanoseconds, so that a
+	// restarted agent never reuses a rank.
 	Incarnation int64 `json:"incarnation"`
-	// Agent is the granting VM.
+	// Agent is the name of the granting VM.
 	Agent string `json:"agent"`
 }
 
-// Compare returns -1, 0 or 1 as r is below, equal to or above o.
+// Compare returns -1, 0 or 1 if r is below, equal to or above o.
 func (r Rank) Compare(o Rank) int {
 	switch {
 	case r.Epoch != o.Epoch:
@@ -134,7 +137,7 @@
 	return 1
 }
 
-// Grant says which target serves a group's slices, and by which rank.
+// Grant assigns a group's slices to a target under a rank.
 type Grant struct {
 	Service string
 	Group   uint64
@@ -143,48 +146,50 @@
 	Rank    Rank
 }
 
-// PullArgs asks an agent for what changed since the versions the caller holds.
+// PullArgs asks an agent for the changes since the versions that the caller holds.
 type PullArgs struct {
-	// Process is the asker, for logs and fan-out counts.
+	// Process is the caller's name, for logs and fan-out counts.
 	Process string
 	// Source is the agent incarnation that the sequence numbers belong to.
 	Source string
-	// Revision is the configuration revision held.
+	// Revision is the configuration revision that the caller holds.
 	Revision uint64
-	// State is the sequence number held of members and grants.
+	// State is the sequence number of the members and grants that the caller holds.
 	State uint64
-	// Wait bounds how long the agent may hold the call until something changes.
+	// Wait bounds how long the agent may hold the call while nothing changes.
 	Wait time.Duration
 }
 
-// PullReply is a delta, or a snapshot where the agent cannot give a delta.
+// PullReply is a delta, or a snapshot if the agent cannot compute a delta.
 type PullReply struct {
 	// Source is the answering agent's incarnation.
 	Source string
 	// Ready is false while the agent itself holds no configuration.
 	Ready bool
-	// Snapshot says that Objects is everything, not a delta.
+	// Snapshot reports that Objects holds all objects, not a delta.
 	Snapshot bool
 	Revision uint64
 	Objects  []platform.Object
 	Deleted  []platform.ID
-	// State numbers Members and Grants, which come whole when it changed.
+	// State is the sequence number of Members and Grants. Both are complete if
+	// Changed is set and empty otherwise.
 	State   uint64
 	Changed bool
 	Members []Member
 	Grants  []Grant
-	// Listed are all VMs of the platform's list, silent ones too, by name.
+	// Listed holds all VMs in the platform's list, including those that do not
+	// respond, sorted by name.
 	Listed []Place
 }
 
 // BeatArgs is a heartbeat between agents.
 type BeatArgs struct {
 	Member Member
-	// Source and State name the grants of the peer that the sender holds.
+	// Source and State identify the peer's grants that the sender holds.
 	Source string
 	State  uint64
-	// Pushed says that Grants are the sender's own grants, whole, at its
-	// PushedState: they changed a moment ago.
+	// Pushed reports that Grants holds all of the sender's own grants at
+	// PushedState, because they have just changed.
 	Pushed      bool
 	PushedState uint64
 	Grants      []Grant
@@ -194,43 +199,43 @@
 type BeatReply struct {
 	Member Member
 	State  uint64
-	// Grants are the peer's own grants, whole, when State differs from the
-	// sender's.
+	// Changed reports that State differs from the sender's. Grants then holds all of
+	// the peer's own grants.
 	Changed bool
 	Grants  []Grant
 }
 
-// ReportArgs is what a daemon reports to its agent.
+// ReportArgs is a daemon's report to its agent.
 type ReportArgs struct {
 	Process string
-	// Addr is the daemon's address for data, if it takes any.
+	// Addr is the address on which the daemon accepts requests, if any.
 	Addr string
 	// Admin is the daemon's admin address.
 	Admin string
 	// Revision is the configuration that the daemon has in force.
 	Revision uint64
-	// Leaving says that the daemon drains, Stopped that it has drained.
+	// Leaving reports that the daemon is draining, Stopped that it has drained.
 	Leaving bool
 	Stopped bool
-	// Problems lists objects that it could not put in force.
+	// Problems lists the objects that the daemon rejected.
 	Problems []string
-	// Loads are the hottest groups of a dispatcher, at most MaxLoads.
+	// Loads holds the hottest groups of a dispatcher, at most MaxLoads.
 	Loads []GroupLoad
 }
 
-// MaxLoads bounds the groups in one report. Placement moves the hottest; the
-// rest is known well enough as an even spread.
+// MaxLoads bounds the groups in one report. Placement moves only the hottest groups; for
+// the others an even distribution is a good enough estimate.
 const MaxLoads = 256
 
-// GroupLoad is the requests per second that one dispatcher, or one VM, took for
-// a group of slices.
+// GroupLoad is the rate of requests, per second, that one dispatcher or one VM received
+// for a group of slices.
 type GroupLoad struct {
 	Service string
 	Group   uint64
 	Rate    float64
 }
 
-// LoadsArgs reports to a service's assigner what a VM takes for its groups.
+// LoadsArgs reports a VM's load for each group to a service's assigner.
 type LoadsArgs struct {
 	VM    string
 	Loads []GroupLoad
