--- a/internal/target/held_test.go
+++ b/internal/target/cancel_test.go
@@ -15,7 +15,7 @@
 // two. A target is cut off, the booking is given up at its deadline and its connection closed;
 // as the cut ends, the system delivers what was written to that connection, and the target
 // runs it, beside what is sent to its slots by then.
-func TestARequestThatWasGivenUpIsNotRunLater(t *testing.T) {
+func TestCancelledRequestIsNotDeliveredLater(t *testing.T) {
 	var ran atomic.Int32
 	l := linktest.Serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(HeaderRequestID) == "late" {
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -127,19 +127,19 @@
 	return wire.Rank{Epoch: epoch, Succession: succession, Incarnation: incarnation, Agent: parts[3]}, nil
 }
 
-// maxReport bounds a target's report, bytes.
-const maxReport = 4 << 20
+// maxReportBytes bounds a target's report, bytes.
+const maxReportBytes = 4 << 20
 
 // Commander sends orders to targets.
 type Commander struct{ http *http.Client }
 
-// idleCommanders is how many connections to one target are kept: an order each
+// maxIdleOrderConns is how many connections to one target are kept: an order each
 // 75 ms may overtake two that are late.
-const idleCommanders = 4
+const maxIdleOrderConns = 4
 
 // NewCommander returns a commander; each call's context carries its deadline.
 func NewCommander() *Commander {
-	return &Commander{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleCommanders}}}
+	return &Commander{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOrderConns}}}
 }
 
 // Send carries an order to the target at addr.
@@ -162,7 +162,7 @@
 	}
 	// Read to the end: a connection whose answer was not is closed, and every
 	// order would dial anew.
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return nil, fmt.Errorf("order at %s: read report: %w", addr, err)
 	}
--- a/internal/target/hints.go
+++ b/internal/target/probe.go
@@ -21,8 +21,8 @@
 	Running int `json:"running"`
 }
 
-// maxHint bounds the answer of a hint endpoint, bytes.
-const maxHint = 64 << 10
+// maxProbeBytes bounds the answer of a hint endpoint, bytes.
+const maxProbeBytes = 64 << 10
 
 // Prober asks targets for hints, over connections of its own.
 type Prober struct{ http *http.Client }
@@ -59,7 +59,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("probe %s: status %d", url, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxHint)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxProbeBytes)).Decode(out); err != nil {
 		return fmt.Errorf("probe %s: %w", url, err)
 	}
 	return nil
--- a/internal/target/sender.go
+++ b/internal/target/sender.go
@@ -52,9 +52,9 @@
 // idleTimeout is how long a warm connection is kept without use.
 const idleTimeout = 90 * time.Second
 
-// maxAnswerHeader bounds the headers of an answer, bytes: as much as common
+// maxResponseHeaderBytes bounds the headers of an answer, bytes: as much as common
 // servers send and no target needs more.
-const maxAnswerHeader = 64 << 10
+const maxResponseHeaderBytes = 64 << 10
 
 // NewSender returns a sender with at most so many connections to each target.
 func NewSender(connections int) *Sender {
@@ -66,7 +66,7 @@
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 			// The library's default is 10 MiB, held for every attempt.
-			MaxResponseHeaderBytes: maxAnswerHeader,
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
@@ -79,18 +79,18 @@
 	return upstream.DialWithReset(ctx, &net.Dialer{Timeout: dialTimeout}, network, addr)
 }
 
-// onceBody returns a body that net/http cannot rewind.
+// nonRewindableBody returns a body that net/http cannot rewind.
 // net/http sends a request again by itself if it can rewind the body, also a POST that has an
 // Idempotency-Key header. It still knows that this body is in memory, and sends headers and body in
 // one write.
-func onceBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
+func nonRewindableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
 // setBody gives the request its body. An empty one must not be http.NoBody, which
 // may be sent again; and net/http would look for its first byte in a goroutine with
 // a timer, for each request. Named identity, it is sent as it is: without a length,
 // which for methods that rarely have a body means none.
 func setBody(req *http.Request, body []byte) {
-	req.Body = onceBody(body)
+	req.Body = nonRewindableBody(body)
 	req.ContentLength = int64(len(body))
 	switch {
 	case len(body) > 0:
@@ -104,7 +104,7 @@
 // Send sends the attempt once and returns the whole answer. The error is
 // ErrUnsent or *RefusedError where the target surely did not run it.
 func (s *Sender) Send(ctx context.Context, a *Attempt) (*wire.Answer, error) {
-	req, err := build(ctx, a)
+	req, err := buildRequest(ctx, a)
 	if err != nil {
 		return nil, errors.Join(ErrUnsent, err)
 	}
@@ -116,7 +116,7 @@
 	if refused := resp.Header.Get(HeaderRefused); refused != "" && resp.Header.Get(problem.Header) == string(problem.RanNo) {
 		return nil, &RefusedError{Reason: Refusal(refused)}
 	}
-	body, err := readWhole(resp, a.MaxAnswer)
+	body, err := readBody(resp, a.MaxAnswer)
 	if err != nil {
 		return nil, err
 	}
@@ -130,10 +130,10 @@
 	}, nil
 }
 
-// ownHeaders is how many headers a request gets here at the most.
-const ownHeaders = 6
+// maxAddedHeaders is how many headers a request gets here at the most.
+const maxAddedHeaders = 6
 
-func build(ctx context.Context, a *Attempt) (*http.Request, error) {
+func buildRequest(ctx context.Context, a *Attempt) (*http.Request, error) {
 	r := a.Request
 	if !strings.HasPrefix(r.Path, "/") {
 		// It would join the address and choose where the request goes.
@@ -145,7 +145,7 @@
 	}
 	setBody(req, r.Body)
 	// The lists of values are shared by all attempts; Set puts new ones in place.
-	req.Header = make(http.Header, len(r.Header)+ownHeaders)
+	req.Header = make(http.Header, len(r.Header)+maxAddedHeaders)
 	maps.Copy(req.Header, r.Header)
 	req.Header.Set(HeaderRequestID, r.ID)
 	req.Header.Set(HeaderDeadline, strconv.FormatInt(time.Until(a.Deadline).Milliseconds(), 10))
@@ -168,10 +168,10 @@
 	return err
 }
 
-// readWhole reads the body to its end. A body shorter than announced is an
+// readBody reads the body to its end. A body shorter than announced is an
 // error of net/http, one over the limit is ErrTooLarge; neither is passed on in
 // part.
-func readWhole(resp *http.Response, limit int64) ([]byte, error) {
+func readBody(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := wire.ReadAll(io.LimitReader(resp.Body, limit+1), resp.ContentLength)
 	if err != nil {
 		return nil, fmt.Errorf("read answer: %w", err)
--- a/internal/target/sender_test.go
+++ b/internal/target/sender_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// raw serves every connection with a fixed text, then closes it.
-func raw(t *testing.T, text string) string {
+// serveRaw serves every connection with a fixed text, then closes it.
+func serveRaw(t *testing.T, text string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,7 +54,7 @@
 	return l.Addr().String()
 }
 
-func TestBrokenAnswersAreNeverPassedOnInPart(t *testing.T) {
+func TestIncompleteAnswersAreErrors(t *testing.T) {
 	cases := []struct{ name, answer string }{
 		{"too little", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfour"},
 		{"too much", "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n" + strings.Repeat("x", 101)},
@@ -69,7 +69,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := NewSender(2)
 			defer s.Close()
-			answer, err := s.Send(context.Background(), attempt(raw(t, c.answer)))
+			answer, err := s.Send(context.Background(), attempt(serveRaw(t, c.answer)))
 			require.Error(t, err)
 			require.Nil(t, answer)
 			require.NotErrorIs(t, err, ErrUnsent)
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestAnswerAndRequestArriveWhole(t *testing.T) {
+func TestRequestAndAnswerRoundTrip(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %s %s", r.RequestURI, r.Header.Get(HeaderRequestID), body)
@@ -92,7 +92,7 @@
 	require.False(t, answer.Whole("r2"))
 }
 
-func TestPathsArriveAsWrittenAndNeverChooseTheAddress(t *testing.T) {
+func TestPathIsSentVerbatimAndCannotChangeAddress(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, r.Method, " ", r.RequestURI) }))
 	defer server.Close()
 	s := NewSender(2)
@@ -163,7 +163,7 @@
 // A maintainer sees one pull request opened twice. The kept connection to the
 // target breaks after the request was read; net/http takes the request's
 // Idempotency-Key for leave to send it again on a new connection by itself.
-func TestLibraryNeverRepeatsARequest(t *testing.T) {
+func TestHTTPTransportNeverRetries(t *testing.T) {
 	var arrived atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -208,7 +208,7 @@
 // Agents spend a fifth of their time on dials. A report of many groups comes in
 // chunks; a decoder that stops at the last brace leaves the end unread, and the
 // library closes the connection after every order.
-func TestOrdersKeepTheirConnection(t *testing.T) {
+func TestOrdersReuseTheirConnection(t *testing.T) {
 	var dials atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(Report{Incarnation: "t1-1", Groups: make([]GroupReport, 200)})
