--- a/internal/target/cancel_test.go
+++ b/internal/target/cancel_test.go
@@ -11,10 +11,10 @@
 	"hemlockquay/internal/standin/link/linktest"
 )
 
-// A caller is told that its booking may have run; it looks, finds none, books again, and has
-// two. A target is cut off, the booking is given up at its deadline and its connection closed;
-// as the cut ends, the system delivers what was written to that connection, and the target
-// runs it, beside what is sent to its slots by then.
+// A request is sent to a target during a network partition and cancelled at its deadline.
+// If its connection is closed without a reset, the operating system delivers the buffered
+// request after the partition heals. The target then runs it late, beyond its slots, and a
+// caller that found no booking and booked again has two.
 func TestCancelledRequestIsNotDeliveredLater(t *testing.T) {
 	var ran atomic.Int32
 	l := linktest.Serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -25,7 +25,7 @@
 	s := NewSender(2)
 	defer s.Close()
 	_, err := s.Send(t.Context(), attempt(l.Addr()))
-	require.NoError(t, err, "the link carries the connection")
+	require.NoError(t, err, "send over the working link")
 
 	l.Cut()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -40,10 +40,10 @@
 	cancel()
 	err = <-ended
 	require.ErrorIs(t, err, context.Canceled)
-	require.NotErrorIs(t, err, ErrUnsent, "it may have run before the cut")
+	require.NotErrorIs(t, err, ErrUnsent, "the request may have run before the partition")
 	s.Close()
 	l.AwaitEnded()
 	l.Heal()
 	l.Drain()
-	require.Zero(t, ran.Load(), "it ran after it was given up")
+	require.Zero(t, ran.Load(), "the request ran after it was cancelled")
 }
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -1,5 +1,5 @@
-// Package target speaks with the servers behind the router: orders for the
-// grants of keys, and callers' requests.
+// Package target is the client of the servers behind the router: it sends orders that
+// grant and release keys, and forwards callers' requests.
 package target
 
 import (
@@ -16,7 +16,7 @@
 	"hemlockquay/internal/wire"
 )
 
-// Paths that targets serve for the system.
+// Paths that targets serve for hemlockquay.
 const (
 	OrdersPath = "/hq/orders"
 	HealthPath = "/hq/health"
@@ -31,58 +31,59 @@
 	HeaderGroup       = "Hq-Group"
 	HeaderRank        = "Hq-Rank"
 	HeaderIncarnation = "Hq-Incarnation"
-	// HeaderRefused names why a target did not run a request.
+	// HeaderRefused holds the Refusal of a request that the target did not run.
 	HeaderRefused = "Hq-Refused"
 )
 
 // Refusal is a target's reason for not running a request.
 type Refusal string
 
-// The refusals.
+// Refusals of a request.
 const (
-	// RefusedFence: the rank is not the granted one, or the grant is out.
+	// RefusedFence: the request's rank is not the granted one, or the grant has expired.
 	RefusedFence Refusal = "fence"
-	// RefusedIncarnation: the request names another life of the target.
+	// RefusedIncarnation: the request is for another incarnation of the target.
 	RefusedIncarnation Refusal = "incarnation"
 	// RefusedShed: no slot is free.
 	RefusedShed Refusal = "shed"
-	// RefusedLeaving: the target drains.
+	// RefusedLeaving: the target is draining.
 	RefusedLeaving Refusal = "leaving"
-	// RefusedReleased: the slice is being moved away.
+	// RefusedReleased: the slice is moving to another target.
 	RefusedReleased Refusal = "released"
 )
 
-// Order is what a grantor asks of one target in one incarnation.
+// Order is a grantor's order to one incarnation of a target.
 type Order struct {
-	// Incarnation must be the target's; "" asks which it is.
+	// Incarnation must be the target's current one. "" queries it.
 	Incarnation string       `json:"incarnation,omitempty"`
 	Groups      []GroupOrder `json:"groups"`
 }
 
-// GroupOrder concerns one group of slices.
+// GroupOrder is the part of an order for one group of slices.
 type GroupOrder struct {
 	Service string    `json:"service"`
 	Group   uint64    `json:"group"`
 	Rank    wire.Rank `json:"rank"`
-	// Seq orders the orders of one rank: a target ignores one below the last.
+	// Seq is the sequence number of the order within its rank. A target ignores an
+	// order whose number is below the last one.
 	Seq    uint64           `json:"seq"`
 	Slices []keyspace.Slice `json:"slices,omitempty"`
-	// Until is the end of the grant on the target's own clock, nanoseconds.
-	// 0 asks a question: it fences at Rank without granting.
+	// Until is when the grant ends on the target's own clock, nanoseconds. 0 grants
+	// nothing: the order only fences ranks below Rank and queries the state.
 	Until int64 `json:"until,omitempty"`
-	// Release lists slices on which the target must take no new work. Once it
-	// lists all of the grant's slices and none runs work, the grant is given up.
+	// Release lists slices for which the target must accept no new requests. The
+	// grant ends once Release lists all of its slices and no request runs on them.
 	Release []keyspace.Slice `json:"release,omitempty"`
 }
 
-// Report is a target's answer to an order.
+// Report is a target's response to an order.
 type Report struct {
 	Incarnation string `json:"incarnation"`
-	// Refused says that the order named another incarnation; nothing was done.
+	// Refused reports that the order was for another incarnation and had no effect.
 	Refused bool `json:"refused,omitempty"`
 	// Clock is the target's own clock, nanoseconds.
 	Clock int64 `json:"clock"`
-	// Leaving says that the target drains.
+	// Leaving reports that the target is draining.
 	Leaving bool          `json:"leaving,omitempty"`
 	Groups  []GroupReport `json:"groups"`
 }
@@ -91,30 +92,30 @@
 type GroupReport struct {
 	Service string `json:"service"`
 	Group   uint64 `json:"group"`
-	// Confirmed says that the order's rank is the fence now.
+	// Confirmed reports that the order's rank is now the fence.
 	Confirmed bool `json:"confirmed"`
-	// Fence is the highest rank seen.
+	// Fence is the highest rank that the target has seen.
 	Fence wire.Rank `json:"fence"`
 	// Before is the fence that the current one replaced.
 	Before wire.Rank `json:"before,omitzero"`
-	// Held is the end of the grant that the target holds, 0 for none, and
-	// HeldRank its rank.
+	// Held is when the grant that the target holds ends, 0 for none. HeldRank is
+	// the rank of that grant.
 	Held     int64     `json:"held,omitempty"`
 	HeldRank wire.Rank `json:"heldRank,omitzero"`
-	// Running counts requests in flight on the slices under release.
+	// Running is the number of requests in flight on the slices under release.
 	Running int `json:"running,omitempty"`
 }
 
-// FormatRank renders a rank for a header.
+// FormatRank formats a rank for a header.
 func FormatRank(r wire.Rank) string {
 	return fmt.Sprintf("%d.%d.%d.%s", r.Epoch, r.Succession, r.Incarnation, r.Agent)
 }
 
-// ParseRank reads a rank from a header.
+// ParseRank parses a rank from a header.
 func ParseRank(text string) (wire.Rank, error) {
 	parts := strings.SplitN(text, ".", 4)
 	if len(parts) != 4 {
-		return wire.Rank{}, fmt.Errorf("rank %q has not four parts", text)
+		return wire.Rank{}, fmt.Errorf("rank %q does not have four parts", text)
 	}
 	epoch, err1 := strconv.ParseUint(parts[0], 10, 64)
 	succession, err2 := strconv.ParseUint(parts[1], 10, 64)
@@ -127,22 +128,23 @@
 	return wire.Rank{Epoch: epoch, Succession: succession, Incarnation: incarnation, Agent: parts[3]}, nil
 }
 
-// maxReportBytes bounds a target's report, bytes.
+// maxReportBytes bounds a target's report.
 const maxReportBytes = 4 << 20
 
-// Commander sends orders to targets.
+// Commander is a client that sends orders to targets.
 type Commander struct{ http *http.Client }
 
-// maxIdleOrderConns is how many connections to one target are kept: an order each
-// 75 ms may overtake two that are late.
+// maxIdleOrderConns is the number of idle connections kept for each target. Orders are
+// sent every 75 ms and may run in parallel with two delayed ones.
 const maxIdleOrderConns = 4
 
-// NewCommander returns a commander; each call's context carries its deadline.
+// NewCommander returns a commander. It sets no timeouts: each call is bounded by its
+// context.
 func NewCommander() *Commander {
 	return &Commander{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOrderConns}}}
 }
 
-// Send carries an order to the target at addr.
+// Send sends an order to the target at addr and returns the target's report.
 func (c *Commander) Send(ctx context.Context, addr string, order *Order) (*Report, error) {
 	text, err := json.Marshal(order)
 	if err != nil {
@@ -160,8 +162,8 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("order at %s: status %d", addr, resp.StatusCode)
 	}
-	// Read to the end: a connection whose answer was not is closed, and every
-	// order would dial anew.
+	// Read to the end: net/http closes a connection whose response was not read
+	// completely, and every order would need a new connection.
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return nil, fmt.Errorf("order at %s: read report: %w", addr, err)
@@ -173,5 +175,5 @@
 	return &report, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Commander) Close() { c.http.CloseIdleConnections() }
--- a/internal/target/probe.go
+++ b/internal/target/probe.go
@@ -8,38 +8,38 @@
 	"net/http"
 )
 
-// Health is what a target says of itself. It may lag or mislead.
+// Health is a target's report of its health. It may be out of date or wrong.
 type Health struct {
 	Incarnation string `json:"incarnation"`
 	Healthy     bool   `json:"healthy"`
 	Leaving     bool   `json:"leaving"`
 }
 
-// Load is what a target says of its load. It may lag or mislead.
+// Load is a target's report of its load. It may be out of date or wrong.
 type Load struct {
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
 }
 
-// maxProbeBytes bounds the answer of a hint endpoint, bytes.
+// maxProbeBytes bounds the response to a probe.
 const maxProbeBytes = 64 << 10
 
-// Prober asks targets for hints, over connections of its own.
+// Prober queries targets for health and load, over its own connections.
 type Prober struct{ http *http.Client }
 
-// NewProber returns a prober; each call's context carries its deadline.
+// NewProber returns a prober. It sets no timeouts: each call is bounded by its context.
 func NewProber() *Prober {
 	return &Prober{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleTimeout}}}
 }
 
-// Health asks the target at addr for its health.
+// Health queries the health of the target at addr.
 func (p *Prober) Health(ctx context.Context, addr string) (Health, error) {
 	var h Health
 	err := p.get(ctx, addr+HealthPath, &h)
 	return h, err
 }
 
-// Load asks the target at addr for its load.
+// Load queries the load of the target at addr.
 func (p *Prober) Load(ctx context.Context, addr string) (Load, error) {
 	var l Load
 	err := p.get(ctx, addr+LoadPath, &l)
@@ -65,5 +65,5 @@
 	return nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (p *Prober) Close() { p.http.CloseIdleConnections() }
--- a/internal/target/sender.go
+++ b/internal/target/sender.go
@@ -19,44 +19,45 @@
 	"hemlockquay/internal/wire"
 )
 
-// ErrUnsent says that no byte of the request reached the target.
+// ErrUnsent reports that no byte of the request reached the target.
 var ErrUnsent = errors.New("not sent")
 
-// ErrTooLarge says that the target's answer is over the limit.
+// ErrTooLarge reports that the target's answer exceeds Attempt.MaxAnswer.
 var ErrTooLarge = errors.New("answer over the limit")
 
-// RefusedError says that the target did not run the request.
+// RefusedError reports that the target refused the request without running it.
 type RefusedError struct{ Reason Refusal }
 
-// Error names the reason.
+// Error implements error.
 func (e *RefusedError) Error() string { return "refused: " + string(e.Reason) }
 
-// Attempt is one sending of a request to a target.
+// Attempt is one attempt to send a request to a target.
 type Attempt struct {
 	Request *wire.Request
 	Target  model.Target
-	// Grant is the ownership under which it is sent; nil where unkeyed.
+	// Grant is the target's grant for the request's key, nil if the service is
+	// unkeyed.
 	Grant *wire.Grant
-	// MaxAnswer bounds the answer's body, bytes.
+	// MaxAnswer bounds the body of the answer, bytes.
 	MaxAnswer int64
-	// Deadline is when the caller's patience ends.
+	// Deadline is the caller's deadline.
 	Deadline time.Time
 }
 
-// Sender sends requests to targets over a bounded number of connections each.
+// Sender sends requests to targets, over a bounded number of connections to each target.
 type Sender struct{ http *http.Client }
 
-// dialTimeout bounds a new connection; within a region it takes about 1 ms.
+// dialTimeout bounds the time to connect, which takes about 1 ms within a region.
 const dialTimeout = 500 * time.Millisecond
 
-// idleTimeout is how long a warm connection is kept without use.
+// idleTimeout is how long an unused connection is kept open.
 const idleTimeout = 90 * time.Second
 
-// maxResponseHeaderBytes bounds the headers of an answer, bytes: as much as common
-// servers send and no target needs more.
+// maxResponseHeaderBytes bounds the headers of an answer. Common servers send up to this
+// size, and no target needs more.
 const maxResponseHeaderBytes = 64 << 10
 
-// NewSender returns a sender with at most so many connections to each target.
+// NewSender returns a sender with at most the given number of connections to each target.
 func NewSender(connections int) *Sender {
 	return &Sender{http: &http.Client{
 		Transport: &http.Transport{
@@ -65,44 +66,45 @@
 			MaxIdleConnsPerHost: connections,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
-			// The library's default is 10 MiB, held for every attempt.
+			// The default of net/http is 10 MiB for each attempt.
 			MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}}
 }
 
-// dial opens a connection that is reset at its end. net/http returns the error of a request
-// whose context has ended only after its connection is closed, so that nothing of a request
-// arrives after its Send has returned without an answer.
+// dial opens a connection that is closed with a reset, which discards buffered data. As
+// net/http closes the connection of a cancelled request before it returns the error, no part
+// of a request can arrive after its Send returned without an answer.
 func dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return upstream.DialWithReset(ctx, &net.Dialer{Timeout: dialTimeout}, network, addr)
 }
 
-// nonRewindableBody returns a body that net/http cannot rewind.
-// net/http sends a request again by itself if it can rewind the body, also a POST that has an
-// Idempotency-Key header. It still knows that this body is in memory, and sends headers and body in
-// one write.
+// nonRewindableBody returns a body that net/http cannot rewind. net/http by itself retries
+// requests whose body it can rewind, including a POST with an Idempotency-Key header. It still
+// detects that this body is in memory, and sends headers and body in one write.
 func nonRewindableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
-// setBody gives the request its body. An empty one must not be http.NoBody, which
-// may be sent again; and net/http would look for its first byte in a goroutine with
-// a timer, for each request. Named identity, it is sent as it is: without a length,
-// which for methods that rarely have a body means none.
+// setBody sets the request's body. An empty body must not be http.NoBody, with which
+// net/http may retry the request. For another empty body net/http would start a goroutine
+// with a timer for each request to look for a first byte. The transfer encoding "identity"
+// avoids this: the request is sent without a length, which means no body for methods that
+// rarely have one.
 func setBody(req *http.Request, body []byte) {
 	req.Body = nonRewindableBody(body)
 	req.ContentLength = int64(len(body))
 	switch {
 	case len(body) > 0:
 	case req.Method == http.MethodPost, req.Method == http.MethodPut, req.Method == http.MethodPatch:
-		// Servers may want a length or chunks here: it goes as no chunk.
+		// Servers may require a length or chunks for these methods: the empty body is
+		// sent as a chunked body without chunks.
 	default:
 		req.TransferEncoding = []string{"identity"}
 	}
 }
 
-// Send sends the attempt once and returns the whole answer. The error is
-// ErrUnsent or *RefusedError where the target surely did not run it.
+// Send sends the request once and returns the complete answer. The error is ErrUnsent or
+// *RefusedError if the target certainly did not run the request.
 func (s *Sender) Send(ctx context.Context, a *Attempt) (*wire.Answer, error) {
 	req, err := buildRequest(ctx, a)
 	if err != nil {
@@ -130,21 +132,22 @@
 	}, nil
 }
 
-// maxAddedHeaders is how many headers a request gets here at the most.
+// maxAddedHeaders is the largest number of headers that buildRequest adds.
 const maxAddedHeaders = 6
 
 func buildRequest(ctx context.Context, a *Attempt) (*http.Request, error) {
 	r := a.Request
 	if !strings.HasPrefix(r.Path, "/") {
-		// It would join the address and choose where the request goes.
-		return nil, fmt.Errorf("build request: the path %q does not begin with a slash", r.Path)
+		// Appended to the address, such a path could change the host of the request.
+		return nil, fmt.Errorf("build request: path %q does not begin with a slash", r.Path)
 	}
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+a.Target.Addr+r.Path, nil)
 	if err != nil {
 		return nil, fmt.Errorf("build request: %w", err)
 	}
 	setBody(req, r.Body)
-	// The lists of values are shared by all attempts; Set puts new ones in place.
+	// All attempts share the slices of header values; Set replaces a slice and does not
+	// modify it.
 	req.Header = make(http.Header, len(r.Header)+maxAddedHeaders)
 	maps.Copy(req.Header, r.Header)
 	req.Header.Set(HeaderRequestID, r.ID)
@@ -168,19 +171,18 @@
 	return err
 }
 
-// readBody reads the body to its end. A body shorter than announced is an
-// error of net/http, one over the limit is ErrTooLarge; neither is passed on in
-// part.
+// readBody reads the complete body. net/http reports a body shorter than announced as an
+// error; a body over the limit is ErrTooLarge. A partial body is never returned.
 func readBody(resp *http.Response, limit int64) ([]byte, error) {
 	body, err := wire.ReadAll(io.LimitReader(resp.Body, limit+1), resp.ContentLength)
 	if err != nil {
 		return nil, fmt.Errorf("read answer: %w", err)
 	}
 	if int64(len(body)) > limit {
-		return nil, fmt.Errorf("answer of over %d bytes: %w", limit, ErrTooLarge)
+		return nil, fmt.Errorf("answer body exceeds %d bytes: %w", limit, ErrTooLarge)
 	}
 	return body, nil
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (s *Sender) Close() { s.http.CloseIdleConnections() }
--- a/internal/target/sender_test.go
+++ b/internal/target/sender_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// serveRaw serves every connection with a fixed text, then closes it.
+// serveRaw starts a server that answers each connection with a fixed text and closes it.
 func serveRaw(t *testing.T, text string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -155,14 +155,14 @@
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, RefusedShed, refused.Reason)
 
-	// Systems do not give this port out: nobody listens.
+	// Port 1 is never assigned automatically, so nothing listens on it.
 	_, err = s.Send(context.Background(), attempt("127.0.0.1:1"))
 	require.ErrorIs(t, err, ErrUnsent)
 }
 
-// A maintainer sees one pull request opened twice. The kept connection to the
-// target breaks after the request was read; net/http takes the request's
-// Idempotency-Key for leave to send it again on a new connection by itself.
+// A target reads a request on a kept-alive connection and the connection breaks. Without a
+// safeguard net/http retries a request with an Idempotency-Key header on a new connection by
+// itself, and it runs twice, e.g. opens one pull request twice.
 func TestHTTPTransportNeverRetries(t *testing.T) {
 	var arrived atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -182,10 +182,10 @@
 		a := attempt(server.Listener.Addr().String())
 		a.Request.Method, a.Request.Body = c.method, c.body
 		_, err := s.Send(context.Background(), a)
-		require.NoError(t, err, "the first leaves a kept connection")
+		require.NoError(t, err, "the first request leaves an idle connection")
 		_, err = s.Send(context.Background(), a)
 		require.Error(t, err)
-		require.EqualValues(t, 2, arrived.Load(), "the second arrived once")
+		require.EqualValues(t, 2, arrived.Load(), "the second request must arrive exactly once")
 	}
 }
 
@@ -205,9 +205,9 @@
 	})
 }
 
-// Agents spend a fifth of their time on dials. A report of many groups comes in
-// chunks; a decoder that stops at the last brace leaves the end unread, and the
-// library closes the connection after every order.
+// A report of many groups is sent in chunks. A decoder that stops at the last brace leaves
+// the final chunk unread, so net/http closes the connection after every order; agents spent
+// a fifth of their time on opening connections.
 func TestOrdersReuseTheirConnection(t *testing.T) {
 	var dials atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/target/slope_test.go
+++ b/internal/target/slope_test.go
@@ -11,7 +11,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// renewal is an order that renews n groups, and the report that answers it.
+// renewal returns an order that renews the grants of n groups, and the report that
+// answers it.
 func renewal(n int) (*Order, *Report) {
 	o := &Order{Incarnation: "shelf-00001-1796255323000000000"}
 	r := &Report{Incarnation: o.Incarnation, Clock: 1796255323000000000}
@@ -23,8 +24,8 @@
 	return o, r
 }
 
-// BenchmarkSlopeOrder is the codec of one renewal at the grantor: the order
-// written, the report read.
+// BenchmarkSlopeOrder encodes an order and decodes its report, as a grantor does for one
+// renewal.
 func BenchmarkSlopeOrder(b *testing.B) {
 	for _, n := range []int{4, 16, 64, 256} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
