--- a/internal/model/check.go
+++ b/internal/model/check.go
@@ -29,7 +29,7 @@
 	maxWeight      = 100
 	maxSlices      = 1 << 16
 	maxRate        = 1e9
-	longestTimeout = Duration(24 * time.Hour)
+	maxTimeout     = Duration(24 * time.Hour)
 	tokenHashBytes = 32
 )
 
@@ -58,8 +58,8 @@
 		return settings.Impossible("/connections", "%d is not between the slots (%d) and %d", s.Connections, s.Slots, maxConnections)
 	case s.Deadline <= 0 || s.Deadline > s.MaxDeadline:
 		return settings.Impossible("/deadline", "%v is not above 0 and at most maxDeadline (%v)", s.Deadline, s.MaxDeadline)
-	case s.MaxDeadline > longestTimeout:
-		return settings.Impossible("/maxDeadline", "%v is above %v", s.MaxDeadline, longestTimeout)
+	case s.MaxDeadline > maxTimeout:
+		return settings.Impossible("/maxDeadline", "%v is above %v", s.MaxDeadline, maxTimeout)
 	case s.MaxBody < 1 || s.MaxBody > maxBody:
 		return settings.Impossible("/maxBody", "%d is not between 1 and %d bytes", s.MaxBody, maxBody)
 	case !(s.BackgroundFloor >= 0 && s.BackgroundFloor <= 0.5):
--- a/internal/model/decode.go
+++ b/internal/model/decode.go
@@ -11,7 +11,7 @@
 // is a pointer to the kind's type. The error names line and field.
 func Decode(kind Kind, name string, spec []byte) (any, error) {
 	source := string(kind) + " " + name
-	object, err := empty(kind)
+	object, err := newObject(kind)
 	if err != nil {
 		return nil, err
 	}
@@ -30,7 +30,7 @@
 	objectName() string
 }
 
-func empty(kind Kind) (object, error) {
+func newObject(kind Kind) (object, error) {
 	switch kind {
 	case KindService:
 		return new(Service), nil
