--- a/internal/model/check.go
+++ b/internal/model/check.go
@@ -11,7 +11,7 @@
 	"hemlockquay/internal/settings"
 )
 
-// Defaults of a service object.
+// Default values of a service object.
 const (
 	DefaultSlices          = 64
 	DefaultDeadline        = Duration(2 * time.Second)
@@ -20,7 +20,7 @@
 	DefaultBackgroundFloor = 0.1
 )
 
-// Bounds of what an object may say.
+// Upper bounds for the fields of objects.
 const (
 	maxTargets     = 10_000
 	maxSlots       = 10_000
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// Check reports the first impossible value and fills in defaults.
+// Check fills in defaults and returns an error for the first invalid value.
 func (s *Service) Check() error {
 	s.setDefaults()
 	if err := checkName("/name", s.Name); err != nil {
@@ -109,7 +109,7 @@
 			return settings.Impossible(at+"/addr", "%q is not IP:PORT", t.Addr)
 		}
 		if names[t.Name] || addrs[t.Addr] {
-			return settings.Impossible(at, "name or address stands twice")
+			return settings.Impossible(at, "duplicate target name or address")
 		}
 		names[t.Name], addrs[t.Addr] = true, true
 	}
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Target returns the service's target of that name.
+// Target returns the service's target with the given name.
 func (s *Service) Target(name string) (Target, bool) {
 	for _, t := range s.Targets {
 		if t.Name == name {
@@ -138,13 +138,13 @@
 	return Target{}, false
 }
 
-// Check reports the first impossible value and fills in defaults.
+// Check fills in defaults and returns an error for the first invalid value.
 func (c *Contract) Check() error {
 	if err := checkName("/customer", c.Customer); err != nil {
 		return err
 	}
 	if h, err := hex.DecodeString(c.TokenSHA256); err != nil || len(h) != tokenHashBytes {
-		return settings.Impossible("/tokenSHA256", "not a SHA-256 in hexadecimal")
+		return settings.Impossible("/tokenSHA256", "not a SHA-256 hash in hexadecimal")
 	}
 	if len(c.Services) == 0 {
 		return settings.Impossible("/services", "a contract needs at least one service")
@@ -156,7 +156,7 @@
 			return err
 		}
 		if seen[c.Services[i].Service] {
-			return settings.Impossible(at+"/service", "%q stands twice", c.Services[i].Service)
+			return settings.Impossible(at+"/service", "duplicate service %q", c.Services[i].Service)
 		}
 		seen[c.Services[i].Service] = true
 	}
@@ -177,9 +177,9 @@
 	case !(a.Rate > 0 && a.Rate <= maxRate):
 		return settings.Impossible(at+"/rate", "%v is not above 0 and at most %v", a.Rate, maxRate)
 	case a.Burst < 1:
-		return settings.Impossible(at+"/burst", "%d is below 1: no request would ever pass", a.Burst)
+		return settings.Impossible(at+"/burst", "%d is below 1: no request could be admitted", a.Burst)
 	case a.Concurrency < 1:
-		return settings.Impossible(at+"/concurrency", "%d is below 1: no request would ever pass", a.Concurrency)
+		return settings.Impossible(at+"/concurrency", "%d is below 1: no request could be admitted", a.Concurrency)
 	case a.Class != Interactive && a.Class != Background:
 		return settings.Impossible(at+"/class", "%q is neither interactive nor background", a.Class)
 	case a.Weight < 1 || a.Weight > maxWeight:
@@ -188,7 +188,7 @@
 	return nil
 }
 
-// Allowance returns the contract's limits at a service.
+// Allowance returns the contract's limits for a service.
 func (c *Contract) Allowance(service string) (Allowance, bool) {
 	for _, a := range c.Services {
 		if a.Service == service {
--- a/internal/model/decode.go
+++ b/internal/model/decode.go
@@ -7,8 +7,8 @@
 	"hemlockquay/internal/settings"
 )
 
-// Decode reads and checks an object's spec: JSON, comments allowed. The result
-// is a pointer to the kind's type. The error names line and field.
+// Decode decodes and validates an object's spec, which is JSON with optional comments.
+// The result is a pointer to the kind's type. Errors include the line and the field.
 func Decode(kind Kind, name string, spec []byte) (any, error) {
 	source := string(kind) + " " + name
 	object, err := newObject(kind)
@@ -19,12 +19,12 @@
 		return nil, err
 	}
 	if own := object.objectName(); own != name {
-		return nil, &settings.Error{Source: source, Line: 1, Reason: fmt.Sprintf("object is stored as %q but names %q", name, own)}
+		return nil, &settings.Error{Source: source, Line: 1, Reason: fmt.Sprintf("object is stored as %q but its name is %q", name, own)}
 	}
 	return object, nil
 }
 
-// object is what every kind's type can do.
+// object is implemented by the type of each kind.
 type object interface {
 	settings.Checker
 	objectName() string
@@ -52,7 +52,7 @@
 func (a *Assigner) objectName() string   { return a.Service }
 func (v *VMStatus) objectName() string   { return v.Name }
 
-// Check reports the first impossible value.
+// Check returns an error for the first invalid value.
 func (a *Assignment) Check() error {
 	if err := checkName("/service", a.Service); err != nil {
 		return err
@@ -63,11 +63,11 @@
 		case g.ID >= a.NextGroup:
 			return settings.Impossible(groupField(i, "id"), "%d is not below nextGroup (%d)", g.ID, a.NextGroup)
 		case ids[g.ID]:
-			return settings.Impossible(groupField(i, "id"), "%d stands twice", g.ID)
+			return settings.Impossible(groupField(i, "id"), "duplicate group ID %d", g.ID)
 		case len(g.Slices) == 0:
-			return settings.Impossible(groupField(i, "slices"), "a group without slices")
+			return settings.Impossible(groupField(i, "slices"), "the group has no slices")
 		case g.Owner.Name == "" || g.Owner.Name == g.Standby.Name || g.Owner.Name == g.Witness.Name:
-			return settings.Impossible(groupField(i, "owner"), "%q is missing or stands twice", g.Owner.Name)
+			return settings.Impossible(groupField(i, "owner"), "%q is empty or also the standby or witness", g.Owner.Name)
 		}
 		ids[g.ID] = true
 	}
@@ -76,10 +76,10 @@
 
 func groupField(i int, field string) string { return fmt.Sprintf("/groups/%d/%s", i, field) }
 
-// Check reports the first impossible value.
+// Check returns an error for the first invalid value.
 func (a *Assigner) Check() error { return checkName("/service", a.Service) }
 
-// Check reports the first impossible value.
+// Check returns an error for the first invalid value.
 func (v *VMStatus) Check() error {
 	if strings.TrimSpace(v.Name) == "" {
 		return settings.Impossible("/name", "empty")
--- a/internal/model/decode_test.go
+++ b/internal/model/decode_test.go
@@ -35,7 +35,7 @@
 		{"unknown field", KindService, "shelf", "{\n\"name\": \"shelf\",\n\"slotz\": 1}", ":3: field /slotz"},
 		{"no slots", KindService, "shelf", `{"name": "shelf", "targets": [{"name": "t", "addr": "1.1.1.1:1", "dataCentre": "a"}], "connections": 1}`, "field /slots"},
 		{"same address", KindService, "shelf", `{"name": "shelf", "slots": 1, "connections": 1, "targets": [{"name": "t", "addr": "1.1.1.1:1", "dataCentre": "a"}, {"name": "u", "addr": "1.1.1.1:1", "dataCentre": "a"}]}`, "field /targets/1"},
-		{"stored under another name", KindService, "x", goodService, "names \"shelf\""},
+		{"stored under another name", KindService, "x", goodService, "its name is \"shelf\""},
 		{"rate 0", KindContract, "c", `{"customer": "c", "tokenSHA256": "0000000000000000000000000000000000000000000000000000000000000000", "services": [{"service": "s", "rate": 0, "burst": 1, "concurrency": 1}]}`, "field /services/0/rate"},
 		{"short hash", KindContract, "c", `{"customer": "c", "tokenSHA256": "00", "services": []}`, "field /tokenSHA256"},
 		{"owner is standby", KindAssignment, "s", `{"service": "s", "nextGroup": 1, "groups": [{"id": 0, "slices": [{"first": 0, "last": 1}], "owner": {"name": "a"}, "standby": {"name": "a"}, "witness": {}, "epoch": 1, "grantors": []}]}`, "field /groups/0/owner"},
@@ -69,8 +69,8 @@
 			if err != nil {
 				continue
 			}
-			// What was accepted once is accepted again after a round trip
-			// through the store.
+			// A valid object must still be valid after a round trip through
+			// the store.
 			text, err := json.Marshal(o)
 			require.NoError(t, err)
 			_, err = Decode(Kind(kind), name, text)
--- a/internal/model/value.go
+++ b/internal/model/value.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Duration is a time span that settings and objects write as text, e.g. "150ms".
+// Duration is a duration that settings and objects hold as text, e.g. "150ms".
 type Duration time.Duration
 
-// D returns the span as time.Duration.
+// D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// String renders the span as time.Duration does.
+// String formats d in the same way as time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -27,25 +27,25 @@
 	return nil
 }
 
-// dateLayout is the form of dates in objects: a day in UTC.
+// dateLayout is the layout of dates in objects.
 const dateLayout = "2006-01-02"
 
-// Date is a day in UTC. The zero Date means "no date".
+// Date is a day in UTC. The zero value means that no date is set.
 type Date struct{ day time.Time }
 
-// NewDate returns the day of t in UTC.
+// NewDate returns the day of t, in UTC.
 func NewDate(t time.Time) Date { return Date{day: t.UTC().Truncate(24 * time.Hour)} }
 
 // IsZero reports whether no date is set.
 func (d Date) IsZero() bool { return d.day.IsZero() }
 
-// Over reports whether the whole day has passed at t. A date is inclusive: a
-// contract that ends on a day is valid until that day's midnight in UTC.
+// Over reports whether the whole day has passed at t. Dates are inclusive: a contract is
+// valid until the end of its last day in UTC.
 func (d Date) Over(t time.Time) bool {
 	return !d.IsZero() && !t.UTC().Before(d.day.AddDate(0, 0, 1))
 }
 
-// String renders the date as YYYY-MM-DD, or as "" when it is not set.
+// String formats the date as YYYY-MM-DD, or returns "" if it is not set.
 func (d Date) String() string {
 	if d.IsZero() {
 		return ""
