--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,8 +1,8 @@
-// Package problem is the one error type of the data path.
+// Package problem defines the error type of the data path.
 //
-// An error says at which step and at which peer it arose and whether the
-// request may have run. The last is a promise to callers: Ran No means that no
-// target executed the request, so the caller may send it again.
+// An error holds the step and the peer at which it arose, and whether the request may have
+// run. The latter is a guarantee to callers: RanNo means that no target executed the
+// request, so the caller may safely retry it.
 package problem
 
 import (
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// Ran says whether a request was executed by a target.
+// Ran reports whether a target executed a request.
 type Ran string
 
 const (
-	// RanYes goes with a whole answer of the target.
+	// RanYes is sent with a complete answer of the target.
 	RanYes Ran = "yes"
-	// RanNo promises that no target executed the request.
+	// RanNo guarantees that no target executed the request.
 	RanNo Ran = "no"
-	// RanUnknown says that a target may have executed the request.
+	// RanUnknown means that a target may have executed the request.
 	RanUnknown Ran = "unknown"
 )
 
@@ -30,11 +30,11 @@
 // ContentType is the media type of RFC 9457.
 const ContentType = "application/problem+json"
 
-// Kind is the reason of a refusal or loss. It is the last part of the problem's
-// type URI and stays the same over versions.
+// Kind is the reason why a request was refused or lost. It is the last part of the
+// problem's type URI and must not change between versions.
 type Kind string
 
-// The kinds and their status codes. See docs/OPERATIONS.md for what to do.
+// The kinds and their status codes. docs/OPERATIONS.md describes how to react to each.
 const (
 	BadRequest      Kind = "bad-request"      // 400
 	UnknownToken    Kind = "unknown-token"    // 401
@@ -67,22 +67,23 @@
 	Deadline:        http.StatusGatewayTimeout,
 }
 
-// Error is a refusal or a loss. It travels between daemons as it is and ends as
-// problem+json at the caller.
+// Error reports that a request was refused or its answer lost. Daemons pass it on
+// unchanged; the caller receives it as problem+json.
 type Error struct {
 	Kind Kind `json:"kind"`
-	// Step is what was being done, e.g. "admit", "queue", "send".
+	// Step is the processing step that failed, e.g. "admit", "queue", "send".
 	Step string `json:"step"`
-	// Peer is the process or target at which it arose.
+	// Peer is the process or target at which the error arose.
 	Peer string `json:"peer,omitempty"`
 	Ran  Ran    `json:"ran"`
 	// Detail explains this occurrence in one sentence.
 	Detail string `json:"detail,omitempty"`
-	// RetryAfter is when asking again may help; 0 says that it does not.
+	// RetryAfter is the delay after which a retry may succeed. 0 means that a
+	// retry does not help.
 	RetryAfter time.Duration `json:"retryAfter,omitempty"`
 }
 
-// Error renders step, peer and reason.
+// Error implements error.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s at %s: %s: %s (ran: %s)", e.Step, e.Peer, e.Kind, e.Detail, e.Ran)
 }
@@ -95,7 +96,7 @@
 	return http.StatusInternalServerError
 }
 
-// Refuse returns an error for a request that was certainly not run.
+// Refuse returns an error for a request that certainly did not run.
 func Refuse(kind Kind, step, peer, detail string) *Error {
 	return &Error{Kind: kind, Step: step, Peer: peer, Ran: RanNo, Detail: detail}
 }
@@ -105,14 +106,14 @@
 	return &Error{Kind: kind, Step: step, Peer: peer, Ran: RanUnknown, Detail: detail}
 }
 
-// After sets when asking again may help.
+// After sets RetryAfter and returns e.
 func (e *Error) After(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
 
-// As returns err as an *Error. An error of another type becomes AnswerLost with
-// Ran unknown: nothing is promised for a failure that nobody classified.
+// As returns err as an *Error. An error of another type becomes AnswerLost with RanUnknown,
+// because it is not known whether the request ran.
 func As(err error, step, peer string) *Error {
 	var e *Error
 	if errors.As(err, &e) {
