--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -109,7 +109,7 @@
 // counted returns the store for one cause. Calls that the guard refuses never
 // reach the store and are not counted.
 func (a *agent) counted(c platform.Cause) platform.Store {
-	return a.guard.Wrap(platform.Count(a.store, c, a.Registry))
+	return a.guard.Wrap(platform.NewCountingStore(a.store, c, a.Registry))
 }
 
 func (a *agent) start(context.Context) error {
--- a/internal/platform/counted.go
+++ b/internal/platform/counted.go
@@ -28,8 +28,8 @@
 	calls, failures metrics.Counter
 }
 
-// Count wraps a store so that its calls are counted under the cause.
-func Count(s Store, cause Cause, registry metrics.Registry) *CountingStore {
+// NewCountingStore wraps a store so that its calls are counted under the cause.
+func NewCountingStore(s Store, cause Cause, registry metrics.Registry) *CountingStore {
 	return &CountingStore{
 		store:    s,
 		calls:    metrics.GetOrRegisterCounter("store.calls."+string(cause), registry),
