--- a/internal/platform/objectapi/client.go
+++ b/internal/platform/objectapi/client.go
@@ -158,7 +158,7 @@
 	if out == nil {
 		return nil
 	}
-	return platform.ReadAnswer(resp.Body, maxResponseBytes, out)
+	return platform.DecodeResponse(resp.Body, maxResponseBytes, out)
 }
 
 func (c *Client) send(ctx context.Context, method, target string, in any) (*http.Response, error) {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -41,10 +41,10 @@
 	return fmt.Errorf("store rejected the call: status %d", status)
 }
 
-// ReadAnswer decodes the body of a successful response, of at most most bytes, into out.
+// DecodeResponse decodes the body of a successful response, of at most most bytes, into out.
 // It reads the body to its end, so that the connection can be reused. If that fails, the
 // error is ErrAmbiguous, because the call was carried out.
-func ReadAnswer(body io.Reader, most int64, out any) error {
+func DecodeResponse(body io.Reader, most int64, out any) error {
 	text, err := io.ReadAll(io.LimitReader(body, most))
 	if err == nil {
 		err = json.Unmarshal(text, out)
