--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -69,7 +69,7 @@
 	args := wire.BeatArgs{Member: h.members.me(), Source: source, State: state, Pushed: true}
 	args.Grants, args.PushedState = h.grants.snapshot()
 	var reply wire.BeatReply
-	if err := h.peers.Get(addr).Call(ctx, wire.MethodBeat, &args, &reply); err != nil {
+	if err := h.peers.Get(addr).Call(ctx, wire.MethodHeartbeat, &args, &reply); err != nil {
 		h.log.Debug().Err(err).Str("step", "push-grants").Str("peer", vm).Msg("no answer")
 	}
 }
@@ -112,7 +112,7 @@
 	source, state := h.members.grantsHeld(vm)
 	args := wire.BeatArgs{Member: h.members.me(), Source: source, State: state}
 	var reply wire.BeatReply
-	if err := h.peers.Get(addr).Call(ctx, wire.MethodBeat, &args, &reply); err != nil {
+	if err := h.peers.Get(addr).Call(ctx, wire.MethodHeartbeat, &args, &reply); err != nil {
 		h.log.Debug().Err(err).Str("step", "heartbeat").Str("peer", vm).Msg("no answer")
 		return
 	}
--- a/internal/agent/slope_test.go
+++ b/internal/agent/slope_test.go
@@ -128,7 +128,7 @@
 			for b.Loop() {
 				var round errgroup.Group
 				for _, c := range clients {
-					round.Go(func() error { return c.Call(b.Context(), wire.MethodBeat, &args, &wire.BeatReply{}) })
+					round.Go(func() error { return c.Call(b.Context(), wire.MethodHeartbeat, &args, &wire.BeatReply{}) })
 				}
 				require.NoError(b, round.Wait())
 			}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -16,13 +16,13 @@
 
 // RPC methods.
 const (
-	MethodDo     = "Dispatch.Do"
-	MethodCancel = "Dispatch.Cancel"
-	MethodPull   = "Agent.Pull"
-	MethodBeat   = "Agent.Beat"
-	MethodReport = "Agent.Report"
-	MethodLoads  = "Agent.Loads"
-	MethodSync   = "Agent.Sync"
+	MethodDo        = "Dispatch.Do"
+	MethodCancel    = "Dispatch.Cancel"
+	MethodPull      = "Agent.Pull"
+	MethodHeartbeat = "Agent.Beat"
+	MethodReport    = "Agent.Report"
+	MethodLoads     = "Agent.Loads"
+	MethodSync      = "Agent.Sync"
 )
 
 // Request is a caller's request that an entry sends to a dispatcher.
