--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -172,7 +172,7 @@
 	d.mu.Lock()
 	if d.draining {
 		d.mu.Unlock()
-		return wire.Refused(r.ID, problem.Refuse(problem.Leaving, stepIntent, d.Settings.VM, "the dispatcher is leaving"))
+		return wire.ProblemAnswer(r.ID, problem.Refuse(problem.Leaving, stepIntent, d.Settings.VM, "the dispatcher is leaving"))
 	}
 	d.calls.Add(1)
 	d.mu.Unlock()
@@ -182,16 +182,16 @@
 
 func (d *dispatcher) do(r *wire.Request) wire.Answer {
 	if r.Sum != wire.Sum(r.Body) {
-		return wire.Refused(r.ID, problem.Refuse(problem.BadRequest, "receive", d.Settings.VM, "the body's checksum does not match"))
+		return wire.ProblemAnswer(r.ID, problem.Refuse(problem.BadRequest, "receive", d.Settings.VM, "the body's checksum does not match"))
 	}
 	j := newJob(r, time.Now())
 	q, p := d.enter(j)
 	if p != nil {
-		return wire.Refused(r.ID, p)
+		return wire.ProblemAnswer(r.ID, p)
 	}
 	defer d.leave(j)
 	if err := q.inbox.Push(d.ctx, message{arrive: j}); err != nil {
-		return wire.Refused(r.ID, problem.Refuse(problem.Leaving, "queue", d.Settings.VM, err.Error()))
+		return wire.ProblemAnswer(r.ID, problem.Refuse(problem.Leaving, "queue", d.Settings.VM, err.Error()))
 	}
 	answer := <-j.done
 	if p := answer.Problem; p != nil && p.Kind == problem.AnswerLost {
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -127,11 +127,11 @@
 		return refusedIntent(r, problem.Refuse(problem.Full, stepIntent, t.vm, "no room for a record of the request").After(time.Second))
 	}
 	p := problem.Lost(problem.AnswerLost, stepIntent, t.vm, "a record of an earlier run may be lost; this attempt was not sent")
-	return wire.Refused(r.ID, p.After(time.Second)), true
+	return wire.ProblemAnswer(r.ID, p.After(time.Second)), true
 }
 
 func refusedIntent(r *wire.Request, p *problem.Error) (wire.Answer, bool) {
-	return wire.Refused(r.ID, p), false
+	return wire.ProblemAnswer(r.ID, p), false
 }
 
 func (t *intents) open(key idempotency.Key, print uint64) (idempotency.Record, []string, *localClaim) {
@@ -280,11 +280,11 @@
 	case err != nil || !reply.Known:
 		t.journal.Add(stepIntent, "a repeat is in doubt: its first request was at "+record.Claim.Coordinator+", which is gone", r.Customer, r.Service, r.ID)
 		p := problem.Lost(problem.AnswerLost, stepIntent, record.Claim.Coordinator, "the dispatcher that had the request is gone; it may have run")
-		return wire.Refused(r.ID, p), true
+		return wire.ProblemAnswer(r.ID, p), true
 	case reply.Released:
 		t.replicate(ctx, wire.MethodRelease, record, by)
 		p := problem.Refuse(problem.Full, stepIntent, t.vm, "the first request was not run; try again")
-		return wire.Refused(r.ID, p.After(time.Second)), true
+		return wire.ProblemAnswer(r.ID, p.After(time.Second)), true
 	case reply.Answer == nil:
 		return refusedIntent(r, problem.Lost(problem.Deadline, stepIntent, record.Claim.Coordinator, "the first request still runs"))
 	}
--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -135,7 +135,7 @@
 func TestKeyIsFreeAfterARefusal(t *testing.T) {
 	f := newIntentFleet(t, 3)
 	refused := f.nodes[0].once(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
-		return wire.Refused(r.ID, problem.Refuse(problem.Full, "queue", "vm1", "full"))
+		return wire.ProblemAnswer(r.ID, problem.Refuse(problem.Full, "queue", "vm1", "full"))
 	})
 	require.Equal(t, problem.RanNo, refused.Problem.Ran)
 	answer := f.nodes[1].once(t.Context(), booking("b", "k", "x"), f.book)
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -112,14 +112,14 @@
 		return
 	}
 	if j.state.Fire(eventRefuse) == nil {
-		j.done <- wire.Refused(j.request.ID, p)
+		j.done <- wire.ProblemAnswer(j.request.ID, p)
 	}
 }
 
 // lose ends a job that may have run.
 func (j *job) lose(p *problem.Error) {
 	if j.state.Fire(eventLose) == nil {
-		j.done <- wire.Refused(j.request.ID, p)
+		j.done <- wire.ProblemAnswer(j.request.ID, p)
 	}
 }
 
--- a/internal/entry/forward_test.go
+++ b/internal/entry/forward_test.go
@@ -78,7 +78,7 @@
 	id := args.(*wire.Request).ID
 	*reply.(*wire.Answer) = wire.Answer{ID: id, Status: http.StatusOK, Sum: wire.Sum(nil), Target: addr}
 	if addr != s.owner {
-		*reply.(*wire.Answer) = wire.Refused(id, problem.Refuse(problem.NoOwner, "grant", "vm1", "another target owns the key now"))
+		*reply.(*wire.Answer) = wire.ProblemAnswer(id, problem.Refuse(problem.NoOwner, "grant", "vm1", "another target owns the key now"))
 	}
 	return nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -69,8 +69,10 @@
 // complete.
 func (a *Answer) Whole(id string) bool { return a.ID == id && a.Sum == Sum(a.Body) }
 
-// Refused returns the answer to a request that ended in a problem.
-func Refused(id string, p *problem.Error) Answer { return Answer{ID: id, Problem: p, Sum: Sum(nil)} }
+// ProblemAnswer returns the answer to a request that ended in a problem.
+func ProblemAnswer(id string, p *problem.Error) Answer {
+	return Answer{ID: id, Problem: p, Sum: Sum(nil)}
+}
 
 // CancelArgs asks a dispatcher to cancel a request whose caller disconnected.
 type CancelArgs struct{ ID string }
