--- a/internal/dispatch/intent_test.go
+++ b/internal/dispatch/intent_test.go
@@ -96,7 +96,7 @@
 		id := fmt.Sprintf("repeat-%d", i)
 		answer := node.once(t.Context(), booking(id, "k1", "10:00"), f.book)
 		require.Nil(t, answer.Problem)
-		require.True(t, answer.Whole(id))
+		require.True(t, answer.Valid(id))
 		require.Equal(t, "booked by a", string(answer.Body))
 	}
 	require.EqualValues(t, 1, f.runs.Load())
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -186,7 +186,7 @@
 		}
 		return nil, classify(err, m.VM)
 	}
-	if !answer.Whole(request.ID) {
+	if !answer.Valid(request.ID) {
 		return nil, problem.Lost(problem.AnswerLost, "forward", m.VM, "the answer is not whole or not this request's")
 	}
 	if answer.Problem != nil {
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -47,7 +47,7 @@
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			var answer wire.Answer
-			if err := c.Call(context.Background(), wire.MethodDo, request, &answer); err != nil || !answer.Whole(request.ID) {
+			if err := c.Call(context.Background(), wire.MethodDo, request, &answer); err != nil || !answer.Valid(request.ID) {
 				b.Error("broken answer", err)
 				return
 			}
--- a/internal/target/sender_test.go
+++ b/internal/target/sender_test.go
@@ -88,8 +88,8 @@
 	answer, err := s.Send(context.Background(), attempt(server.Listener.Addr().String()))
 	require.NoError(t, err)
 	require.Equal(t, "/work?a=%2F r1 body", string(answer.Body))
-	require.True(t, answer.Whole("r1"))
-	require.False(t, answer.Whole("r2"))
+	require.True(t, answer.Valid("r1"))
+	require.False(t, answer.Valid("r2"))
 }
 
 func TestPathIsSentVerbatimAndCannotChangeAddress(t *testing.T) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -65,9 +65,9 @@
 // Sum returns the checksum of a body.
 func Sum(body []byte) uint64 { return xxhash.Sum64(body) }
 
-// Whole reports whether the answer belongs to the request with that ID and its body is
+// Valid reports whether the answer belongs to the request with that ID and its body is
 // complete.
-func (a *Answer) Whole(id string) bool { return a.ID == id && a.Sum == Sum(a.Body) }
+func (a *Answer) Valid(id string) bool { return a.ID == id && a.Sum == Sum(a.Body) }
 
 // ProblemAnswer returns the answer to a request that ended in a problem.
 func ProblemAnswer(id string, p *problem.Error) Answer {
