--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,7 +38,7 @@
 	server      *peer.Server
 	peers       *peer.Pool
 	assigner    *assigner
-	commander   *target.Commander
+	commander   *target.OrderClient
 	grantor     *grantorDuty
 	// grantsPushed notifies the heartbeater that the grants changed.
 	grantsPushed chan struct{}
--- a/internal/agent/grantor.go
+++ b/internal/agent/grantor.go
@@ -42,7 +42,7 @@
 	config    *configuration
 	members   *members
 	table     *grantTable
-	commander *target.Commander
+	commander *target.OrderClient
 	clock     boottime.Clock
 	log       *log.Logger
 	journal   *journal.Journal
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -131,8 +131,8 @@
 // maxReportBytes bounds a target's report.
 const maxReportBytes = 4 << 20
 
-// Commander is a client that sends orders to targets.
-type Commander struct{ http *http.Client }
+// OrderClient is a client that sends orders to targets.
+type OrderClient struct{ http *http.Client }
 
 // maxIdleOrderConns is the number of idle connections kept for each target. Orders are
 // sent every 75 ms and may run in parallel with two delayed ones.
@@ -140,12 +140,12 @@
 
 // NewCommander returns a commander. It sets no timeouts: each call is bounded by its
 // context.
-func NewCommander() *Commander {
-	return &Commander{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOrderConns}}}
+func NewCommander() *OrderClient {
+	return &OrderClient{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOrderConns}}}
 }
 
 // Send sends an order to the target at addr and returns the target's report.
-func (c *Commander) Send(ctx context.Context, addr string, order *Order) (*Report, error) {
+func (c *OrderClient) Send(ctx context.Context, addr string, order *Order) (*Report, error) {
 	text, err := json.Marshal(order)
 	if err != nil {
 		return nil, fmt.Errorf("encode order: %w", err)
@@ -176,4 +176,4 @@
 }
 
 // Close closes idle connections.
-func (c *Commander) Close() { c.http.CloseIdleConnections() }
+func (c *OrderClient) Close() { c.http.CloseIdleConnections() }
