--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -69,7 +69,7 @@
 		guard:       platform.NewGuard(k.Registry),
 		server:      server,
 		peers:       peer.NewPool(1),
-		commander:   target.NewCommander(),
+		commander:   target.NewOrderClient(),
 	}
 	a.build()
 	if err := server.Register("Agent", a.relay); err != nil {
--- a/internal/agent/heldorders_test.go
+++ b/internal/agent/heldorders_test.go
@@ -112,7 +112,7 @@
 		Owner: ref(p.owner), Standby: ref(p.standby), Witness: ref(p.witness),
 	}, p.now)
 	p.duty = &grantorDuty{
-		timeout: time.Minute, commander: target.NewCommander(), log: &log.Logger{Level: log.PanicLevel},
+		timeout: time.Minute, commander: target.NewOrderClient(), log: &log.Logger{Level: log.PanicLevel},
 		errors: metrics.NewCounter(), inbox: ring.New[answer]("grantor", grantorRing, ring.DropOldest, metrics.NewRegistry()),
 	}
 	t.Cleanup(p.duty.commander.Close)
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -138,9 +138,9 @@
 // sent every 75 ms and may run in parallel with two delayed ones.
 const maxIdleOrderConns = 4
 
-// NewCommander returns a commander. It sets no timeouts: each call is bounded by its
+// NewOrderClient returns a commander. It sets no timeouts: each call is bounded by its
 // context.
-func NewCommander() *OrderClient {
+func NewOrderClient() *OrderClient {
 	return &OrderClient{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOrderConns}}}
 }
 
--- a/internal/target/sender_test.go
+++ b/internal/target/sender_test.go
@@ -220,7 +220,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	c := NewCommander()
+	c := NewOrderClient()
 	defer c.Close()
 	for range 20 {
 		report, err := c.Send(context.Background(), server.Listener.Addr().String(), &Order{})
