--- a/internal/dispatch/crashes.go
+++ b/internal/dispatch/crashes.go
@@ -119,7 +119,7 @@
 		return AdmitRun, nil
 	case quarantine.Refuse:
 		w.counts.refused.Inc(1)
-		return AdmitRefuse, problem.Refuse(problem.Quarantined, stepQuarantine, w.vm, "targets died under this request; it is not run for now").After(quarantine.Lifetime)
+		return AdmitRefuse, problem.Refuse(problem.Quarantined, stepQuarantine, w.vm, "targets died under this request; it is not run for now").WithRetryAfter(quarantine.Lifetime)
 	case quarantine.NeedsPermit:
 		w.enqueue(crashGossip{notice: w.watch.Case(fp, now), pool: r.Service, asked: now})
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -240,7 +240,7 @@
 	}
 	grant := v.Owner(s.Name, keyspace.Of(r.Key))
 	if grant == nil {
-		return queueID{}, problem.Refuse(problem.NoOwner, "queue", d.Settings.VM, "the key has no owner now").After(time.Second)
+		return queueID{}, problem.Refuse(problem.NoOwner, "queue", d.Settings.VM, "the key has no owner now").WithRetryAfter(time.Second)
 	}
 	d.loads.count(s.Name, grant.Group)
 	return queueID{Service: s.Name, Target: grant.Target.Name}, nil
--- a/internal/dispatch/intent.go
+++ b/internal/dispatch/intent.go
@@ -124,10 +124,10 @@
 	case idempotency.Mismatched:
 		return refusedIntent(r, problem.Refuse(problem.BadRequest, stepIntent, t.vm, "the Idempotency-Key was used for a different request"))
 	case idempotency.Refuse:
-		return refusedIntent(r, problem.Refuse(problem.Full, stepIntent, t.vm, "no room for a record of the request").After(time.Second))
+		return refusedIntent(r, problem.Refuse(problem.Full, stepIntent, t.vm, "no room for a record of the request").WithRetryAfter(time.Second))
 	}
 	p := problem.Lost(problem.AnswerLost, stepIntent, t.vm, "a record of an earlier run may be lost; this attempt was not sent")
-	return wire.ProblemAnswer(r.ID, p.After(time.Second)), true
+	return wire.ProblemAnswer(r.ID, p.WithRetryAfter(time.Second)), true
 }
 
 func refusedIntent(r *wire.Request, p *problem.Error) (wire.Answer, bool) {
@@ -284,7 +284,7 @@
 	case reply.Released:
 		t.replicate(ctx, wire.MethodRelease, record, by)
 		p := problem.Refuse(problem.Full, stepIntent, t.vm, "the first request was not run; try again")
-		return wire.ProblemAnswer(r.ID, p.After(time.Second)), true
+		return wire.ProblemAnswer(r.ID, p.WithRetryAfter(time.Second)), true
 	case reply.Answer == nil:
 		return refusedIntent(r, problem.Lost(problem.Deadline, stepIntent, record.Claim.Coordinator, "the first request still runs"))
 	}
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -214,7 +214,7 @@
 	q.await(j, deadline.LatestStart(j.deadline, q.patience(j)))
 	if out := q.waiting.Push(&j.item); out != nil {
 		q.counts.full.Inc(1)
-		q.end(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").After(time.Second))
+		q.end(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").WithRetryAfter(time.Second))
 	}
 }
 
@@ -284,11 +284,11 @@
 		j := q.given[0]
 		if _, parked := q.parked[j]; parked {
 			q.counts.ownerless.Inc(1)
-			q.end(j, problem.Refuse(problem.NoOwner, "grant", q.vm, "the key got no owner in time").After(time.Second))
+			q.end(j, problem.Refuse(problem.NoOwner, "grant", q.vm, "the key got no owner in time").WithRetryAfter(time.Second))
 			continue
 		}
 		q.counts.late.Inc(1)
-		q.end(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "no slot was free in time").After(time.Second))
+		q.end(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "no slot was free in time").WithRetryAfter(time.Second))
 	}
 }
 
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -47,7 +47,7 @@
 		return q.noTarget()
 	case len(q.parked)+len(q.held) >= q.limit:
 		q.counts.full.Inc(1)
-		return problem.Refuse(problem.Full, stepQueue, q.vm, "too many requests wait for an owner").After(time.Second)
+		return problem.Refuse(problem.Full, stepQueue, q.vm, "too many requests wait for an owner").WithRetryAfter(time.Second)
 	case q.fifo || !q.table.Known():
 		return nil
 	}
@@ -58,7 +58,7 @@
 	q.counts.early.Inc(1)
 	detail := fmt.Sprintf("the wait of about %v and the work of about %v do not fit into the deadline",
 		wait.Round(time.Millisecond), j.expected.Round(time.Millisecond))
-	return problem.Refuse(problem.Full, stepQueue, q.vm, detail).After(max(wait, time.Second))
+	return problem.Refuse(problem.Full, stepQueue, q.vm, detail).WithRetryAfter(max(wait, time.Second))
 }
 
 // wait estimates how long a job that comes now waits for a slot.
@@ -88,7 +88,7 @@
 }
 
 func (q *queue) noTarget() *problem.Error {
-	return problem.Refuse(problem.Full, stepQueue, q.vm, "no target can be reached").After(time.Second)
+	return problem.Refuse(problem.Full, stepQueue, q.vm, "no target can be reached").WithRetryAfter(time.Second)
 }
 
 // cutAbove is the wait, in bounds, over which requests that wait already give way
@@ -137,7 +137,7 @@
 }
 
 func (q *queue) overloaded() *problem.Error {
-	return problem.Refuse(problem.Full, stepQueue, q.vm, "more work comes than the targets can do, and this customer holds more of the queue than its share").After(time.Second)
+	return problem.Refuse(problem.Full, stepQueue, q.vm, "more work comes than the targets can do, and this customer holds more of the queue than its share").WithRetryAfter(time.Second)
 }
 
 // endAll ends all that is not sent.
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -293,7 +293,7 @@
 		return
 	}
 	if verdict == retry.Refuse || q.draining {
-		q.end(j, problem.Refuse(problem.Full, "send", j.last.Name, err.Error()).After(time.Second))
+		q.end(j, problem.Refuse(problem.Full, "send", j.last.Name, err.Error()).WithRetryAfter(time.Second))
 		return
 	}
 	j.lostBefore = j.lostBefore || out == retry.Lost
--- a/internal/entry/admit.go
+++ b/internal/entry/admit.go
@@ -131,7 +131,7 @@
 	default:
 	}
 	detail := fmt.Sprintf("customer %s is over its %s for %s", account.Customer, d.Reason, account.Service)
-	return problem.Refuse(problem.OverLimit, stepAdmit, a.vm, detail).After(max(d.RetryAfter, time.Millisecond))
+	return problem.Refuse(problem.OverLimit, stepAdmit, a.vm, detail).WithRetryAfter(max(d.RetryAfter, time.Millisecond))
 }
 
 // release ends an admitted req.
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -140,11 +140,11 @@
 func (e *entry) serve(c *gin.Context) {
 	begun := time.Now()
 	if why := e.leaving(c); why != "" {
-		e.refuse(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, why).After(time.Second))
+		e.refuse(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, why).WithRetryAfter(time.Second))
 		return
 	}
 	if ready, why := e.Life.IsReady(); !ready && !e.Life.Serving() {
-		e.refuse(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, why).After(time.Second))
+		e.refuse(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, why).WithRetryAfter(time.Second))
 		return
 	}
 	req, p := e.parser.parse(e.feed.Current(), c.Request, begun)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -130,7 +130,7 @@
 func (f *forwarder) choose(v *view.View, req *parsedRequest, r *route) (wire.Member, *problem.Error) {
 	members := v.Dispatchers()
 	if len(members) == 0 {
-		return wire.Member{}, problem.Refuse(problem.NotReady, "choose", f.vm, "no dispatcher is known").After(time.Second)
+		return wire.Member{}, problem.Refuse(problem.NotReady, "choose", f.vm, "no dispatcher is known").WithRetryAfter(time.Second)
 	}
 	queue, near, p := f.queue(v, req)
 	if p != nil {
@@ -153,7 +153,7 @@
 // exhausted is the refusal after the last dispatcher that was tried. It is not
 // passed over.
 func (r *route) exhausted(vm string) *problem.Error {
-	return problem.Refuse(problem.Full, "choose", vm, "no dispatcher took the request: "+r.last.Error()).After(time.Second)
+	return problem.Refuse(problem.Full, "choose", vm, "no dispatcher took the request: "+r.last.Error()).WithRetryAfter(time.Second)
 }
 
 // queue names the queue of a request, and the data centre it should be in.
@@ -164,7 +164,7 @@
 	}
 	grant := v.Owner(s.Name, keyspace.Of(req.request.Key))
 	if grant == nil {
-		return "", "", problem.Refuse(problem.NoOwner, "choose", f.vm, "the key has no owner now").After(time.Second)
+		return "", "", problem.Refuse(problem.NoOwner, "choose", f.vm, "the key has no owner now").WithRetryAfter(time.Second)
 	}
 	t, _ := s.Target(grant.Target.Name)
 	return s.Name + "/" + t.Name, t.DataCentre, nil
@@ -204,7 +204,7 @@
 func classify(err error, vm string) *problem.Error {
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
-		return problem.Refuse(problem.Leaving, "forward", vm, err.Error()).After(time.Second)
+		return problem.Refuse(problem.Leaving, "forward", vm, err.Error()).WithRetryAfter(time.Second)
 	case errors.Is(err, context.DeadlineExceeded):
 		return problem.Lost(problem.Deadline, "forward", vm, "the deadline passed before the dispatcher answered")
 	}
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -106,8 +106,8 @@
 	return &Error{Kind: kind, Step: step, Peer: peer, Ran: RanUnknown, Detail: detail}
 }
 
-// After sets RetryAfter and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets RetryAfter and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
