--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -152,7 +152,7 @@
 // shareBudget keeps this VM to its part of the store's rates.
 func (a *agent) shareBudget(ctx context.Context) {
 	for ctx.Err() == nil {
-		a.guard.Share(len(a.members.addrs()) + 1)
+		a.guard.SetShare(len(a.members.addrs()) + 1)
 		pause.For(ctx, listEvery)
 	}
 }
--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -94,8 +94,8 @@
 	return g
 }
 
-// Share limits this VM to its part of the budget, divided equally among vms VMs.
-func (g *Guard) Share(vms int) {
+// SetShare limits this VM to its part of the budget, divided equally among vms VMs.
+func (g *Guard) SetShare(vms int) {
 	setRateLimit(g.reads, budgetReads, vms)
 	setRateLimit(g.writes, budgetWrites, vms)
 }
--- a/internal/platform/guard_test.go
+++ b/internal/platform/guard_test.go
@@ -81,7 +81,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeStore{put: func(o Object) (Object, error) { return o, nil }}
 		g := NewGuard(metrics.NewRegistry())
-		g.Share(9)
+		g.SetShare(9)
 		s := g.Wrap(f)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
