--- a/internal/platform/conformance/conformance.go
+++ b/internal/platform/conformance/conformance.go
@@ -28,9 +28,9 @@
 // Store is a store under test with the hooks that the suite needs.
 type Store struct {
 	platform.Store
-	// Bulk is the same store without a rate limit, for the one case that needs
+	// Unthrottled is the same store without a rate limit, for the one case that needs
 	// thousands of writes. It is nil if Store itself has no rate limit.
-	Bulk platform.Store
+	Unthrottled platform.Store
 	// SetVMs replaces the platform's list of VMs. It is nil if the store has no list.
 	SetVMs func([]platform.VM)
 	// LoseAnswers drops the answers to the next n writes after the writes took
@@ -178,8 +178,8 @@
 
 func watchTooOld(t *testing.T, ctx context.Context, s Store) {
 	var bulk platform.Store = s
-	if s.Bulk != nil {
-		bulk = s.Bulk
+	if s.Unthrottled != nil {
+		bulk = s.Unthrottled
 	}
 	o := mustPut(t, ctx, bulk, object("a", "w", 0))
 	first := o.Version
--- a/internal/platform/conformance/conformance_test.go
+++ b/internal/platform/conformance/conformance_test.go
@@ -37,7 +37,7 @@
 func TestGuardedObjectAPI(t *testing.T) {
 	Run(t, func(t *testing.T) Store {
 		s := newHTTPStore(t)
-		s.Bulk = s.Store
+		s.Unthrottled = s.Store
 		s.Store = platform.NewGuard(metrics.NewRegistry()).Wrap(s.Store)
 		return s
 	})
