--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -98,9 +98,9 @@
 	switch {
 	case !ok:
 		return nil, d.refuse(problem.OutsideContract, "customer %s has no contract for %s", contract.Customer, service)
-	case contract.End.Over(now):
+	case contract.End.Passed(now):
 		return nil, d.refuse(problem.OutsideContract, "the contract ended on %s", contract.End)
-	case s.Shutdown.Over(now):
+	case s.Shutdown.Passed(now):
 		return nil, d.refuse(problem.OutsideContract, "the service ended on %s", s.Shutdown)
 	}
 	request := &wire.Request{
--- a/internal/model/decode_test.go
+++ b/internal/model/decode_test.go
@@ -51,9 +51,9 @@
 
 func TestDateIsInclusive(t *testing.T) {
 	d := NewDate(time.Date(2028, 11, 30, 5, 0, 0, 0, time.UTC))
-	require.False(t, d.Over(time.Date(2028, 11, 30, 23, 59, 59, 999, time.UTC)))
-	require.True(t, d.Over(time.Date(2028, 12, 1, 0, 0, 0, 0, time.UTC)))
-	require.False(t, Date{}.Over(time.Date(3000, 1, 1, 0, 0, 0, 0, time.UTC)))
+	require.False(t, d.Passed(time.Date(2028, 11, 30, 23, 59, 59, 999, time.UTC)))
+	require.True(t, d.Passed(time.Date(2028, 12, 1, 0, 0, 0, 0, time.UTC)))
+	require.False(t, Date{}.Passed(time.Date(3000, 1, 1, 0, 0, 0, 0, time.UTC)))
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/model/value.go
+++ b/internal/model/value.go
@@ -39,9 +39,9 @@
 // IsZero reports whether no date is set.
 func (d Date) IsZero() bool { return d.day.IsZero() }
 
-// Over reports whether the whole day has passed at t. Dates are inclusive: a contract is
+// Passed reports whether the whole day has passed at t. Dates are inclusive: a contract is
 // valid until the end of its last day in UTC.
-func (d Date) Over(t time.Time) bool {
+func (d Date) Passed(t time.Time) bool {
 	return !d.IsZero() && !t.UTC().Before(d.day.AddDate(0, 0, 1))
 }
 
