--- a/internal/platform/guard.go
+++ b/internal/platform/guard.go
@@ -69,7 +69,7 @@
 	refused       metrics.Counter
 }
 
-// NewGuard returns a guard that may use the whole budget until Share is called.
+// NewGuard returns a guard that may use the whole budget until SetShare is called.
 func NewGuard(registry metrics.Registry) *Guard {
 	g := &Guard{
 		reads:   rate.NewLimiter(budgetReads, burstSeconds*budgetReads),
--- a/internal/target/orders.go
+++ b/internal/target/orders.go
@@ -138,7 +138,7 @@
 // sent every 75 ms and may run in parallel with two delayed ones.
 const maxIdleOrderConns = 4
 
-// NewOrderClient returns a commander. It sets no timeouts: each call is bounded by its
+// NewOrderClient returns an order client. It sets no timeouts: each call is bounded by its
 // context.
 func NewOrderClient() *OrderClient {
 	return &OrderClient{http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleOrderConns}}}
