--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -60,7 +60,8 @@
 }
 
 // A daemon receives a contract with an invalid rate. The last valid version must stay in
-// force and the problem must be reported until the contract is deleted.
+// force, and the problem must be reported until a valid version arrives or the contract is
+// deleted.
 func TestInvalidObjectKeepsLastValidVersion(t *testing.T) {
 	f := newTestFeed(t)
 	f.apply(f.Current(), &wire.PullReply{Source: "1", Ready: true, Snapshot: true, Revision: 10, Objects: []platform.Object{contract(10, "-1")}})
