--- a/internal/model/check.go
+++ b/internal/model/check.go
@@ -20,7 +20,7 @@
 	DefaultBackgroundFloor = 0.1
 )
 
-// Upper bounds for the fields of objects.
+// Bounds for the fields of objects.
 const (
 	maxTargets     = 10_000
 	maxSlots       = 10_000
--- a/internal/target/sender.go
+++ b/internal/target/sender.go
@@ -80,8 +80,8 @@
 	return upstream.DialWithReset(ctx, &net.Dialer{Timeout: dialTimeout}, network, addr)
 }
 
-// nonRewindableBody returns a body that net/http cannot rewind. net/http by itself retries
-// requests whose body it can rewind, including a POST with an Idempotency-Key header. It still
+// nonRewindableBody returns a body that net/http cannot rewind. net/http may retry by itself a
+// request whose body it can rewind, including a POST with an Idempotency-Key header. It still
 // detects that this body is in memory, and sends headers and body in one write.
 func nonRewindableBody(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
 
