--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -38,7 +38,7 @@
 	server      *peer.Server
 	peers       *peer.Pool
 	assigner    *assigner
-	commander   *target.Commander
+	commander   *target.OrderClient
 	grantor     *grantor
 	// grantsChanged tells the heartbeater to push this agent's grants to its peers.
 	grantsChanged chan struct{}
@@ -69,7 +69,7 @@
 		guard:       platform.NewGuard(k.Registry),
 		server:      server,
 		peers:       peer.NewPool(1),
-		commander:   target.NewCommander(),
+		commander:   target.NewOrderClient(),
 	}
 	a.initComponents()
 	if err := server.Register("Agent", a.relay); err != nil {
@@ -110,7 +110,7 @@
 // storeFor returns the store with its calls counted under the cause. Calls that the guard refuses
 // do not reach the store and are not counted.
 func (a *agent) storeFor(c platform.Cause) platform.Store {
-	return a.guard.Wrap(platform.Count(a.store, c, a.Registry))
+	return a.guard.Wrap(platform.NewCountingStore(a.store, c, a.Registry))
 }
 
 func (a *agent) start(context.Context) error {
@@ -154,7 +154,7 @@
 // of VMs.
 func (a *agent) updateStoreShare(ctx context.Context) {
 	for ctx.Err() == nil {
-		a.guard.Share(len(a.members.peerAddrs()) + 1)
+		a.guard.SetShare(len(a.members.peerAddrs()) + 1)
 		pause.For(ctx, listInterval)
 	}
 }
--- a/internal/agent/lateorders_test.go
+++ b/internal/agent/lateorders_test.go
@@ -114,7 +114,7 @@
 		Owner: ref(ps.owner), Standby: ref(ps.standby), Witness: ref(ps.witness),
 	}, ps.now)
 	ps.grantor = &grantor{
-		timeout: time.Minute, commander: target.NewCommander(), log: &log.Logger{Level: log.PanicLevel},
+		timeout: time.Minute, commander: target.NewOrderClient(), log: &log.Logger{Level: log.PanicLevel},
 		unansweredOrders: metrics.NewCounter(), inbox: ring.New[response]("grantor", inboxLength, ring.DropOldest, metrics.NewRegistry()),
 	}
 	t.Cleanup(ps.grantor.commander.Close)
--- a/internal/dispatch/crashwatcher.go
+++ b/internal/dispatch/crashwatcher.go
@@ -125,7 +125,7 @@
 		return AdmitRun, nil
 	case quarantine.Refuse:
 		w.counters.refused.Inc(1)
-		return AdmitRefuse, problem.Refuse(problem.Quarantined, stepQuarantine, w.vm, "targets died under this request; it is not run for now").After(quarantine.Lifetime)
+		return AdmitRefuse, problem.Refuse(problem.Quarantined, stepQuarantine, w.vm, "targets died under this request; it is not run for now").WithRetryAfter(quarantine.Lifetime)
 	case quarantine.NeedsPermit:
 		w.enqueue(quarantineMessage{crashCase: w.tracker.Case(fp, now), pool: r.Service, requestedAt: now})
 	}
--- a/internal/dispatch/deduplicator.go
+++ b/internal/dispatch/deduplicator.go
@@ -130,14 +130,14 @@
 	case idempotency.Mismatched:
 		return refuseFinally(r, problem.Refuse(problem.BadRequest, stepIntent, d.vm, "the Idempotency-Key was used for a different request"))
 	case idempotency.Refuse:
-		return refuseFinally(r, problem.Refuse(problem.Full, stepIntent, d.vm, "no room for a record of the request").After(time.Second))
+		return refuseFinally(r, problem.Refuse(problem.Full, stepIntent, d.vm, "no room for a record of the request").WithRetryAfter(time.Second))
 	}
 	p := problem.Lost(problem.AnswerLost, stepIntent, d.vm, "a record of an earlier run may be lost; this attempt was not sent")
-	return wire.Refused(r.ID, p.After(time.Second)), true
+	return wire.ProblemAnswer(r.ID, p.WithRetryAfter(time.Second)), true
 }
 
 func refuseFinally(r *wire.Request, p *problem.Error) (wire.Answer, bool) {
-	return wire.Refused(r.ID, p), false
+	return wire.ProblemAnswer(r.ID, p), false
 }
 
 func (d *deduplicator) newClaim(key idempotency.Key, fingerprint uint64) (idempotency.Record, []string, *localClaim) {
@@ -289,11 +289,11 @@
 	case err != nil || !reply.Known:
 		d.journal.Add(stepIntent, "unknown whether the first request of a repeat ran: its dispatcher at "+record.Claim.Coordinator+" cannot be reached or has no record of it", r.Customer, r.Service, r.ID)
 		p := problem.Lost(problem.AnswerLost, stepIntent, record.Claim.Coordinator, "the dispatcher that had the request is gone; it may have run")
-		return wire.Refused(r.ID, p), true
+		return wire.ProblemAnswer(r.ID, p), true
 	case reply.Released:
 		d.replicate(ctx, wire.MethodRelease, record, holders)
 		p := problem.Refuse(problem.Full, stepIntent, d.vm, "the first request was not run; try again")
-		return wire.Refused(r.ID, p.After(time.Second)), true
+		return wire.ProblemAnswer(r.ID, p.WithRetryAfter(time.Second)), true
 	case reply.Answer == nil:
 		return refuseFinally(r, problem.Lost(problem.Deadline, stepIntent, record.Claim.Coordinator, "the first request still runs"))
 	}
--- a/internal/dispatch/deduplicator_test.go
+++ b/internal/dispatch/deduplicator_test.go
@@ -97,7 +97,7 @@
 		id := fmt.Sprintf("repeat-%d", i)
 		answer := node.runOnce(t.Context(), booking(id, "k1", "10:00"), f.book)
 		require.Nil(t, answer.Problem)
-		require.True(t, answer.Whole(id))
+		require.True(t, answer.Valid(id))
 		require.Equal(t, "booked by a", string(answer.Body))
 	}
 	require.EqualValues(t, 1, f.runs.Load())
@@ -136,7 +136,7 @@
 func TestKeyIsReusableAfterRefusal(t *testing.T) {
 	f := newDedupFleet(t, 3)
 	refused := f.nodes[0].runOnce(t.Context(), booking("a", "k", "x"), func(r *wire.Request) wire.Answer {
-		return wire.Refused(r.ID, problem.Refuse(problem.Full, "queue", "vm1", "full"))
+		return wire.ProblemAnswer(r.ID, problem.Refuse(problem.Full, "queue", "vm1", "full"))
 	})
 	require.Equal(t, problem.RanNo, refused.Problem.Ran)
 	answer := f.nodes[1].runOnce(t.Context(), booking("b", "k", "x"), f.book)
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -115,14 +115,14 @@
 		return
 	}
 	if j.state.Fire(eventRefuse) == nil {
-		j.done <- wire.Refused(j.request.ID, p)
+		j.done <- wire.ProblemAnswer(j.request.ID, p)
 	}
 }
 
 // failUnknown ends a job that may have run; the problem p says so.
 func (j *job) failUnknown(p *problem.Error) {
 	if j.state.Fire(eventLose) == nil {
-		j.done <- wire.Refused(j.request.ID, p)
+		j.done <- wire.ProblemAnswer(j.request.ID, p)
 	}
 }
 
--- a/internal/dispatch/queue.go
+++ b/internal/dispatch/queue.go
@@ -217,7 +217,7 @@
 	q.scheduleGiveUp(j, deadline.LatestStart(j.deadline, q.reservedServiceTime(j)))
 	if out := q.waiting.Push(&j.item); out != nil {
 		q.counters.full.Inc(1)
-		q.fail(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").After(time.Second))
+		q.fail(out.Value, problem.Refuse(problem.Full, stepQueue, q.vm, "the queue is full and this customer holds most of it for its share").WithRetryAfter(time.Second))
 	}
 }
 
@@ -289,11 +289,11 @@
 		j := q.unsent[0]
 		if _, parked := q.parked[j]; parked {
 			q.counters.ownerless.Inc(1)
-			q.fail(j, problem.Refuse(problem.NoOwner, "grant", q.vm, "the key got no owner in time").After(time.Second))
+			q.fail(j, problem.Refuse(problem.NoOwner, "grant", q.vm, "the key got no owner in time").WithRetryAfter(time.Second))
 			continue
 		}
 		q.counters.late.Inc(1)
-		q.fail(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "no slot was free in time").After(time.Second))
+		q.fail(j, problem.Refuse(problem.Deadline, stepQueue, q.vm, "no slot was free in time").WithRetryAfter(time.Second))
 	}
 }
 
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -47,7 +47,7 @@
 		return q.unreachableProblem()
 	case len(q.parked)+len(q.held) >= q.limit:
 		q.counters.full.Inc(1)
-		return problem.Refuse(problem.Full, stepQueue, q.vm, "too many requests wait for an owner").After(time.Second)
+		return problem.Refuse(problem.Full, stepQueue, q.vm, "too many requests wait for an owner").WithRetryAfter(time.Second)
 	case q.fifo || !q.serviceTimes.Known():
 		return nil
 	}
@@ -58,7 +58,7 @@
 	q.counters.early.Inc(1)
 	detail := fmt.Sprintf("the wait of about %v and the work of about %v do not fit into the deadline",
 		wait.Round(time.Millisecond), j.expected.Round(time.Millisecond))
-	return problem.Refuse(problem.Full, stepQueue, q.vm, detail).After(max(wait, time.Second))
+	return problem.Refuse(problem.Full, stepQueue, q.vm, detail).WithRetryAfter(max(wait, time.Second))
 }
 
 // estimateWait estimates how long a job that arrives now will wait for a slot.
@@ -88,7 +88,7 @@
 }
 
 func (q *queue) unreachableProblem() *problem.Error {
-	return problem.Refuse(problem.Full, stepQueue, q.vm, "no target can be reached").After(time.Second)
+	return problem.Refuse(problem.Full, stepQueue, q.vm, "no target can be reached").WithRetryAfter(time.Second)
 }
 
 // dropThreshold is the wait of a standing queue, as a multiple of the bound, above which
@@ -141,7 +141,7 @@
 }
 
 func (q *queue) overloadProblem() *problem.Error {
-	return problem.Refuse(problem.Full, stepQueue, q.vm, "more work comes than the targets can do, and this customer holds more of the queue than its share").After(time.Second)
+	return problem.Refuse(problem.Full, stepQueue, q.vm, "more work comes than the targets can do, and this customer holds more of the queue than its share").WithRetryAfter(time.Second)
 }
 
 // failUnsent ends all jobs that are not sent.
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -297,7 +297,7 @@
 		return
 	}
 	if verdict == retry.Refuse || q.draining {
-		q.fail(j, problem.Refuse(problem.Full, "send", j.lastTarget.Name, err.Error()).After(time.Second))
+		q.fail(j, problem.Refuse(problem.Full, "send", j.lastTarget.Name, err.Error()).WithRetryAfter(time.Second))
 		return
 	}
 	j.lostBefore = j.lostBefore || out == retry.Lost
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -141,11 +141,11 @@
 func (e *entry) serve(c *gin.Context) {
 	start := time.Now()
 	if reason := e.drainReason(c); reason != "" {
-		e.writeRefusal(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, reason).After(time.Second))
+		e.writeRefusal(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, reason).WithRetryAfter(time.Second))
 		return
 	}
 	if ready, reason := e.Life.IsReady(); !ready && !e.Life.Serving() {
-		e.writeRefusal(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, reason).After(time.Second))
+		e.writeRefusal(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, reason).WithRetryAfter(time.Second))
 		return
 	}
 	req, p := e.parser.parse(e.feed.Current(), c.Request, start)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -132,7 +132,7 @@
 func (f *forwarder) chooseDispatcher(v *view.View, req *parsedRequest, state *attemptState) (wire.Member, *problem.Error) {
 	members := v.Dispatchers()
 	if len(members) == 0 {
-		return wire.Member{}, problem.Refuse(problem.NotReady, "choose", f.vm, "no dispatcher is known").After(time.Second)
+		return wire.Member{}, problem.Refuse(problem.NotReady, "choose", f.vm, "no dispatcher is known").WithRetryAfter(time.Second)
 	}
 	queue, preferredDC, p := f.queueOf(v, req)
 	if p != nil {
@@ -154,7 +154,7 @@
 
 // exhausted returns the refusal after the last attempt. It is not retryable.
 func (s *attemptState) exhausted(vm string) *problem.Error {
-	return problem.Refuse(problem.Full, "choose", vm, "no dispatcher took the request: "+s.lastProblem.Error()).After(time.Second)
+	return problem.Refuse(problem.Full, "choose", vm, "no dispatcher took the request: "+s.lastProblem.Error()).WithRetryAfter(time.Second)
 }
 
 // queueOf returns the name of a request's queue and the data centre whose dispatchers are
@@ -166,7 +166,7 @@
 	}
 	grant := v.Owner(s.Name, keyspace.Of(req.wireRequest.Key))
 	if grant == nil {
-		return "", "", problem.Refuse(problem.NoOwner, "choose", f.vm, "the key has no owner now").After(time.Second)
+		return "", "", problem.Refuse(problem.NoOwner, "choose", f.vm, "the key has no owner now").WithRetryAfter(time.Second)
 	}
 	t, _ := s.Target(grant.Target.Name)
 	return s.Name + "/" + t.Name, t.DataCentre, nil
@@ -188,7 +188,7 @@
 		}
 		return nil, classifyCallError(err, m.VM)
 	}
-	if !answer.Whole(request.ID) {
+	if !answer.Valid(request.ID) {
 		return nil, problem.Lost(problem.AnswerLost, "forward", m.VM, "the answer is not whole or not this request's")
 	}
 	if answer.Problem != nil {
@@ -206,7 +206,7 @@
 func classifyCallError(err error, vm string) *problem.Error {
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
-		return problem.Refuse(problem.Leaving, "forward", vm, err.Error()).After(time.Second)
+		return problem.Refuse(problem.Leaving, "forward", vm, err.Error()).WithRetryAfter(time.Second)
 	case errors.Is(err, context.DeadlineExceeded):
 		return problem.Lost(problem.Deadline, "forward", vm, "the deadline passed before the dispatcher answered")
 	}
--- a/internal/entry/parse.go
+++ b/internal/entry/parse.go
@@ -99,9 +99,9 @@
 	switch {
 	case !ok:
 		return nil, rp.refuse(problem.OutsideContract, "customer %s has no contract for %s", contract.Customer, service)
-	case contract.End.Over(now):
+	case contract.End.Passed(now):
 		return nil, rp.refuse(problem.OutsideContract, "the contract ended on %s", contract.End)
-	case s.Shutdown.Over(now):
+	case s.Shutdown.Passed(now):
 		return nil, rp.refuse(problem.OutsideContract, "the service ended on %s", s.Shutdown)
 	}
 	request := &wire.Request{
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -171,7 +171,7 @@
 // dial opens a connection; m.dialing is held.
 func (m *managedConn) dial(ctx context.Context) (*session, error) {
 	if since := time.Since(m.lastDial); since < redialPause {
-		return nil, fmt.Errorf("not dialled: the last dial failed %v ago", since.Round(time.Millisecond))
+		return nil, fmt.Errorf("dial failed %v ago", since.Round(time.Millisecond))
 	}
 	nc, err := m.connect(ctx)
 	if err != nil {
--- a/internal/platform/memstore/memstore.go
+++ b/internal/platform/memstore/memstore.go
@@ -1,5 +1,5 @@
-// Package memstore is the platform's store in memory, for tests and for the
-// stand-in. It keeps a bounded history for watches.
+// Package memstore is an in-memory implementation of the platform's store, for tests
+// and for the stand-in. It keeps a bounded history for watches.
 package memstore
 
 import (
@@ -13,8 +13,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// historyLength is how many changes a watch may lag before it gets ErrGone.
-const historyLength = 4096
+// maxHistory is how many changes a watch may lag behind before it gets ErrGone.
+const maxHistory = 4096
 
 // Store implements platform.Store. It is safe for concurrent use.
 type Store struct {
@@ -58,7 +58,7 @@
 	return o, nil
 }
 
-// List implements platform.Store. Objects come sorted by kind and name.
+// List implements platform.Store. Objects are sorted by kind and name.
 func (s *Store) List(context.Context) (platform.Listing, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	s.revision++
 	o.Version = s.revision
 	s.objects[o.ID()] = o
-	s.record(platform.Event{Type: platform.EventPut, Object: o, Revision: s.revision})
+	s.appendEvent(platform.Event{Type: platform.EventPut, Object: o, Revision: s.revision})
 	return o, nil
 }
 
@@ -103,14 +103,14 @@
 	}
 	s.revision++
 	delete(s.objects, o.ID())
-	s.record(platform.Event{Type: platform.EventDelete, Object: current, Revision: s.revision})
+	s.appendEvent(platform.Event{Type: platform.EventDelete, Object: current, Revision: s.revision})
 	return nil
 }
 
-func (s *Store) record(e platform.Event) {
+func (s *Store) appendEvent(e platform.Event) {
 	s.history = append(s.history, e)
-	if len(s.history) > historyLength {
-		s.history = slices.Delete(s.history, 0, len(s.history)-historyLength)
+	if len(s.history) > maxHistory {
+		s.history = slices.Delete(s.history, 0, len(s.history)-maxHistory)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -119,7 +119,7 @@
 // Watch implements platform.Store.
 func (s *Store) Watch(ctx context.Context, from uint64, handle func(platform.Event) error) error {
 	for {
-		events, changed, err := s.after(from)
+		events, changed, err := s.eventsAfter(from)
 		if err != nil {
 			return err
 		}
@@ -140,9 +140,9 @@
 	}
 }
 
-// after returns the changes since the revision, and a channel that closes at the
-// next change.
-func (s *Store) after(from uint64) ([]platform.Event, <-chan struct{}, error) {
+// eventsAfter returns the changes after the revision, and a channel that is closed at
+// the next change.
+func (s *Store) eventsAfter(from uint64) ([]platform.Event, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if from > s.revision || (len(s.history) > 0 && from+1 < s.history[0].Revision) {
@@ -154,8 +154,8 @@
 	return slices.Clone(s.history[i:]), s.changed, nil
 }
 
-// CheckRevision returns ErrGone where a watch cannot start at the revision.
+// CheckRevision returns ErrGone if a watch cannot start at the revision.
 func (s *Store) CheckRevision(from uint64) error {
-	_, _, err := s.after(from)
+	_, _, err := s.eventsAfter(from)
 	return err
 }
--- a/internal/platform/objectapi/client.go
+++ b/internal/platform/objectapi/client.go
@@ -13,9 +13,9 @@
 	"hemlockquay/internal/platform"
 )
 
-// maxAnswer bounds an answer of the store, bytes: a thousand values of a
-// megabyte would be a mistake, not a configuration.
-const maxAnswer = 256 << 20
+// maxResponseBytes bounds a response of the store. A configuration of a thousand
+// values of a megabyte would be an error.
+const maxResponseBytes = 256 << 20
 
 // Client implements platform.Store over HTTP.
 type Client struct {
@@ -25,8 +25,8 @@
 
 var _ platform.Store = (*Client)(nil)
 
-// New returns a client of the API at base, e.g. "http://10.0.0.1:8001". The
-// context of each call carries its deadline.
+// New returns a client of the API at base, e.g. "http://10.0.0.1:8001". It sets no
+// timeouts: each call is bounded by its context.
 func New(base string) *Client {
 	return &Client{base: base, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}}
 }
@@ -111,7 +111,7 @@
 		if err := lines.Decode(&line); err != nil {
 			return fmt.Errorf("watch: read event: %w", errors.Join(platform.ErrAmbiguous, err))
 		}
-		event, err := fromWatch(line)
+		event, err := toEvent(line)
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 	}
 }
 
-func fromWatch(line WatchEvent) (platform.Event, error) {
+func toEvent(line WatchEvent) (platform.Event, error) {
 	revision, err := ParseVersion(line.Object.Metadata.ResourceVersion)
 	if err != nil {
 		return platform.Event{}, err
@@ -136,7 +136,7 @@
 	case Deleted:
 		event.Type = platform.EventDelete
 	default:
-		return event, fmt.Errorf("watch: event %q: %w", line.Type, platform.ErrGone)
+		return event, fmt.Errorf("watch: unexpected event type %q: %w", line.Type, platform.ErrGone)
 	}
 	event.Object, err = FromItem(line.Object)
 	return event, err
@@ -158,7 +158,7 @@
 	if out == nil {
 		return nil
 	}
-	return platform.ReadAnswer(resp.Body, maxAnswer, out)
+	return platform.DecodeResponse(resp.Body, maxResponseBytes, out)
 }
 
 func (c *Client) send(ctx context.Context, method, target string, in any) (*http.Response, error) {
