--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -14,8 +14,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// Applied is the outcome of writing one object.
-type Applied struct {
+// ApplyResult is the outcome of writing one object.
+type ApplyResult struct {
 	Kind    model.Kind `json:"kind"`
 	Name    string     `json:"name"`
 	Version uint64     `json:"version"`
@@ -69,8 +69,8 @@
 // 0 for a new object.
 // The write is conditional on the version read: of two operators that read the same one, the second
 // gets a *Conflict with the differences. A lost answer is settled by the tag.
-func Apply(ctx context.Context, s platform.Store, o platform.Object) (Applied, error) {
-	out := Applied{Kind: o.Kind, Name: o.Name}
+func Apply(ctx context.Context, s platform.Store, o platform.Object) (ApplyResult, error) {
+	out := ApplyResult{Kind: o.Kind, Name: o.Name}
 	read := o.Version
 	current, err := s.Get(ctx, o.ID())
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -99,8 +99,8 @@
 }
 
 // lost reports a lost race. Where the winner wrote the same, both have won.
-func lost(ctx context.Context, s platform.Store, o platform.Object, read uint64) (Applied, error) {
-	out := Applied{Kind: o.Kind, Name: o.Name}
+func lost(ctx context.Context, s platform.Store, o platform.Object, read uint64) (ApplyResult, error) {
+	out := ApplyResult{Kind: o.Kind, Name: o.Name}
 	current, err := s.Get(ctx, o.ID())
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return out, fmt.Errorf("read after conflict: %w", errors.Join(platform.ErrConflict, err))
--- a/internal/ctl/cli/objects.go
+++ b/internal/ctl/cli/objects.go
@@ -187,7 +187,7 @@
 		return err
 	}
 	var newest uint64
-	var done []ctl.Applied
+	var done []ctl.ApplyResult
 	for _, o := range objects {
 		r, err := ctl.Apply(ctx, c.app.store(), o)
 		if err != nil {
@@ -210,7 +210,7 @@
 	return c.app.fleet().Wait(ctx, newest)
 }
 
-func changed(r ctl.Applied) string {
+func changed(r ctl.ApplyResult) string {
 	if r.Changed {
 		return "changed"
 	}
