--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -23,9 +23,9 @@
 	Changed bool `json:"changed"`
 }
 
-// Conflict says that the stored object is not the one that the operator read.
+// ConflictError says that the stored object is not the one that the operator read.
 // Nothing was written.
-type Conflict struct {
+type ConflictError struct {
 	Kind model.Kind `json:"kind"`
 	Name string     `json:"name"`
 	// Read is the version that the operator read, Stored the one that the
@@ -37,7 +37,7 @@
 }
 
 // Error renders the conflict and every difference.
-func (c *Conflict) Error() string {
+func (c *ConflictError) Error() string {
 	text := fmt.Sprintf("%s %s: conflict: %s; nothing was written", c.Kind, c.Name, c.cause())
 	for _, d := range c.Differences {
 		text += "\n  " + d.String()
@@ -45,7 +45,7 @@
 	return text + fmt.Sprintf("\nread the stored one with `hqctl %s get %s`, bring in your change and apply again", c.Kind, c.Name)
 }
 
-func (c *Conflict) cause() string {
+func (c *ConflictError) cause() string {
 	switch {
 	case c.Stored == 0:
 		return fmt.Sprintf("you read version %d, it is deleted now", c.Read)
@@ -56,7 +56,7 @@
 }
 
 // Unwrap lets errors.Is find platform.ErrConflict.
-func (c *Conflict) Unwrap() error { return platform.ErrConflict }
+func (c *ConflictError) Unwrap() error { return platform.ErrConflict }
 
 var writes atomic.Uint64
 
@@ -68,7 +68,7 @@
 // Apply writes the object over the version o.Version that the operator read,
 // 0 for a new object.
 // The write is conditional on the version read: of two operators that read the same one, the second
-// gets a *Conflict with the differences. A lost answer is settled by the tag.
+// gets a *ConflictError with the differences. A lost answer is settled by the tag.
 func Apply(ctx context.Context, s platform.Store, o platform.Object) (ApplyResult, error) {
 	out := ApplyResult{Kind: o.Kind, Name: o.Name}
 	read := o.Version
@@ -112,8 +112,8 @@
 	return out, conflict(current, o, read)
 }
 
-func conflict(current, mine platform.Object, read uint64) *Conflict {
-	return &Conflict{
+func conflict(current, mine platform.Object, read uint64) *ConflictError {
+	return &ConflictError{
 		Kind: mine.Kind, Name: mine.Name, Read: read, Stored: current.Version,
 		Differences: Diff(current.Spec, mine.Spec),
 	}
--- a/internal/ctl/cli/cli.go
+++ b/internal/ctl/cli/cli.go
@@ -131,7 +131,7 @@
 		return ExitOK
 	}
 	fmt.Fprintln(a.log, err)
-	var conflict *ctl.Conflict
+	var conflict *ctl.ConflictError
 	var lagging *ctl.Lagging
 	if a.JSON && errors.As(err, &conflict) {
 		_ = a.print(conflict, nil)
--- a/internal/ctl/race_test.go
+++ b/internal/ctl/race_test.go
@@ -141,7 +141,7 @@
 		winner = 1
 	}
 	require.NoError(t, errs[winner], "order %v faults %v %v", order, first, second)
-	var conflict *Conflict
+	var conflict *ConflictError
 	require.True(t, errors.As(errs[1-winner], &conflict), "order %v faults %v %v: %v", order, first, second, errs[1-winner])
 	require.Equal(t, []Difference{{"/services/0/rate", fmt.Sprint(20 + winner), fmt.Sprint(21 - winner)}}, conflict.Differences)
 	stored, err := mem.Get(ctx, base.ID())
