--- a/internal/ctl/cli/cli.go
+++ b/internal/ctl/cli/cli.go
@@ -132,7 +132,7 @@
 	}
 	fmt.Fprintln(a.log, err)
 	var conflict *ctl.ConflictError
-	var lagging *ctl.Lagging
+	var lagging *ctl.LagError
 	if a.JSON && errors.As(err, &conflict) {
 		_ = a.print(conflict, nil)
 	}
@@ -146,7 +146,7 @@
 func Code(err error) int {
 	var usage *flags.Error
 	var bad *settings.Error
-	var lagging *ctl.Lagging
+	var lagging *ctl.LagError
 	switch {
 	case err == nil:
 		return ExitOK
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -10,8 +10,8 @@
 // waitPause is the pause between two looks at the VMs.
 const waitPause = 100 * time.Millisecond
 
-// Lagging says that the wait ended before a version was in force everywhere.
-type Lagging struct {
+// LagError says that the wait ended before a version was in force everywhere.
+type LagError struct {
 	Version uint64 `json:"version"`
 	// VMs names each VM that lags and the revision it has in force.
 	VMs []VM `json:"vms"`
@@ -20,7 +20,7 @@
 }
 
 // Error names the VMs that lag.
-func (l *Lagging) Error() string {
+func (l *LagError) Error() string {
 	if l.Cause != nil {
 		return fmt.Sprintf("version %d is stored; whether it is in force is not known: %v", l.Version, l.Cause)
 	}
@@ -32,17 +32,17 @@
 }
 
 // Unwrap returns the cause.
-func (l *Lagging) Unwrap() error { return l.Cause }
+func (l *LagError) Unwrap() error { return l.Cause }
 
-// Wait returns once every live VM has the version in force, or a *Lagging when
+// Wait returns once every live VM has the version in force, or a *LagError when
 // the context ends. A VM that is listed and silent lags: nobody knows what it
 // does. One that leaves takes no new work and is not waited for.
 func (f *Fleet) Wait(ctx context.Context, version uint64) error {
-	outcome := &Lagging{Version: version, Cause: errNoAgent}
+	outcome := &LagError{Version: version, Cause: errNoAgent}
 	for {
 		vms, err := f.VMs(ctx)
 		if err == nil {
-			outcome = &Lagging{Version: version, VMs: lagging(vms, version)}
+			outcome = &LagError{Version: version, VMs: lagging(vms, version)}
 			if len(outcome.VMs) == 0 {
 				return nil
 			}
