--- a/internal/ctl/cli/objects.go
+++ b/internal/ctl/cli/objects.go
@@ -160,7 +160,7 @@
 	err = c.app.print(differences, func(w io.Writer) {
 		rows := [][]string{{"FIELD", "STORED (version " + strconv.FormatUint(stored.Version, 10) + ")", "YOURS"}}
 		for _, d := range differences {
-			rows = append(rows, []string{d.Pointer, orDash(d.Stored), orDash(d.Mine)})
+			rows = append(rows, []string{d.Pointer, orDash(d.Stored), orDash(d.Local)})
 		}
 		table(w, rows)
 	})
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -13,14 +13,14 @@
 type Difference struct {
 	// Pointer is the field's RFC 6901 pointer.
 	Pointer string `json:"pointer"`
-	// Stored and Mine are JSON values, "" where the field is missing.
+	// Stored and Local are JSON values, "" where the field is missing.
 	Stored string `json:"stored"`
-	Mine   string `json:"mine"`
+	Local  string `json:"mine"`
 }
 
 // String renders the difference for people.
 func (d Difference) String() string {
-	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, orMissing(d.Stored), orMissing(d.Mine))
+	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, orMissing(d.Stored), orMissing(d.Local))
 }
 
 func orMissing(v string) string {
