--- a/internal/ctl/cli/fleet.go
+++ b/internal/ctl/cli/fleet.go
@@ -128,6 +128,6 @@
 	})
 }
 
-func cells(s ctl.Spread) []string {
+func cells(s ctl.Quantiles) []string {
 	return []string{fmt.Sprintf("%.1f", s.P50), fmt.Sprintf("%.1f", s.P99), fmt.Sprintf("%.1f", s.Max)}
 }
--- a/internal/ctl/drill.go
+++ b/internal/ctl/drill.go
@@ -22,12 +22,12 @@
 	Missing int `json:"missing"`
 	// PerDaemon is from accepted to in force on a daemon; Everywhere from
 	// accepted to in force on the last daemon. Milliseconds.
-	PerDaemon  Spread `json:"perDaemon"`
-	Everywhere Spread `json:"everywhere"`
+	PerDaemon  Quantiles `json:"perDaemon"`
+	Everywhere Quantiles `json:"everywhere"`
 }
 
-// Spread are quantiles, milliseconds.
-type Spread struct {
+// Quantiles are quantiles, milliseconds.
+type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
@@ -126,7 +126,7 @@
 	return d
 }
 
-func spread(h *hdrhistogram.Histogram) Spread {
+func spread(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	return Spread{P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
+	return Quantiles{P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
 }
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -37,7 +37,7 @@
 	Reason   string `json:"reason"`
 	Requests int    `json:"requests"`
 	// Took are quantiles of the time from a request's headers to its end.
-	Took Spread `json:"took"`
+	Took Quantiles `json:"took"`
 	// Routes, Targets and Keys are the most frequent ones. The target is the one that
 	// the refusal was decided on, or the last that the request was sent to.
 	Routes  []Share `json:"routes"`
@@ -154,7 +154,7 @@
 	out := &Losses{From: s.from, Requests: s.requests, Overload: s.targets.overload(), Skipped: skipped}
 	for _, o := range s.outcomes {
 		ms := func(q float64) float64 { return float64(o.took.ValueAtQuantile(q)) / 1000 }
-		o.Took = Spread{P50: ms(50), P99: ms(99), Max: ms(100)}
+		o.Took = Quantiles{P50: ms(50), P99: ms(99), Max: ms(100)}
 		o.Routes, o.Targets, o.Keys = most(o.routes), most(o.targets), most(o.keys)
 		out.Outcomes = append(out.Outcomes, &o.Outcome)
 	}
