--- a/internal/ctl/cli/objects.go
+++ b/internal/ctl/cli/objects.go
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	for _, customer := range ctl.UsedBy(c.Args.Name, l.Objects) {
+	for _, customer := range ctl.ContractsUsing(c.Args.Name, l.Objects) {
 		fmt.Fprintf(c.app.log, "warning: contract %s names service %s\n", customer, c.Args.Name)
 	}
 	return nil
--- a/internal/ctl/cross.go
+++ b/internal/ctl/cross.go
@@ -50,8 +50,8 @@
 	return decoded.(*model.Contract), nil
 }
 
-// UsedBy names the contracts that name the service.
-func UsedBy(service string, stored []platform.Object) []string {
+// ContractsUsing names the contracts that name the service.
+func ContractsUsing(service string, stored []platform.Object) []string {
 	var out []string
 	for _, o := range stored {
 		if o.Kind != model.KindContract {
