--- a/internal/ctl/cli/fleet.go
+++ b/internal/ctl/cli/fleet.go
@@ -89,7 +89,7 @@
 
 // losses sums the requests of collected logs by their outcome.
 func (c *explain) losses() error {
-	sums, err := ctl.SumLosses(c.Logs)
+	sums, err := ctl.SummariseRequests(c.Logs)
 	if err != nil {
 		return err
 	}
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -64,8 +64,8 @@
 	tookDigits = 2
 )
 
-// SumLosses reads collected logs and sums the lines on requests.
-func SumLosses(files []string) (*Losses, error) {
+// SummariseRequests reads collected logs and sums the lines on requests.
+func SummariseRequests(files []string) (*Losses, error) {
 	all, skipped, err := readLogs(files)
 	if err != nil {
 		return nil, err
--- a/internal/ctl/losses_test.go
+++ b/internal/ctl/losses_test.go
@@ -26,7 +26,7 @@
 	files := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
 	require.NoError(t, os.WriteFile(files[0], []byte(logRequests), 0o600))
 	require.NoError(t, os.WriteFile(files[1], []byte(logOtherVM), 0o600))
-	l, err := SumLosses(files)
+	l, err := SummariseRequests(files)
 	require.NoError(t, err)
 	require.Equal(t, 4, l.Requests)
 	require.Equal(t, 1, l.Skipped)
@@ -54,12 +54,12 @@
 func TestLossesOfNoRequests(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a")
 	require.NoError(t, os.WriteFile(file, []byte("nothing\n"), 0o600))
-	l, err := SumLosses([]string{file})
+	l, err := SummariseRequests([]string{file})
 	require.NoError(t, err)
 	require.Zero(t, l.Requests)
 	l.Write(&strings.Builder{})
 	require.ErrorIs(t, l.Plot(file+".svg"), errNoRequests)
-	_, err = SumLosses([]string{file + "-none"})
+	_, err = SummariseRequests([]string{file + "-none"})
 	require.Error(t, err)
 }
 
