--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -58,11 +58,11 @@
 // Unwrap lets errors.Is find platform.ErrConflict.
 func (c *ConflictError) Unwrap() error { return platform.ErrConflict }
 
-var writes atomic.Uint64
+var writeCount atomic.Uint64
 
-// tag names one write, so that a lost answer can be settled.
-func tag() string {
-	return fmt.Sprintf("hqctl-%d-%d-%d", os.Getpid(), time.Now().UnixNano(), writes.Add(1))
+// newWriterTag names one write, so that a lost answer can be settled.
+func newWriterTag() string {
+	return fmt.Sprintf("hqctl-%d-%d-%d", os.Getpid(), time.Now().UnixNano(), writeCount.Add(1))
 }
 
 // Apply writes the object over the version o.Version that the operator read,
@@ -76,17 +76,17 @@
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return out, fmt.Errorf("read before apply: %w", err)
 	}
-	if err == nil && same(current, o) {
+	if err == nil && sameSpec(current, o) {
 		out.Version = current.Version
 		return out, nil
 	}
 	if current.Version != read {
-		return out, conflict(current, o, read)
+		return out, newConflictError(current, o, read)
 	}
-	o.Writer = tag()
+	o.Writer = newWriterTag()
 	written, err := platform.Write(ctx, s, o)
 	if errors.Is(err, platform.ErrConflict) {
-		return lost(ctx, s, o, read)
+		return resolveLostRace(ctx, s, o, read)
 	}
 	if errors.Is(err, platform.ErrAmbiguous) {
 		return out, fmt.Errorf("it is not known whether %s %s was written; `hqctl %s diff` tells: %w", o.Kind, o.Name, o.Kind, err)
@@ -98,28 +98,28 @@
 	return out, nil
 }
 
-// lost reports a lost race. Where the winner wrote the same, both have won.
-func lost(ctx context.Context, s platform.Store, o platform.Object, read uint64) (ApplyResult, error) {
+// resolveLostRace reports a lost race. Where the winner wrote the same, both have won.
+func resolveLostRace(ctx context.Context, s platform.Store, o platform.Object, read uint64) (ApplyResult, error) {
 	out := ApplyResult{Kind: o.Kind, Name: o.Name}
 	current, err := s.Get(ctx, o.ID())
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
 		return out, fmt.Errorf("read after conflict: %w", errors.Join(platform.ErrConflict, err))
 	}
-	if err == nil && same(current, o) {
+	if err == nil && sameSpec(current, o) {
 		out.Version = current.Version
 		return out, nil
 	}
-	return out, conflict(current, o, read)
+	return out, newConflictError(current, o, read)
 }
 
-func conflict(current, mine platform.Object, read uint64) *ConflictError {
+func newConflictError(current, local platform.Object, read uint64) *ConflictError {
 	return &ConflictError{
-		Kind: mine.Kind, Name: mine.Name, Read: read, Stored: current.Version,
-		Differences: Diff(current.Spec, mine.Spec),
+		Kind: local.Kind, Name: local.Name, Read: read, Stored: current.Version,
+		Differences: Diff(current.Spec, local.Spec),
 	}
 }
 
-func same(a, b platform.Object) bool { return len(Diff(a.Spec, b.Spec)) == 0 }
+func sameSpec(a, b platform.Object) bool { return len(Diff(a.Spec, b.Spec)) == 0 }
 
 // Delete removes the object if its stored version is the one that was read.
 // After a lost answer, an object that is gone has been deleted at the version read; one that is still
@@ -138,7 +138,7 @@
 		case getErr != nil:
 			return fmt.Errorf("it is not known whether %s %s was deleted: %w", id.Kind, id.Name, errors.Join(err, getErr))
 		case current.Version != read:
-			return conflict(current, o, read)
+			return newConflictError(current, o, read)
 		}
 	}
 }
--- a/internal/ctl/race_test.go
+++ b/internal/ctl/apply_test.go
@@ -24,26 +24,26 @@
 	requestLost
 )
 
-// gate lets one operator's store calls pass only in its turns.
-type gate struct {
+// steppedStore lets one operator's store calls pass only in its turns.
+type steppedStore struct {
 	platform.Store
 	turns chan chan struct{}
 	fault fault
 	tags  *[]string
 }
 
-func (g *gate) turn() func() {
+func (g *steppedStore) awaitTurn() func() {
 	done := <-g.turns
 	return func() { done <- struct{}{} }
 }
 
-func (g *gate) Get(ctx context.Context, id platform.ID) (platform.Object, error) {
-	defer g.turn()()
+func (g *steppedStore) Get(ctx context.Context, id platform.ID) (platform.Object, error) {
+	defer g.awaitTurn()()
 	return g.Store.Get(ctx, id)
 }
 
-func (g *gate) Put(ctx context.Context, o platform.Object) (platform.Object, error) {
-	defer g.turn()()
+func (g *steppedStore) Put(ctx context.Context, o platform.Object) (platform.Object, error) {
+	defer g.awaitTurn()()
 	f := g.fault
 	g.fault = none
 	if f == requestLost {
@@ -59,7 +59,7 @@
 	return written, err
 }
 
-func limits(rate float64, version uint64) platform.Object {
+func contractObject(rate float64, version uint64) platform.Object {
 	spec, _ := json.Marshal(model.Contract{
 		Customer: "a", TokenSHA256: fmt.Sprintf("%064x", 1),
 		Services: []model.Allowance{{Service: "s", Rate: rate, Burst: 1, Concurrency: 1, Class: model.Interactive, Weight: 1}},
@@ -97,39 +97,39 @@
 // one look refused. Over all orders of their store calls and every loss of a
 // first write, one is accepted, the other sees the difference, and the accepted
 // one was written once.
-func TestRacingOperatorsOneAcceptedOneConflict(t *testing.T) {
+func TestConcurrentAppliesGiveOneSuccessAndOneConflict(t *testing.T) {
 	orders := interleavings(maxCalls)
 	require.Len(t, orders, 924)
 	for _, order := range orders {
 		for faults := range 9 {
-			synctest.Test(t, func(t *testing.T) { race(t, order, fault(faults%3), fault(faults/3)) })
+			synctest.Test(t, func(t *testing.T) { runRace(t, order, fault(faults%3), fault(faults/3)) })
 		}
 	}
 }
 
-func race(t *testing.T, order []int, first, second fault) {
+func runRace(t *testing.T, order []int, first, second fault) {
 	t.Helper()
 	ctx := context.Background()
 	mem := memstore.New()
-	base, err := mem.Put(ctx, limits(10, 0))
+	base, err := mem.Put(ctx, contractObject(10, 0))
 	require.NoError(t, err)
 	var tags []string
-	gates := [2]*gate{
+	stores := [2]*steppedStore{
 		{Store: mem, turns: make(chan chan struct{}), fault: first, tags: &tags},
 		{Store: mem, turns: make(chan chan struct{}), fault: second, tags: &tags},
 	}
 	var errs [2]error
 	ended := [2]chan struct{}{make(chan struct{}), make(chan struct{})}
-	for i := range gates {
+	for i := range stores {
 		go func() {
 			defer close(ended[i])
-			_, errs[i] = Apply(ctx, gates[i], limits(float64(20+i), base.Version))
+			_, errs[i] = Apply(ctx, stores[i], contractObject(float64(20+i), base.Version))
 		}()
 	}
 	for _, i := range order {
 		done := make(chan struct{})
 		select {
-		case gates[i].turns <- done:
+		case stores[i].turns <- done:
 			<-done
 		case <-ended[i]:
 		}
@@ -146,7 +146,7 @@
 	require.Equal(t, []Difference{{"/services/0/rate", fmt.Sprint(20 + winner), fmt.Sprint(21 - winner)}}, conflict.Differences)
 	stored, err := mem.Get(ctx, base.ID())
 	require.NoError(t, err)
-	require.Empty(t, Diff(stored.Spec, limits(float64(20+winner), 0).Spec))
+	require.Empty(t, Diff(stored.Spec, contractObject(float64(20+winner), 0).Spec))
 	require.Len(t, tags, 1)
 }
 
@@ -156,19 +156,19 @@
 func TestApplyWithoutVersionNeverOverwrites(t *testing.T) {
 	ctx := context.Background()
 	mem := memstore.New()
-	_, err := Apply(ctx, mem, limits(10, 0))
+	_, err := Apply(ctx, mem, contractObject(10, 0))
 	require.NoError(t, err)
-	again, err := Apply(ctx, mem, limits(10, 0))
+	again, err := Apply(ctx, mem, contractObject(10, 0))
 	require.NoError(t, err)
 	require.False(t, again.Changed)
-	_, err = Apply(ctx, mem, limits(11, 0))
+	_, err = Apply(ctx, mem, contractObject(11, 0))
 	require.ErrorIs(t, err, platform.ErrConflict)
 }
 
-// losing loses the answer of every deletion after its effect.
-type losing struct{ platform.Store }
+// lostDeleteAnswers loses the answer of every deletion after its effect.
+type lostDeleteAnswers struct{ platform.Store }
 
-func (l losing) Delete(ctx context.Context, o platform.Object) error {
+func (l lostDeleteAnswers) Delete(ctx context.Context, o platform.Object) error {
 	_ = l.Store.Delete(ctx, o)
 	return platform.ErrAmbiguous
 }
@@ -178,16 +178,16 @@
 func TestDeleteSettlesLostAnswer(t *testing.T) {
 	ctx := context.Background()
 	mem := memstore.New()
-	old, err := mem.Put(ctx, limits(10, 0))
+	old, err := mem.Put(ctx, contractObject(10, 0))
 	require.NoError(t, err)
-	require.NoError(t, Delete(ctx, losing{mem}, old.ID(), old.Version))
-	_, err = mem.Put(ctx, limits(10, 0))
+	require.NoError(t, Delete(ctx, lostDeleteAnswers{mem}, old.ID(), old.Version))
+	_, err = mem.Put(ctx, contractObject(10, 0))
 	require.NoError(t, err)
-	require.ErrorIs(t, Delete(ctx, losing{mem}, old.ID(), old.Version), platform.ErrConflict)
+	require.ErrorIs(t, Delete(ctx, lostDeleteAnswers{mem}, old.ID(), old.Version), platform.ErrConflict)
 }
 
 func TestRenderedFileKeepsItsVersion(t *testing.T) {
-	want := limits(10, 7)
+	want := contractObject(10, 7)
 	text, err := Render(want)
 	require.NoError(t, err)
 	got, err := Parse(model.KindContract, "a.jsonc", text)
@@ -199,7 +199,7 @@
 // Two customers get the same token. Whose limits a caller meets would depend on
 // the VM; the second is refused before it is written.
 func TestCrossCheckRefusesSharedToken(t *testing.T) {
-	mine := limits(10, 0)
+	mine := contractObject(10, 0)
 	warnings, err := CrossCheck(mine, nil)
 	require.NoError(t, err)
 	require.Len(t, warnings, 1)
--- a/internal/ctl/cross.go
+++ b/internal/ctl/crosscheck.go
@@ -17,7 +17,7 @@
 	if o.Kind != model.KindContract {
 		return nil, nil
 	}
-	mine, err := contractOf(o)
+	mine, err := decodeContract(o)
 	if err != nil {
 		return nil, err
 	}
@@ -29,7 +29,7 @@
 		if other.Kind != model.KindContract || other.Name == o.Name {
 			continue
 		}
-		if theirs, err := contractOf(other); err == nil && strings.EqualFold(theirs.TokenSHA256, mine.TokenSHA256) {
+		if theirs, err := decodeContract(other); err == nil && strings.EqualFold(theirs.TokenSHA256, mine.TokenSHA256) {
 			return nil, &settings.Error{Source: "contract " + o.Name, Line: 1, Field: "/tokenSHA256",
 				Reason: fmt.Sprintf("customer %s holds this token", other.Name)}
 		}
@@ -42,7 +42,7 @@
 	return warnings, nil
 }
 
-func contractOf(o platform.Object) (*model.Contract, error) {
+func decodeContract(o platform.Object) (*model.Contract, error) {
 	decoded, err := model.Decode(o.Kind, o.Name, o.Spec)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 		if o.Kind != model.KindContract {
 			continue
 		}
-		if c, err := contractOf(o); err == nil {
+		if c, err := decodeContract(o); err == nil {
 			if _, named := c.Allowance(service); named {
 				out = append(out, o.Name)
 			}
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -20,10 +20,10 @@
 
 // String renders the difference for people.
 func (d Difference) String() string {
-	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, orMissing(d.Stored), orMissing(d.Local))
+	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, valueOrMissing(d.Stored), valueOrMissing(d.Local))
 }
 
-func orMissing(v string) string {
+func valueOrMissing(v string) string {
 	if v == "" {
 		return "(missing)"
 	}
@@ -32,8 +32,8 @@
 
 // Diff compares two specs field by field, sorted by pointer. An empty spec has
 // no fields.
-func Diff(stored, mine []byte) []Difference {
-	a, b := flatten(stored), flatten(mine)
+func Diff(stored, local []byte) []Difference {
+	a, b := flatten(stored), flatten(local)
 	var out []Difference
 	for pointer, value := range a {
 		if b[pointer] != value {
@@ -70,19 +70,19 @@
 		out[""] = strconv.Quote(string(spec))
 		return out
 	}
-	leaves(out, "", tree)
+	collectLeaves(out, "", tree)
 	return out
 }
 
-func leaves(out map[string]string, pointer string, v any) {
+func collectLeaves(out map[string]string, pointer string, v any) {
 	switch typed := v.(type) {
 	case map[string]any:
 		for name, child := range typed {
-			leaves(out, pointer+"/"+name, child)
+			collectLeaves(out, pointer+"/"+name, child)
 		}
 	case []any:
 		for i, child := range typed {
-			leaves(out, pointer+"/"+strconv.Itoa(i), child)
+			collectLeaves(out, pointer+"/"+strconv.Itoa(i), child)
 		}
 	default:
 		text, _ := json.Marshal(typed)
--- a/internal/ctl/drill.go
+++ b/internal/ctl/drill.go
@@ -33,11 +33,11 @@
 	Max float64 `json:"max"`
 }
 
-// settleDrill is the wait after the last change before journals are read.
-const settleDrill = 3 * time.Second
+// drillSettleTime is the wait after the last change before journals are read.
+const drillSettleTime = 3 * time.Second
 
-// accepted is one change of a drill.
-type accepted struct {
+// acceptedChange is one change of a drill.
+type acceptedChange struct {
 	version uint64
 	at      time.Time
 }
@@ -52,13 +52,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("drill: %w", err)
 	}
-	var done []accepted
+	var accepted []acceptedChange
 	tick := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer tick.Stop()
 	version := first.Version
 	for n := range changes {
 		<-tick.C
-		o, err := altered(first, version, (n+1)%2)
+		o, err := withBurstChange(first, version, (n+1)%2)
 		if err != nil {
 			return nil, err
 		}
@@ -67,7 +67,7 @@
 			return nil, fmt.Errorf("drill: %w", err)
 		}
 		version = r.Version
-		done = append(done, accepted{version, time.Now()})
+		accepted = append(accepted, acceptedChange{version, time.Now()})
 	}
 	if changes%2 == 1 {
 		first.Version = version
@@ -75,58 +75,60 @@
 			return nil, fmt.Errorf("drill: bring back: %w", err)
 		}
 	}
-	time.Sleep(settleDrill)
+	time.Sleep(drillSettleTime)
 	entries, _, err := f.journals(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return measure(customer, done, entries), nil
+	return measureDrill(customer, accepted, entries), nil
 }
 
-func altered(o platform.Object, version uint64, more int) (platform.Object, error) {
-	c, err := contractOf(o)
+func withBurstChange(o platform.Object, version uint64, delta int) (platform.Object, error) {
+	c, err := decodeContract(o)
 	if err != nil {
 		return o, err
 	}
-	c.Services[0].Burst += more
+	c.Services[0].Burst += delta
 	o.Version = version
 	o.Spec, err = json.Marshal(c)
 	return o, err
 }
 
-// histogram takes 1 µs to a minute at three digits.
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, time.Minute.Microseconds(), 3) }
+// newHistogram takes 1 µs to a minute at three digits.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+}
 
-func measure(customer string, done []accepted, entries []journal.Entry) *Drill {
-	inForce := make(map[string]map[process]time.Time)
-	daemons := make(map[process]bool)
+func measureDrill(customer string, accepted []acceptedChange, entries []journal.Entry) *Drill {
+	inForce := make(map[string]map[daemonID]time.Time)
+	daemons := make(map[daemonID]bool)
 	for _, e := range entries {
 		for _, s := range e.Subjects {
 			if inForce[s] == nil {
-				inForce[s] = make(map[process]time.Time)
+				inForce[s] = make(map[daemonID]time.Time)
 			}
-			inForce[s][process{e.VM, e.Process}] = e.At
+			inForce[s][daemonID{e.VM, e.Process}] = e.At
 		}
 	}
-	one, all := histogram(), histogram()
-	d := &Drill{Changes: len(done)}
-	for _, a := range done {
-		last := time.Duration(0)
+	perDaemon, everywhere := newHistogram(), newHistogram()
+	d := &Drill{Changes: len(accepted)}
+	for _, a := range accepted {
+		slowest := time.Duration(0)
 		for p, at := range inForce[journal.Version(customer, a.version)] {
 			daemons[p] = true
 			took := max(at.Sub(a.at), time.Microsecond)
-			last = max(last, took)
-			_ = one.RecordValue(took.Microseconds())
+			slowest = max(slowest, took)
+			_ = perDaemon.RecordValue(took.Microseconds())
 		}
-		_ = all.RecordValue(max(last.Microseconds(), 1))
+		_ = everywhere.RecordValue(max(slowest.Microseconds(), 1))
 	}
 	d.Daemons = len(daemons)
-	d.Missing = len(done)*len(daemons) - int(one.TotalCount())
-	d.PerDaemon, d.Everywhere = spread(one), spread(all)
+	d.Missing = len(accepted)*len(daemons) - int(perDaemon.TotalCount())
+	d.PerDaemon, d.Everywhere = quantilesOf(perDaemon), quantilesOf(everywhere)
 	return d
 }
 
-func spread(h *hdrhistogram.Histogram) Quantiles {
+func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	return Quantiles{P50: ms(h.ValueAtQuantile(50)), P99: ms(h.ValueAtQuantile(99)), Max: ms(h.Max())}
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -17,8 +17,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// Account is what the VMs did about one subject, in order of cause.
-type Account struct {
+// Explanation is what the VMs did about one subject, in order of cause.
+type Explanation struct {
 	Subject string `json:"subject"`
 	// Related are the subjects that the first one led to.
 	Related []string        `json:"related,omitempty"`
@@ -29,22 +29,22 @@
 
 // Explain merges the journals of all VMs about a key, customer, target, group,
 // service or request id.
-func (f *Fleet) Explain(ctx context.Context, subject string) (*Account, error) {
+func (f *Fleet) Explain(ctx context.Context, subject string) (*Explanation, error) {
 	entries, missing, err := f.journals(ctx)
 	if err != nil {
 		return nil, err
 	}
-	a := &Account{Subject: subject, Missing: missing}
+	a := &Explanation{Subject: subject, Missing: missing}
 	if l, err := f.Store.List(ctx); err == nil {
-		a.Related = groupsOf(subject, l.Objects)
+		a.Related = keyGroups(subject, l.Objects)
 	}
-	a.Entries = Order(Select(entries, append([]string{subject}, a.Related...)))
+	a.Entries = SortByCause(FilterBySubject(entries, append([]string{subject}, a.Related...)))
 	return a, nil
 }
 
-// groupsOf names the groups that a key falls into, one for each keyed service.
+// keyGroups names the groups that a key falls into, one for each keyed service.
 // A subject that names a customer, service or target is no key.
-func groupsOf(subject string, objects []platform.Object) []string {
+func keyGroups(subject string, objects []platform.Object) []string {
 	var out []string
 	for _, o := range objects {
 		decoded, err := model.Decode(o.Kind, o.Name, o.Spec)
@@ -53,7 +53,7 @@
 		}
 		switch typed := decoded.(type) {
 		case *model.Assignment:
-			out = append(out, groupsAt(typed, keyspace.Of(subject))...)
+			out = append(out, groupAtPoint(typed, keyspace.Of(subject))...)
 		case *model.Contract:
 			if typed.Customer == subject {
 				return nil
@@ -67,7 +67,7 @@
 	return out
 }
 
-func groupsAt(a *model.Assignment, p keyspace.Point) []string {
+func groupAtPoint(a *model.Assignment, p keyspace.Point) []string {
 	for _, g := range a.Groups {
 		for _, s := range g.Slices {
 			if s.Contains(p) {
@@ -87,10 +87,10 @@
 	var mu sync.Mutex
 	var entries []journal.Entry
 	var missing []string
-	var asks errgroup.Group
-	asks.SetLimit(askAtOnce)
+	var queries errgroup.Group
+	queries.SetLimit(maxConcurrentQueries)
 	for _, d := range daemons {
-		asks.Go(func() error {
+		queries.Go(func() error {
 			var got []journal.Entry
 			err := f.get(ctx, d.addr, "/journal", &got)
 			mu.Lock()
@@ -102,13 +102,13 @@
 			return nil
 		})
 	}
-	_ = asks.Wait()
+	_ = queries.Wait()
 	slices.Sort(missing)
 	return entries, missing, nil
 }
 
-// Select returns the entries that name one of the subjects.
-func Select(entries []journal.Entry, subjects []string) []journal.Entry {
+// FilterBySubject returns the entries that name one of the subjects.
+func FilterBySubject(entries []journal.Entry, subjects []string) []journal.Entry {
 	var out []journal.Entry
 	for _, e := range entries {
 		if slices.ContainsFunc(e.Subjects, func(s string) bool { return slices.Contains(subjects, s) }) {
@@ -118,29 +118,29 @@
 	return out
 }
 
-// process names one life of a daemon.
-type process struct{ vm, name string }
+// daemonID names one life of a daemon.
+type daemonID struct{ vm, name string }
 
-// Order sorts entries of several daemons by cause as far as it can be known: by
+// SortByCause sorts entries of several daemons by cause as far as it can be known: by
 // wall time, but never against the order within one daemon.
 // An entry counts as not earlier than the one before it in the same daemon, as a clock may have been
 // set back between them.
-func Order(entries []journal.Entry) []journal.Entry {
+func SortByCause(entries []journal.Entry) []journal.Entry {
 	out := slices.Clone(entries)
 	slices.SortStableFunc(out, func(a, b journal.Entry) int { return cmp.Compare(a.Seq, b.Seq) })
-	latest := make(map[process]time.Time)
-	effective := make(map[process]map[uint64]time.Time)
+	latest := make(map[daemonID]time.Time)
+	adjusted := make(map[daemonID]map[uint64]time.Time)
 	for _, e := range out {
-		p := process{e.VM, e.Process}
+		p := daemonID{e.VM, e.Process}
 		if e.At.After(latest[p]) {
 			latest[p] = e.At
 		}
-		if effective[p] == nil {
-			effective[p] = make(map[uint64]time.Time)
+		if adjusted[p] == nil {
+			adjusted[p] = make(map[uint64]time.Time)
 		}
-		effective[p][e.Seq] = latest[p]
+		adjusted[p][e.Seq] = latest[p]
 	}
-	at := func(e journal.Entry) time.Time { return effective[process{e.VM, e.Process}][e.Seq] }
+	at := func(e journal.Entry) time.Time { return adjusted[daemonID{e.VM, e.Process}][e.Seq] }
 	slices.SortStableFunc(out, func(a, b journal.Entry) int {
 		return cmp.Or(at(a).Compare(at(b)), cmp.Compare(a.VM, b.VM), cmp.Compare(a.Process, b.Process), cmp.Compare(a.Seq, b.Seq))
 	})
@@ -148,7 +148,7 @@
 }
 
 // Text renders the account in plain sentences.
-func (a *Account) Text() string {
+func (a *Explanation) Text() string {
 	var out strings.Builder
 	for _, e := range a.Entries {
 		fmt.Fprintf(&out, "%s  %s %s: %s: %s\n", e.At.Format("2006-01-02 15:04:05.000"), e.VM, e.Process, e.Step, e.Text)
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -12,7 +12,7 @@
 // A VM's clock is set back by a minute between a takeover and what followed from
 // it. By time alone the effect stands before its cause, and the account tells
 // the operator a wrong story.
-func TestOrderKeepsEachDaemonsOrder(t *testing.T) {
+func TestSortByCauseKeepsOrderWithinEachDaemon(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
 	entries := []journal.Entry{
 		{VM: "vm1", Seq: 2, At: at(-60), Text: "effect"},
@@ -21,7 +21,7 @@
 		{VM: "vm2", Seq: 8, At: at(-1), Text: "earlier elsewhere"},
 	}
 	var got []string
-	for _, e := range Order(entries) {
+	for _, e := range SortByCause(entries) {
 		got = append(got, e.Text)
 	}
 	require.Equal(t, []string{"earlier elsewhere", "cause", "effect", "later elsewhere"}, got)
@@ -37,6 +37,6 @@
 	}
 	entries := j.Entries()
 	require.Len(t, entries, 5)
-	require.Len(t, Select(entries, []string{"k"}), 1)
+	require.Len(t, FilterBySubject(entries, []string{"k"}), 1)
 	require.Equal(t, uint64(101), entries[4].Seq)
 }
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -22,15 +22,15 @@
 
 // Bounds of questions to VMs.
 const (
-	// askTimeout bounds one question to a daemon's admin server.
-	askTimeout = 2 * time.Second
-	// askAtOnce is how many daemons are asked at a time.
-	askAtOnce = 32
-	// agentsAsked is how many agents are asked for the list of VMs. One knows
+	// queryTimeout bounds one question to a daemon's admin server.
+	queryTimeout = 2 * time.Second
+	// maxConcurrentQueries is how many daemons are asked at a time.
+	maxConcurrentQueries = 32
+	// agentsQueried is how many agents are asked for the list of VMs. One knows
 	// all; more see past a cut between some of them.
-	agentsAsked = 3
-	// maxAnswer bounds a daemon's answer, bytes.
-	maxAnswer = 64 << 20
+	agentsQueried = 3
+	// maxResponseBytes bounds a daemon's answer, bytes.
+	maxResponseBytes = 64 << 20
 )
 
 // errNoAgent says that no agent answered.
@@ -80,7 +80,7 @@
 // daemons returns the admin addresses of all daemons: from the status objects,
 // and for VMs that cannot write theirs from their agents.
 func (f *Fleet) daemons(ctx context.Context) ([]daemonAddr, error) {
-	statuses := f.statuses(ctx)
+	statuses := f.vmStatuses(ctx)
 	var out []daemonAddr
 	known := make(map[string]bool)
 	for _, s := range statuses {
@@ -100,11 +100,11 @@
 			}
 			known[m.VM] = true
 			out = append(out, daemonAddr{m.VM, agentProcess, m.AdminAddr})
-			own, err := f.agentDump(ctx, m.AdminAddr)
+			dump, err := f.agentDump(ctx, m.AdminAddr)
 			if err != nil {
 				continue
 			}
-			for _, r := range own.Daemons {
+			for _, r := range dump.Daemons {
 				out = append(out, daemonAddr{m.VM, r.Process, r.Admin})
 			}
 		}
@@ -118,7 +118,7 @@
 // VMs returns all VMs that the platform lists or an agent has heartbeats of, by name.
 func (f *Fleet) VMs(ctx context.Context) ([]VM, error) {
 	found := make(map[string]*VM)
-	statuses := f.statuses(ctx)
+	statuses := f.vmStatuses(ctx)
 	if vms, err := f.Store.VMs(ctx); err == nil {
 		for _, vm := range vms {
 			found[vm.Name] = &VM{Name: vm.Name, DataCentre: vm.DataCentre, State: Silent}
@@ -130,7 +130,7 @@
 	}
 	for _, d := range dumps {
 		for _, m := range d.Members {
-			merge(found, m)
+			mergeMember(found, m)
 		}
 	}
 	for _, s := range statuses {
@@ -146,15 +146,15 @@
 	return out, nil
 }
 
-// merge keeps what is newest of several agents' views.
-func merge(found map[string]*VM, m wire.Member) {
+// mergeMember keeps what is newest of several agents' views.
+func mergeMember(found map[string]*VM, m wire.Member) {
 	vm := found[m.VM]
 	if vm == nil {
 		vm = &VM{Name: m.VM}
 		found[m.VM] = vm
 	}
 	if vm.Incarnation != "" && vm.Incarnation != m.Incarnation {
-		if earlier(m.Incarnation, vm.Incarnation) {
+		if startedEarlier(m.Incarnation, vm.Incarnation) {
 			return
 		}
 		*vm = VM{Name: m.VM}
@@ -167,11 +167,11 @@
 	vm.Watching = vm.Watching || m.Watching
 }
 
-// earlier compares the start times in two incarnations of one VM.
-func earlier(a, b string) bool { return len(a) < len(b) || (len(a) == len(b) && a < b) }
+// startedEarlier compares the start times in two incarnations of one VM.
+func startedEarlier(a, b string) bool { return len(a) < len(b) || (len(a) == len(b) && a < b) }
 
-// statuses returns the VMs' status objects; none where the store is down.
-func (f *Fleet) statuses(ctx context.Context) []model.VMStatus {
+// vmStatuses returns the VMs' status objects; none where the store is down.
+func (f *Fleet) vmStatuses(ctx context.Context) []model.VMStatus {
 	l, err := f.Store.List(ctx)
 	if err != nil {
 		return nil
@@ -192,14 +192,14 @@
 func (f *Fleet) queryAgents(ctx context.Context, statuses []model.VMStatus) ([]agentDump, error) {
 	addrs := slices.Clone(f.Agents)
 	for _, s := range statuses {
-		addrs = append(addrs, adminOf(s, agentProcess))
+		addrs = append(addrs, adminAddr(s, agentProcess))
 	}
 	named := len(f.Agents)
 	rand.Shuffle(len(addrs)-named, func(i, j int) { addrs[named+i], addrs[named+j] = addrs[named+j], addrs[named+i] })
 	var out []agentDump
-	for chunk := range slices.Chunk(addrs, agentsAsked) {
-		out = append(out, f.dumps(ctx, chunk)...)
-		if len(out) >= agentsAsked {
+	for chunk := range slices.Chunk(addrs, agentsQueried) {
+		out = append(out, f.agentDumps(ctx, chunk)...)
+		if len(out) >= agentsQueried {
 			break
 		}
 	}
@@ -209,12 +209,12 @@
 	return out, nil
 }
 
-func (f *Fleet) dumps(ctx context.Context, addrs []string) []agentDump {
+func (f *Fleet) agentDumps(ctx context.Context, addrs []string) []agentDump {
 	var mu sync.Mutex
 	var out []agentDump
-	var asks errgroup.Group
+	var queries errgroup.Group
 	for _, addr := range addrs {
-		asks.Go(func() error {
+		queries.Go(func() error {
 			d, err := f.agentDump(ctx, addr)
 			if err == nil {
 				mu.Lock()
@@ -224,21 +224,21 @@
 			return nil
 		})
 	}
-	_ = asks.Wait()
+	_ = queries.Wait()
 	return out
 }
 
 func (f *Fleet) agentDump(ctx context.Context, addr string) (agentDump, error) {
-	var whole struct {
+	var dump struct {
 		Sections []struct {
 			Name  string          `json:"name"`
 			Value json.RawMessage `json:"value"`
 		} `json:"sections"`
 	}
-	if err := f.get(ctx, addr, "/dump", &whole); err != nil {
+	if err := f.get(ctx, addr, "/dump", &dump); err != nil {
 		return agentDump{}, err
 	}
-	for _, s := range whole.Sections {
+	for _, s := range dump.Sections {
 		if s.Name != "agent" {
 			continue
 		}
@@ -253,7 +253,7 @@
 
 // get reads one page of a daemon's admin server.
 func (f *Fleet) get(ctx context.Context, addr, path string, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -267,13 +267,13 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("get %s%s: status %d", addr, path, resp.StatusCode)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
 		return fmt.Errorf("answer of %s%s: %w", addr, path, err)
 	}
 	return nil
 }
 
-func adminOf(s model.VMStatus, process string) string {
+func adminAddr(s model.VMStatus, process string) string {
 	for _, a := range s.AdminAddrs {
 		if a.Process == process {
 			return a.Addr
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -24,22 +24,22 @@
 	Fields map[string]any `json:"fields"`
 }
 
-// LogAccount is what collected logs say about one subject.
-type LogAccount struct {
+// LogExplanation is what collected logs say about one subject.
+type LogExplanation struct {
 	Subject string `json:"subject"`
 	// Related are the targets, services and keys that the subject's own lines
 	// name.
 	Related []string `json:"related,omitempty"`
 	Lines   []Line   `json:"lines"`
-	// Silences are the times in which a VM wrote nothing while others did.
-	Silences []Silence `json:"silences,omitempty"`
+	// Gaps are the times in which a VM wrote nothing while others did.
+	Gaps []LogGap `json:"silences,omitempty"`
 	// Skipped counts lines that are no log lines of a daemon.
 	Skipped int `json:"skipped"`
 }
 
-// Silence is a time in which a VM wrote nothing: it was suspended, had ended, or had
+// LogGap is a time in which a VM wrote nothing: it was suspended, had ended, or had
 // nothing to say. A request that it had read then has no line.
-type Silence struct {
+type LogGap struct {
 	VM   string    `json:"vm"`
 	From time.Time `json:"from"`
 	// To is the VM's next line, or the last line of all VMs where it has none.
@@ -49,18 +49,18 @@
 }
 
 const (
-	// silenceLeast is the shortest silence that is reported. Under load a VM writes
+	// minLogGap is the shortest silence that is reported. Under load a VM writes
 	// tens of lines a second.
-	silenceLeast = time.Second
-	// aroundBefore and aroundAfter bound the time around the subject's lines in
+	minLogGap = time.Second
+	// contextBefore and contextAfter bound the time around the subject's lines in
 	// which changes of what its VMs believed are shown: a lease, an outage's grace
 	// and a takeover are over in less.
-	aroundBefore = 6 * time.Second
-	aroundAfter  = time.Second
+	contextBefore = 6 * time.Second
+	contextAfter  = time.Second
 	// requestStep is the step of lines on single requests.
 	requestStep = "request"
-	// maxLine bounds a line, bytes.
-	maxLine = 1 << 20
+	// maxLineBytes bounds a line, bytes.
+	maxLineBytes = 1 << 20
 )
 
 // relatedFields are the fields that lead from a request to what decided it.
@@ -69,14 +69,14 @@
 // ExplainLogs reads collected logs and returns, in order of time, the lines that
 // name the subject, and around them the changes of what the VMs believed about the
 // targets and services that those lines name.
-func ExplainLogs(subject string, files []string) (*LogAccount, error) {
+func ExplainLogs(subject string, files []string) (*LogExplanation, error) {
 	all, skipped, err := readLogs(files)
 	if err != nil {
 		return nil, err
 	}
-	a := &LogAccount{Subject: subject, Skipped: skipped}
-	a.choose(all)
-	a.Silences = silences(all)
+	a := &LogExplanation{Subject: subject, Skipped: skipped}
+	a.selectLines(all)
+	a.Gaps = findLogGaps(all)
 	return a, nil
 }
 
@@ -101,26 +101,26 @@
 	return all, skipped, nil
 }
 
-// silences returns those of all VMs, in order of their beginning.
-func silences(all []Line) []Silence {
+// findLogGaps returns those of all VMs, in order of their beginning.
+func findLogGaps(all []Line) []LogGap {
 	if len(all) == 0 {
 		return nil
 	}
-	var out []Silence
+	var out []LogGap
 	latest := make(map[string]time.Time)
 	for _, l := range all {
-		if from, ok := latest[l.VM]; ok && l.Time.Sub(from) >= silenceLeast {
-			out = append(out, Silence{VM: l.VM, From: from, To: l.Time})
+		if from, ok := latest[l.VM]; ok && l.Time.Sub(from) >= minLogGap {
+			out = append(out, LogGap{VM: l.VM, From: from, To: l.Time})
 		}
 		latest[l.VM] = l.Time
 	}
 	end := all[len(all)-1].Time
 	for vm, from := range latest {
-		if end.Sub(from) >= silenceLeast {
-			out = append(out, Silence{VM: vm, From: from, To: end, Ended: true})
+		if end.Sub(from) >= minLogGap {
+			out = append(out, LogGap{VM: vm, From: from, To: end, Ended: true})
 		}
 	}
-	slices.SortFunc(out, func(x, y Silence) int { return cmp.Or(x.From.Compare(y.From), cmp.Compare(x.VM, y.VM)) })
+	slices.SortFunc(out, func(x, y LogGap) int { return cmp.Or(x.From.Compare(y.From), cmp.Compare(x.VM, y.VM)) })
 	return out
 }
 
@@ -128,7 +128,7 @@
 // names and times in front.
 func readLines(r io.Reader) (lines []Line, skipped int, err error) {
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxLine)
+	in.Buffer(nil, maxLineBytes)
 	for in.Scan() {
 		at := bytes.IndexByte(in.Bytes(), '{')
 		if at < 0 {
@@ -159,7 +159,7 @@
 	return l, true
 }
 
-func (l Line) names(subject string) bool {
+func (l Line) mentions(subject string) bool {
 	for _, v := range l.Fields {
 		if text := fmt.Sprint(v); text == subject || strings.Contains(text, subject) {
 			return true
@@ -168,22 +168,22 @@
 	return false
 }
 
-func (a *LogAccount) choose(all []Line) {
+func (a *LogExplanation) selectLines(all []Line) {
 	var first, last time.Time
 	related := make(map[string]bool)
 	for _, l := range all {
-		if !l.names(a.Subject) {
+		if !l.mentions(a.Subject) {
 			continue
 		}
 		if first.IsZero() {
 			first = l.Time
 		}
 		last = l.Time
-		noteRelated(l, related)
+		collectRelated(l, related)
 	}
 	for _, l := range all {
-		around := !first.IsZero() && l.Time.After(first.Add(-aroundBefore)) && l.Time.Before(last.Add(aroundAfter))
-		if l.names(a.Subject) || around && l.Step != requestStep && namesAny(l, related) {
+		inContext := !first.IsZero() && l.Time.After(first.Add(-contextBefore)) && l.Time.Before(last.Add(contextAfter))
+		if l.mentions(a.Subject) || inContext && l.Step != requestStep && mentionsAny(l, related) {
 			a.Lines = append(a.Lines, l)
 		}
 	}
@@ -193,9 +193,9 @@
 	slices.Sort(a.Related)
 }
 
-// noteRelated collects what a line of the subject leads to: its service and the
+// collectRelated collects what a line of the subject leads to: its service and the
 // targets that it was sent to or refused for.
-func noteRelated(l Line, related map[string]bool) {
+func collectRelated(l Line, related map[string]bool) {
 	for _, field := range relatedFields {
 		if v, ok := l.Fields[field].(string); ok {
 			related[v] = true
@@ -211,9 +211,9 @@
 	}
 }
 
-func namesAny(l Line, subjects map[string]bool) bool {
+func mentionsAny(l Line, subjects map[string]bool) bool {
 	for s := range subjects {
-		if l.names(s) {
+		if l.mentions(s) {
 			return true
 		}
 	}
@@ -221,7 +221,7 @@
 }
 
 // Text renders the account for people.
-func (a *LogAccount) Text() string {
+func (a *LogExplanation) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d lines, related: %s\n", a.Subject, len(a.Lines), strings.Join(a.Related, " "))
 	for _, l := range a.Lines {
@@ -237,15 +237,15 @@
 		b.WriteString("\n")
 	}
 	if len(a.Lines) == 0 {
-		a.textOfSilences(&b)
+		a.writeGaps(&b)
 	}
 	return b.String()
 }
 
-// textOfSilences says where a request without a line may have been.
-func (a *LogAccount) textOfSilences(b *strings.Builder) {
+// writeGaps says where a request without a line may have been.
+func (a *LogExplanation) writeGaps(b *strings.Builder) {
 	b.WriteString("no process wrote of it: it was not read, its line was left out (log.requests.omitted), or its VM ended or was suspended:\n")
-	for _, s := range a.Silences {
+	for _, s := range a.Gaps {
 		until := "until " + s.To.Format("15:04:05.000")
 		if s.Ended {
 			until = "to the end of the logs"
--- a/internal/ctl/logs_test.go
+++ b/internal/ctl/logs_test.go
@@ -20,7 +20,7 @@
 
 // A user names a failed request. From the logs of all VMs the account shows its
 // line and, before it, what another VM noticed of the target, and nothing else.
-func TestExplainLogsLeadsFromIDToCause(t *testing.T) {
+func TestExplainLogsShowsRequestAndItsCause(t *testing.T) {
 	dir := t.TempDir()
 	files := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
 	require.NoError(t, os.WriteFile(files[0], []byte(logA), 0o600))
@@ -37,7 +37,7 @@
 	require.Error(t, err)
 }
 
-const logSilent = `{"time":"2026-01-01T10:00:01.000Z","process":"hq-gateway","vm":"vm-a","step":"x","message":"m"}
+const logWithGaps = `{"time":"2026-01-01T10:00:01.000Z","process":"hq-gateway","vm":"vm-a","step":"x","message":"m"}
 {"time":"2026-01-01T10:00:01.100Z","process":"hq-gateway","vm":"vm-b","step":"x","message":"m"}
 {"time":"2026-01-01T10:00:01.900Z","process":"hq-gateway","vm":"vm-a","step":"x","target":"t-1","message":"m"}
 {"time":"2026-01-01T10:00:03.000Z","process":"hq-gateway","vm":"vm-a","step":"x","message":"m"}
@@ -46,16 +46,16 @@
 
 // A VM was lost with the requests that it had read. Their callers name ids that no log
 // holds; the account must lead to the VM.
-func TestRequestWithoutALineLeadsToSilentVMs(t *testing.T) {
+func TestExplainLogsListsGapsForUnloggedRequest(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "all")
-	require.NoError(t, os.WriteFile(file, []byte(logSilent), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte(logWithGaps), 0o600))
 	a, err := ExplainLogs("r-9", []string{file})
 	require.NoError(t, err)
-	require.Len(t, a.Silences, 2)
-	require.Equal(t, "vm-b", a.Silences[0].VM)
-	require.True(t, a.Silences[0].Ended)
-	require.Equal(t, "vm-a", a.Silences[1].VM)
-	require.False(t, a.Silences[1].Ended)
+	require.Len(t, a.Gaps, 2)
+	require.Equal(t, "vm-b", a.Gaps[0].VM)
+	require.True(t, a.Gaps[0].Ended)
+	require.Equal(t, "vm-a", a.Gaps[1].VM)
+	require.False(t, a.Gaps[1].Ended)
 	require.Contains(t, a.Text(), "10:00:01.100 vm-b wrote nothing to the end of the logs\n10:00:01.900 vm-a wrote nothing until 10:00:03.000\n")
 	named, err := ExplainLogs("t-1", []string{file})
 	require.NoError(t, err)
--- a/internal/ctl/overload.go
+++ b/internal/ctl/overload.go
@@ -43,62 +43,62 @@
 	overloadStep = 200 * time.Millisecond
 	// samplesPerStep is how often free slots are sampled in a step.
 	samplesPerStep = 5
-	// serviceLeast is how many answers the service time of one target needs; with fewer
+	// minServiceSamples is how many answers the service time of one target needs; with fewer
 	// that of all targets is used.
-	serviceLeast = 5
+	minServiceSamples = 5
 )
 
 var (
-	attemptText = regexp.MustCompile(`^(\S+) load (\d+) expected \d+ms took (\d+)ms (.*)$`)
-	refusalText = regexp.MustCompile(`^(\S+) (?:own \d+ others \d+ likely \S+ slots (\d+)|part )`)
+	attemptPattern = regexp.MustCompile(`^(\S+) load (\d+) expected \d+ms took (\d+)ms (.*)$`)
+	refusalPattern = regexp.MustCompile(`^(\S+) (?:own \d+ others \d+ likely \S+ slots (\d+)|part )`)
 )
 
 // targetTraffic is what the lines on requests say of one target.
 type targetTraffic struct {
 	slots                   int
 	started, ended, refused []time.Time
-	answers                 []answer
+	answers                 []answerSample
 }
 
-// answer is how long a request took, and the load that its VM believed when it sent it.
-type answer struct {
+// answerSample is how long a request took, and the load that its VM believed when it sent it.
+type answerSample struct {
 	load int
 	took time.Duration
 }
 
-// overloadSum sums the lines on requests by target.
-type overloadSum map[string]*targetTraffic
+// trafficByTarget sums the lines on requests by target.
+type trafficByTarget map[string]*targetTraffic
 
-func (s overloadSum) of(target string) *targetTraffic {
-	t := s[target]
+func (s trafficByTarget) target(name string) *targetTraffic {
+	t := s[name]
 	if t == nil {
 		t = &targetTraffic{}
-		s[target] = t
+		s[name] = t
 	}
 	return t
 }
 
 // add notes the attempts of a request, of which the last ended with it, and its refusal.
-func (s overloadSum) add(l Line) {
+func (s trafficByTarget) add(l Line) {
 	attempts, _ := l.Fields["attempts"].([]any)
 	end := l.Time
 	for _, a := range slices.Backward(attempts) {
-		m := attemptText.FindStringSubmatch(text(a))
+		m := attemptPattern.FindStringSubmatch(asString(a))
 		if m == nil {
 			continue
 		}
 		load, _ := strconv.Atoi(m[2])
 		ms, _ := strconv.Atoi(m[3])
 		took := time.Duration(ms) * time.Millisecond
-		t := s.of(m[1])
+		t := s.target(m[1])
 		t.started, t.ended = append(t.started, end.Add(-took)), append(t.ended, end)
 		if m[4] == "200" {
-			t.answers = append(t.answers, answer{load, took})
+			t.answers = append(t.answers, answerSample{load, took})
 		}
 		end = end.Add(-took)
 	}
-	if m := refusalText.FindStringSubmatch(text(l.Fields["refusedOn"])); m != nil {
-		t := s.of(m[1])
+	if m := refusalPattern.FindStringSubmatch(asString(l.Fields["refusedOn"])); m != nil {
+		t := s.target(m[1])
 		t.refused = append(t.refused, l.Time)
 		if slots, err := strconv.Atoi(m[2]); err == nil {
 			t.slots = slots
@@ -106,39 +106,39 @@
 	}
 }
 
-func (s overloadSum) overload() *Overload {
-	usual := s.usual()
+func (s trafficByTarget) summary() *Overload {
+	meanService := s.meanServiceTime()
 	out := &Overload{}
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		t := s[name]
 		switch {
 		case len(t.refused) == 0:
-		case t.slots == 0 || usual == 0:
+		case t.slots == 0 || meanService == 0:
 			out.Unknown += len(t.refused)
 		default:
-			out.Targets = append(out.Targets, t.overload(name, usual))
+			out.Targets = append(out.Targets, t.summary(name, meanService))
 		}
 	}
 	slices.SortStableFunc(out.Targets, func(a, b *TargetOverload) int { return cmp.Compare(b.Refused, a.Refused) })
 	return out
 }
 
-// usual returns the mean service time of all targets, 0 where no answer shows one.
-func (s overloadSum) usual() time.Duration {
+// meanServiceTime returns the mean service time of all targets, 0 where no answer shows one.
+func (s trafficByTarget) meanServiceTime() time.Duration {
 	all := &targetTraffic{}
 	for _, t := range s {
-		all.answers = append(all.answers, t.unqueued()...)
+		all.answers = append(all.answers, t.unqueuedAnswers()...)
 	}
-	return meanTook(all.answers)
+	return meanDuration(all.answers)
 }
 
-// unqueued returns the answers to requests that found a slot free, as their VM believed.
-func (t *targetTraffic) unqueued() []answer {
+// unqueuedAnswers returns the answers to requests that found a slot free, as their VM believed.
+func (t *targetTraffic) unqueuedAnswers() []answerSample {
 	slots := max(t.slots, 1)
-	return slices.DeleteFunc(slices.Clone(t.answers), func(a answer) bool { return a.load >= slots })
+	return slices.DeleteFunc(slices.Clone(t.answers), func(a answerSample) bool { return a.load >= slots })
 }
 
-func meanTook(answers []answer) time.Duration {
+func meanDuration(answers []answerSample) time.Duration {
 	var sum time.Duration
 	for _, a := range answers {
 		sum += a.took
@@ -146,13 +146,13 @@
 	return sum / time.Duration(max(len(answers), 1))
 }
 
-func (t *targetTraffic) overload(name string, usual time.Duration) *TargetOverload {
+func (t *targetTraffic) summary(name string, meanService time.Duration) *TargetOverload {
 	for _, times := range [][]time.Time{t.started, t.ended, t.refused} {
 		slices.SortFunc(times, time.Time.Compare)
 	}
-	service := usual
-	if answers := t.unqueued(); len(answers) >= serviceLeast {
-		service = meanTook(answers)
+	service := meanService
+	if answers := t.unqueuedAnswers(); len(answers) >= minServiceSamples {
+		service = meanDuration(answers)
 	}
 	out := &TargetOverload{Target: name, Slots: t.slots, ServiceMs: float64(service) / float64(time.Millisecond), Refused: len(t.refused)}
 	capacity := float64(t.slots) * float64(overloadStep) / float64(service)
@@ -160,10 +160,10 @@
 	for i := 0; i < len(t.refused); {
 		from := t.refused[i].Truncate(overloadStep)
 		to := from.Add(overloadStep)
-		refused := before(t.refused, to) - i
+		refused := countBefore(t.refused, to) - i
 		steps++
-		arrived += refused + before(t.started, to) - before(t.started, from)
-		out.Servable += min(float64(refused), t.free(from)/float64(t.slots)*capacity)
+		arrived += refused + countBefore(t.started, to) - countBefore(t.started, from)
+		out.Servable += min(float64(refused), t.meanFreeSlots(from)/float64(t.slots)*capacity)
 		i += refused
 	}
 	out.Demand = float64(arrived) / (float64(steps) * capacity)
@@ -177,11 +177,11 @@
 
 // inFlight returns how many requests of all VMs the target had.
 func (t *targetTraffic) inFlight(at time.Time) int {
-	return before(t.started, at) - before(t.ended, at)
+	return countBefore(t.started, at) - countBefore(t.ended, at)
 }
 
-// free returns the mean number of free slots in the step that begins at a time.
-func (t *targetTraffic) free(from time.Time) float64 {
+// meanFreeSlots returns the mean number of free slots in the step that begins at a time.
+func (t *targetTraffic) meanFreeSlots(from time.Time) float64 {
 	sum := 0
 	for i := range samplesPerStep {
 		at := from.Add(time.Duration(2*i+1) * overloadStep / (2 * samplesPerStep))
@@ -190,14 +190,14 @@
 	return float64(sum) / samplesPerStep
 }
 
-// before returns how many of the sorted times are before another.
-func before(sorted []time.Time, at time.Time) int {
+// countBefore returns how many of the sorted times are before another.
+func countBefore(sorted []time.Time, at time.Time) int {
 	n, _ := slices.BinarySearchFunc(sorted, at, time.Time.Compare)
 	return n
 }
 
-// targetsShown bounds the targets that are listed for people.
-const targetsShown = 10
+// maxTargetsShown bounds the targets that are listed for people.
+const maxTargetsShown = 10
 
 // Write renders the targets with the most refusals for people, and sums of all.
 func (o *Overload) Write(w io.Writer) {
@@ -209,7 +209,7 @@
 	fmt.Fprintln(t, "\nTARGET\tSLOTS\tSERVICE MS\tDEMAND/CAPACITY\tREFUSED\tWITH A FREE SLOT\tSERVABLE\t")
 	for i, r := range o.Targets {
 		sum.Refused, sum.RefusedIdle, sum.Servable = sum.Refused+r.Refused, sum.RefusedIdle+r.RefusedIdle, sum.Servable+r.Servable
-		if i < targetsShown {
+		if i < maxTargetsShown {
 			fmt.Fprintf(t, "%s\t%d\t%.0f\t%.1f\t%d\t%d\t%.0f\t\n", r.Target, r.Slots, r.ServiceMs, r.Demand, r.Refused, r.RefusedIdle, r.Servable)
 		}
 	}
--- a/internal/ctl/overload_test.go
+++ b/internal/ctl/overload_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answered is the line on a request that a target answered.
-func answered(at time.Duration, target string, load int, took time.Duration) string {
+// answeredLine is the line on a request that a target answered.
+func answeredLine(at time.Duration, target string, load int, took time.Duration) string {
 	return requestLine(at, fmt.Sprintf(`"status":200,"reason":"answered","attempts":["%s load %d expected 0ms took %dms 200"]`, target, load, took.Milliseconds()))
 }
 
-// refusedFull is the line on a request that was refused since a target had too much.
-func refusedFull(at time.Duration, target string, slots int) string {
+// refusedLine is the line on a request that was refused since a target had too much.
+func refusedLine(at time.Duration, target string, slots int) string {
 	return requestLine(at, fmt.Sprintf(`"status":503,"reason":"all full","attempts":[],"refusedOn":"%s own 0 others 9 likely 0.0 slots %d slowness 1.00"`, target, slots))
 }
 
@@ -29,22 +29,22 @@
 	read, skipped, err := readLines(strings.NewReader(strings.Join(lines, "\n")))
 	require.NoError(t, err)
 	require.Zero(t, skipped)
-	s := make(overloadSum)
+	s := make(trafficByTarget)
 	for _, l := range read {
 		s.add(l)
 	}
-	return s.overload()
+	return s.summary()
 }
 
 // Guards against refusals at a busy target that are taken for ones that it could have served.
-func TestOverloadCountsWhatATargetHadOfAllVMs(t *testing.T) {
+func TestOverloadCountsInFlightRequestsOfAllVMs(t *testing.T) {
 	const ms = time.Millisecond
 	o := overloadOf(t,
-		answered(1200*ms, "t-1", 0, 400*ms), // in flight from 800 to 1200
-		refusedFull(1000*ms, "t-1", 1),
-		refusedFull(1010*ms, "t-1", 1),
-		refusedFull(1600*ms, "t-1", 1),
-		answered(2000*ms, "t-2", 0, 100*ms),
+		answeredLine(1200*ms, "t-1", 0, 400*ms), // in flight from 800 to 1200
+		refusedLine(1000*ms, "t-1", 1),
+		refusedLine(1010*ms, "t-1", 1),
+		refusedLine(1600*ms, "t-1", 1),
+		answeredLine(2000*ms, "t-2", 0, 100*ms),
 	)
 	require.Len(t, o.Targets, 1, "the other refused nothing")
 	got := o.Targets[0]
@@ -55,13 +55,13 @@
 	require.InDelta(t, 3/(2*0.8), got.Demand, 1e-9)
 }
 
-func TestOverloadFollowsTheAttemptsOfOneRequest(t *testing.T) {
+func TestOverloadTracksEachAttemptOfARequest(t *testing.T) {
 	const ms = time.Millisecond
 	o := overloadOf(t,
 		requestLine(1000*ms, `"status":200,"reason":"answered","attempts":["t-1 load 0 expected 0ms took 300ms 500","t-2 load 0 expected 0ms took 200ms 200"]`),
-		refusedFull(600*ms, "t-1", 1), // t-1 had it from 500 to 800, t-2 until 1000
-		refusedFull(900*ms, "t-1", 1),
-		refusedFull(900*ms, "t-2", 1),
+		refusedLine(600*ms, "t-1", 1), // t-1 had it from 500 to 800, t-2 until 1000
+		refusedLine(900*ms, "t-1", 1),
+		refusedLine(900*ms, "t-2", 1),
 	)
 	require.Len(t, o.Targets, 2)
 	require.Equal(t, 1, o.Targets[0].RefusedIdle)
@@ -71,10 +71,10 @@
 func TestOverloadOfTargetsWithUnknownSlots(t *testing.T) {
 	const ms = time.Millisecond
 	hotter := requestLine(time.Second, `"status":503,"reason":"key is hotter than its owner","attempts":[],"refusedOn":"t-1 part 0.5 epoch 1 seq 1"`)
-	o := overloadOf(t, hotter, answered(900*ms, "t-1", 0, 100*ms))
+	o := overloadOf(t, hotter, answeredLine(900*ms, "t-1", 0, 100*ms))
 	require.Empty(t, o.Targets)
 	require.Equal(t, 1, o.Unknown)
-	o = overloadOf(t, hotter, refusedFull(1100*ms, "t-1", 2), answered(900*ms, "t-1", 0, 100*ms))
+	o = overloadOf(t, hotter, refusedLine(1100*ms, "t-1", 2), answeredLine(900*ms, "t-1", 0, 100*ms))
 	require.Len(t, o.Targets, 1)
 	require.Equal(t, 2, o.Targets[0].Refused)
 
--- a/internal/ctl/losses.go
+++ b/internal/ctl/summary.go
@@ -17,9 +17,9 @@
 	"hemlockquay/internal/chart"
 )
 
-// Losses is what collected logs say of how requests ended: where they were lost, when,
+// RequestSummary is what collected logs say of how requests ended: where they were lost, when,
 // and for which of the daemons' own reasons.
-type Losses struct {
+type RequestSummary struct {
 	// From is the second of the first request; seconds below count from it.
 	From     time.Time `json:"from"`
 	Requests int       `json:"requests"`
@@ -40,44 +40,44 @@
 	Took Quantiles `json:"took"`
 	// Routes, Targets and Keys are the most frequent ones. The target is the one that
 	// the refusal was decided on, or the last that the request was sent to.
-	Routes  []Share `json:"routes"`
-	Targets []Share `json:"targets,omitempty"`
-	Keys    []Share `json:"keys,omitempty"`
+	Routes  []NameCount `json:"routes"`
+	Targets []NameCount `json:"targets,omitempty"`
+	Keys    []NameCount `json:"keys,omitempty"`
 	// Seconds counts the requests by second.
 	Seconds []int `json:"seconds"`
 }
 
-// Share is a part of an outcome's requests.
-type Share struct {
+// NameCount is a part of an outcome's requests.
+type NameCount struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
 }
 
 const (
-	// sharesShown bounds the routes, targets and keys of an outcome.
-	sharesShown = 3
-	// outcomesDrawn bounds the curves of a plot.
-	outcomesDrawn = 7
-	// tookMost bounds the times that are distinguished, microseconds, at tookDigits
+	// maxNamesShown bounds the routes, targets and keys of an outcome.
+	maxNamesShown = 3
+	// maxOutcomesShown bounds the curves of a plot.
+	maxOutcomesShown = 7
+	// maxTookMicros bounds the times that are distinguished, microseconds, at tookSignificantDigits
 	// significant digits.
-	tookMost   = int64(time.Minute / time.Microsecond)
-	tookDigits = 2
+	maxTookMicros         = int64(time.Minute / time.Microsecond)
+	tookSignificantDigits = 2
 )
 
 // SummariseRequests reads collected logs and sums the lines on requests.
-func SummariseRequests(files []string) (*Losses, error) {
+func SummariseRequests(files []string) (*RequestSummary, error) {
 	all, skipped, err := readLogs(files)
 	if err != nil {
 		return nil, err
 	}
-	s := summing{outcomes: make(map[outcomeKey]*outcomeSum), targets: make(overloadSum)}
+	s := summaryBuilder{outcomes: make(map[outcomeKey]*outcomeBuilder), targets: make(trafficByTarget)}
 	for _, l := range all {
 		if l.Step == requestStep {
 			s.add(l)
 			s.targets.add(l)
 		}
 	}
-	return s.losses(skipped), nil
+	return s.summary(skipped), nil
 }
 
 type outcomeKey struct {
@@ -85,31 +85,31 @@
 	reason string
 }
 
-// summing sums lines that come in order of time.
-type summing struct {
+// summaryBuilder sums lines that come in order of time.
+type summaryBuilder struct {
 	from     time.Time
 	requests int
-	outcomes map[outcomeKey]*outcomeSum
-	targets  overloadSum
+	outcomes map[outcomeKey]*outcomeBuilder
+	targets  trafficByTarget
 }
 
-type outcomeSum struct {
+type outcomeBuilder struct {
 	Outcome
 	took                  *hdrhistogram.Histogram
 	routes, targets, keys map[string]int
 }
 
-func (s *summing) add(l Line) {
+func (s *summaryBuilder) add(l Line) {
 	if s.requests == 0 {
 		s.from = l.Time.Truncate(time.Second)
 	}
 	s.requests++
 	status, _ := l.Fields["status"].(float64)
-	key := outcomeKey{status: int(status), reason: text(l.Fields["reason"])}
+	key := outcomeKey{status: int(status), reason: asString(l.Fields["reason"])}
 	o := s.outcomes[key]
 	if o == nil {
-		o = &outcomeSum{
-			Outcome: Outcome{Status: key.status, Reason: key.reason}, took: hdrhistogram.New(1, tookMost, tookDigits),
+		o = &outcomeBuilder{
+			Outcome: Outcome{Status: key.status, Reason: key.reason}, took: hdrhistogram.New(1, maxTookMicros, tookSignificantDigits),
 			routes: make(map[string]int), targets: make(map[string]int), keys: make(map[string]int),
 		}
 		s.outcomes[key] = o
@@ -117,7 +117,7 @@
 	o.add(l, int(l.Time.Sub(s.from)/time.Second))
 }
 
-func (o *outcomeSum) add(l Line, second int) {
+func (o *outcomeBuilder) add(l Line, second int) {
 	o.Requests++
 	for len(o.Seconds) <= second {
 		o.Seconds = append(o.Seconds, 0)
@@ -125,9 +125,9 @@
 	o.Seconds[second]++
 	took, _ := l.Fields["took"].(float64)
 	// Beyond the histogram's bound a time counts as the bound.
-	_ = o.took.RecordValue(min(int64(took*float64(time.Millisecond/time.Microsecond)), tookMost))
-	o.routes[text(l.Fields["route"])]++
-	if target := targetOf(l); target != "" {
+	_ = o.took.RecordValue(min(int64(took*float64(time.Millisecond/time.Microsecond)), maxTookMicros))
+	o.routes[asString(l.Fields["route"])]++
+	if target := decidingTarget(l); target != "" {
 		o.targets[target]++
 	}
 	if key, ok := l.Fields["key"].(float64); ok {
@@ -135,27 +135,27 @@
 	}
 }
 
-// targetOf returns the target that the request's end was decided on.
-func targetOf(l Line) string {
-	about := text(l.Fields["refusedOn"])
-	if attempts, ok := l.Fields["attempts"].([]any); ok && about == "" && len(attempts) > 0 {
-		about = text(attempts[len(attempts)-1])
+// decidingTarget returns the target that the request's end was decided on.
+func decidingTarget(l Line) string {
+	text := asString(l.Fields["refusedOn"])
+	if attempts, ok := l.Fields["attempts"].([]any); ok && text == "" && len(attempts) > 0 {
+		text = asString(attempts[len(attempts)-1])
 	}
-	target, _, _ := strings.Cut(about, " ")
+	target, _, _ := strings.Cut(text, " ")
 	return target
 }
 
-func text(v any) string {
+func asString(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
-func (s *summing) losses(skipped int) *Losses {
-	out := &Losses{From: s.from, Requests: s.requests, Overload: s.targets.overload(), Skipped: skipped}
+func (s *summaryBuilder) summary(skipped int) *RequestSummary {
+	out := &RequestSummary{From: s.from, Requests: s.requests, Overload: s.targets.summary(), Skipped: skipped}
 	for _, o := range s.outcomes {
 		ms := func(q float64) float64 { return float64(o.took.ValueAtQuantile(q)) / 1000 }
 		o.Took = Quantiles{P50: ms(50), P99: ms(99), Max: ms(100)}
-		o.Routes, o.Targets, o.Keys = most(o.routes), most(o.targets), most(o.keys)
+		o.Routes, o.Targets, o.Keys = mostFrequent(o.routes), mostFrequent(o.targets), mostFrequent(o.keys)
 		out.Outcomes = append(out.Outcomes, &o.Outcome)
 	}
 	slices.SortFunc(out.Outcomes, func(a, b *Outcome) int {
@@ -164,32 +164,32 @@
 	return out
 }
 
-// most returns the most frequent names.
-func most(counts map[string]int) []Share {
-	var out []Share
+// mostFrequent returns the most frequent names.
+func mostFrequent(counts map[string]int) []NameCount {
+	var out []NameCount
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
-		out = append(out, Share{Name: name, Requests: counts[name]})
+		out = append(out, NameCount{Name: name, Requests: counts[name]})
 	}
-	slices.SortStableFunc(out, func(a, b Share) int { return cmp.Compare(b.Requests, a.Requests) })
-	return out[:min(len(out), sharesShown)]
+	slices.SortStableFunc(out, func(a, b NameCount) int { return cmp.Compare(b.Requests, a.Requests) })
+	return out[:min(len(out), maxNamesShown)]
 }
 
 // Write renders the sums for people: a line for each outcome, then the requests by
 // second.
-func (l *Losses) Write(w io.Writer) {
+func (l *RequestSummary) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d requests from %s\n", l.Requests, l.From.Format("15:04:05"))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "STATUS\tREASON\tREQUESTS\tP50 MS\tP99 MS\tROUTES\tTARGETS\tKEYS")
 	for _, o := range l.Outcomes {
 		fmt.Fprintf(t, "%d\t%s\t%d\t%.1f\t%.1f\t%s\t%s\t%s\n", o.Status, o.Reason, o.Requests, o.Took.P50, o.Took.P99,
-			sharesText(o.Routes), sharesText(o.Targets), sharesText(o.Keys))
+			formatCounts(o.Routes), formatCounts(o.Targets), formatCounts(o.Keys))
 	}
 	_ = t.Flush()
 	l.writeSeconds(w)
 	l.Overload.Write(w)
 }
 
-func sharesText(list []Share) string {
+func formatCounts(list []NameCount) string {
 	parts := make([]string, len(list))
 	for i, s := range list {
 		parts[i] = fmt.Sprintf("%s:%d", s.Name, s.Requests)
@@ -197,8 +197,8 @@
 	return strings.Join(parts, " ")
 }
 
-func (l *Losses) writeSeconds(w io.Writer) {
-	shown := l.Outcomes[:min(len(l.Outcomes), outcomesDrawn)]
+func (l *RequestSummary) writeSeconds(w io.Writer) {
+	shown := l.Outcomes[:min(len(l.Outcomes), maxOutcomesShown)]
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "\nSECOND")
 	for _, o := range shown {
@@ -208,7 +208,7 @@
 	for second := range l.seconds() {
 		fmt.Fprint(t, second)
 		for _, o := range shown {
-			fmt.Fprintf(t, "\t%d", o.at(second))
+			fmt.Fprintf(t, "\t%d", o.requestsAt(second))
 		}
 		fmt.Fprintln(t, "\t")
 	}
@@ -216,7 +216,7 @@
 }
 
 // seconds returns how many seconds the requests span.
-func (l *Losses) seconds() int {
+func (l *RequestSummary) seconds() int {
 	n := 0
 	for _, o := range l.Outcomes {
 		n = max(n, len(o.Seconds))
@@ -224,7 +224,7 @@
 	return n
 }
 
-func (o *Outcome) at(second int) int {
+func (o *Outcome) requestsAt(second int) int {
 	if second >= len(o.Seconds) {
 		return 0
 	}
@@ -235,15 +235,15 @@
 
 // Plot draws the requests by second, a curve for each of the most frequent outcomes,
 // into a file whose ending names the format.
-func (l *Losses) Plot(file string) error {
+func (l *RequestSummary) Plot(file string) error {
 	if l.Requests == 0 {
 		return fmt.Errorf("plot %s: %w", file, errNoRequests)
 	}
 	c := chart.Chart{Title: "Requests by outcome", Unit: "requests", LegendTop: true}
-	for _, o := range l.Outcomes[:min(len(l.Outcomes), outcomesDrawn)] {
+	for _, o := range l.Outcomes[:min(len(l.Outcomes), maxOutcomesShown)] {
 		values := make([]float64, l.seconds())
 		for i := range values {
-			values[i] = float64(o.at(i))
+			values[i] = float64(o.requestsAt(i))
 		}
 		c.Lines = append(c.Lines, chart.Line{Name: fmt.Sprintf("%d %s", o.Status, o.Reason), Values: values})
 	}
--- a/internal/ctl/losses_test.go
+++ b/internal/ctl/summary_test.go
@@ -21,7 +21,7 @@
 
 // On a bad day thousands of requests were refused. The sums lead to the target and the
 // key that most of them were about, and to the seconds in which it happened.
-func TestLossesNameReasonTargetKeyAndSecond(t *testing.T) {
+func TestSummaryCountsReasonTargetKeyAndSecond(t *testing.T) {
 	dir := t.TempDir()
 	files := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
 	require.NoError(t, os.WriteFile(files[0], []byte(logRequests), 0o600))
@@ -35,11 +35,11 @@
 	require.Equal(t, "all full", full.Reason)
 	require.Equal(t, 3, full.Requests)
 	require.Equal(t, []int{0, 2, 1}, full.Seconds)
-	require.Equal(t, []Share{{"t-9", 2}, {"t-2", 1}}, full.Targets)
-	require.Equal(t, []Share{{"7", 2}, {"9", 1}}, full.Keys)
-	require.Equal(t, []Share{{"r-2", 2}, {"r-1", 1}}, full.Routes)
+	require.Equal(t, []NameCount{{"t-9", 2}, {"t-2", 1}}, full.Targets)
+	require.Equal(t, []NameCount{{"7", 2}, {"9", 1}}, full.Keys)
+	require.Equal(t, []NameCount{{"r-2", 2}, {"r-1", 1}}, full.Routes)
 	require.InDelta(t, 300, full.Took.Max, 3)
-	require.Equal(t, []Share{{"t-1", 1}}, l.Outcomes[1].Targets)
+	require.Equal(t, []NameCount{{"t-1", 1}}, l.Outcomes[1].Targets)
 
 	var out strings.Builder
 	l.Write(&out)
@@ -51,7 +51,7 @@
 	require.Contains(t, string(drawn), "all full")
 }
 
-func TestLossesOfNoRequests(t *testing.T) {
+func TestSummaryOfNoRequests(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "a")
 	require.NoError(t, os.WriteFile(file, []byte("nothing\n"), 0o600))
 	l, err := SummariseRequests([]string{file})
@@ -64,10 +64,10 @@
 }
 
 // Guards against sums that take the inputs of a refusal for a target.
-func TestRefusalForWantOfRepeatsCountsAtTheTargetTriedLast(t *testing.T) {
+func TestRefusalWithoutRetriesCountsForLastTriedTarget(t *testing.T) {
 	l := Line{Fields: map[string]any{
 		"decidedOn": "saved 0.4 most 11.8 requests 852 vms 10 age 5200ms",
 		"attempts":  []any{"t-1 load 0 took 9ms 503", "t-2 load 0 took 9ms 503"},
 	}}
-	require.Equal(t, "t-2", targetOf(l))
+	require.Equal(t, "t-2", decidingTarget(l))
 }
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// waitPause is the pause between two looks at the VMs.
-const waitPause = 100 * time.Millisecond
+// pollInterval is the pause between two looks at the VMs.
+const pollInterval = 100 * time.Millisecond
 
 // LagError says that the wait ended before a version was in force everywhere.
 type LagError struct {
@@ -42,20 +42,20 @@
 	for {
 		vms, err := f.VMs(ctx)
 		if err == nil {
-			outcome = &LagError{Version: version, VMs: lagging(vms, version)}
+			outcome = &LagError{Version: version, VMs: laggingVMs(vms, version)}
 			if len(outcome.VMs) == 0 {
 				return nil
 			}
 		}
 		select {
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return outcome
 		}
 	}
 }
 
-func lagging(vms []VM, version uint64) []VM {
+func laggingVMs(vms []VM, version uint64) []VM {
 	var out []VM
 	for _, vm := range vms {
 		if vm.State != Leaving && vm.InForce < version {
