--- a/internal/ctl/apply_test.go
+++ b/internal/ctl/apply_test.go
@@ -15,7 +15,7 @@
 	"hemlockquay/internal/platform/memstore"
 )
 
-// fault is what happens to an operator's first write.
+// fault is the fault of an operator's first write.
 type fault int
 
 const (
@@ -24,7 +24,7 @@
 	requestLost
 )
 
-// steppedStore lets one operator's store calls pass only in its turns.
+// steppedStore makes each store call of one operator wait for a turn.
 type steppedStore struct {
 	platform.Store
 	turns chan chan struct{}
@@ -67,11 +67,11 @@
 	return platform.Object{Kind: model.KindContract, Name: "a", Version: version, Spec: spec}
 }
 
-// maxCalls is the most store calls that one Apply makes: read, write, settle,
-// write again, settle its conflict, read what won.
+// maxCalls is the largest number of store calls of one Apply: read, write, check
+// after a lost answer, write again, check after its conflict, read the winner's object.
 const maxCalls = 6
 
-// interleavings returns every order of n turns of each of two operators.
+// interleavings returns every order in which two operators can take n turns each.
 func interleavings(n int) [][]int {
 	var out [][]int
 	var walk func(order []int, left [2]int)
@@ -92,11 +92,11 @@
 	return out
 }
 
-// Two operators read the same contract and apply different limits. The second
-// write undoes the first without a word, or a lost answer makes the accepted
-// one look refused. Over all orders of their store calls and every loss of a
-// first write, one is accepted, the other sees the difference, and the accepted
-// one was written once.
+// Guards against lost updates and wrongly reported conflicts. Two operators read the same
+// contract and apply different limits: the second write could silently overwrite the first
+// one, or a lost answer could make the accepted write look refused. For all orders of
+// their store calls, and all faults of their first writes, one write must succeed and be
+// stored once, and the other must fail with the differences.
 func TestConcurrentAppliesGiveOneSuccessAndOneConflict(t *testing.T) {
 	orders := interleavings(maxCalls)
 	require.Len(t, orders, 924)
@@ -150,9 +150,8 @@
 	require.Len(t, tags, 1)
 }
 
-// An operator applies a file that names no version over a contract that is
-// stored: nobody knows what it is based on. It is refused, and the same content
-// is no change.
+// Guards against a file without a version overwriting a stored contract, as it is unknown
+// which version the file is based on. Applying the same content is not a change.
 func TestApplyWithoutVersionNeverOverwrites(t *testing.T) {
 	ctx := context.Background()
 	mem := memstore.New()
@@ -165,7 +164,7 @@
 	require.ErrorIs(t, err, platform.ErrConflict)
 }
 
-// lostDeleteAnswers loses the answer of every deletion after its effect.
+// lostDeleteAnswers is a store that carries out every deletion and loses its answer.
 type lostDeleteAnswers struct{ platform.Store }
 
 func (l lostDeleteAnswers) Delete(ctx context.Context, o platform.Object) error {
@@ -173,8 +172,8 @@
 	return platform.ErrAmbiguous
 }
 
-// The answer of a deletion is lost. The operator sees a failure and repeats it
-// against an object that a colleague has created anew meanwhile.
+// Guards against a deletion that is reported as failed because its answer was lost. The
+// operator would repeat it, and could delete an object created again in the meantime.
 func TestDeleteSettlesLostAnswer(t *testing.T) {
 	ctx := context.Background()
 	mem := memstore.New()
@@ -196,8 +195,8 @@
 	require.Empty(t, Diff(want.Spec, got.Spec))
 }
 
-// Two customers get the same token. Whose limits a caller meets would depend on
-// the VM; the second is refused before it is written.
+// Guards against two customers with the same token: the limits that apply to a caller
+// would depend on the VM. The second contract must be rejected before it is written.
 func TestCrossCheckRefusesSharedToken(t *testing.T) {
 	mine := contractObject(10, 0)
 	warnings, err := CrossCheck(mine, nil)
--- a/internal/ctl/crosscheck.go
+++ b/internal/ctl/crosscheck.go
@@ -9,10 +9,11 @@
 	"hemlockquay/internal/settings"
 )
 
-// CrossCheck compares an object with the others that are stored. A contract
-// whose token another customer holds is refused: VMs would put it out of force.
-// A contract for a service that is not stored, and a service that goes while
-// contracts name it, are only warned of, as the two may be applied in any order.
+// CrossCheck checks an object against the other stored objects. It rejects a
+// contract whose token belongs to another customer, because VMs would not put such
+// a contract into force. A contract that names a service which is not stored only
+// gives a warning, as contracts and services may be applied in any order; for the
+// same reason deleting a service that contracts name is only warned of.
 func CrossCheck(o platform.Object, stored []platform.Object) (warnings []string, err error) {
 	if o.Kind != model.KindContract {
 		return nil, nil
@@ -36,7 +37,7 @@
 	}
 	for _, a := range mine.Services {
 		if !services[a.Service] {
-			warnings = append(warnings, fmt.Sprintf("contract %s names service %s, which is not stored", o.Name, a.Service))
+			warnings = append(warnings, fmt.Sprintf("contract %s refers to service %s, which is not stored", o.Name, a.Service))
 		}
 	}
 	return warnings, nil
@@ -50,7 +51,7 @@
 	return decoded.(*model.Contract), nil
 }
 
-// ContractsUsing names the contracts that name the service.
+// ContractsUsing returns the names of the contracts that include the service.
 func ContractsUsing(service string, stored []platform.Object) []string {
 	var out []string
 	for _, o := range stored {
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -9,16 +9,17 @@
 	"github.com/tailscale/hujson"
 )
 
-// Difference is one field that differs.
+// Difference is a field whose value differs between two specs.
 type Difference struct {
 	// Pointer is the field's RFC 6901 pointer.
 	Pointer string `json:"pointer"`
-	// Stored and Local are JSON values, "" where the field is missing.
+	// Stored is the value in the stored object, Local the one in the operator's
+	// file. Both are JSON values, "" if the field is missing.
 	Stored string `json:"stored"`
 	Local  string `json:"mine"`
 }
 
-// String renders the difference for people.
+// String returns the difference as readable text.
 func (d Difference) String() string {
 	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, valueOrMissing(d.Stored), valueOrMissing(d.Local))
 }
@@ -30,8 +31,8 @@
 	return v
 }
 
-// Diff compares two specs field by field, sorted by pointer. An empty spec has
-// no fields.
+// Diff returns the fields in which two specs differ, sorted by pointer. An empty spec
+// has no fields.
 func Diff(stored, local []byte) []Difference {
 	a, b := flatten(stored), flatten(local)
 	var out []Difference
@@ -54,8 +55,8 @@
 	return out
 }
 
-// flatten returns the leaves of a JSON text by pointer. What cannot be parsed is
-// one leaf.
+// flatten returns the leaf values of a JSON text by pointer. Text that cannot be
+// parsed is returned as a single leaf with an empty pointer.
 func flatten(spec []byte) map[string]string {
 	out := make(map[string]string)
 	if len(spec) == 0 {
--- a/internal/ctl/drill.go
+++ b/internal/ctl/drill.go
@@ -13,39 +13,42 @@
 	"hemlockquay/internal/platform"
 )
 
-// Drill is how long changes of one contract took to be in force.
+// Drill is the result of a measurement of how long changes of one contract took to
+// come into force.
 type Drill struct {
 	Changes int `json:"changes"`
 	Daemons int `json:"daemons"`
-	// Missing counts pairs of change and daemon without a journal entry: two
-	// changes so close that the daemon went from one to the one after.
+	// Missing counts the pairs of a change and a daemon without a journal entry. This
+	// happens if changes follow each other so closely that a daemon skips a version.
 	Missing int `json:"missing"`
-	// PerDaemon is from accepted to in force on a daemon; Everywhere from
-	// accepted to in force on the last daemon. Milliseconds.
+	// PerDaemon is the time from the acceptance of a change until it is in force on
+	// a daemon, Everywhere until it is in force on the last daemon, in milliseconds.
 	PerDaemon  Quantiles `json:"perDaemon"`
 	Everywhere Quantiles `json:"everywhere"`
 }
 
-// Quantiles are quantiles, milliseconds.
+// Quantiles are the median, 99th percentile and maximum of a duration, in
+// milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// drillSettleTime is the wait after the last change before journals are read.
+// drillSettleTime is the pause between the last change and the reading of the journals.
+// It lets the last version come into force.
 const drillSettleTime = 3 * time.Second
 
-// acceptedChange is one change of a drill.
+// acceptedChange is a change of a drill that the store has accepted.
 type acceptedChange struct {
 	version uint64
 	at      time.Time
 }
 
-// RunDrill changes the burst of one contract up and down by one at the rate,
-// and reads from the daemons' journals when each version came into force. The
-// clocks of the VMs must agree to the precision that is asked for. The contract
-// is left as it was.
+// RunDrill alternately raises and restores the burst of one contract by one, at the
+// given rate, and reads from the daemons' journals when each version came into force.
+// The result is only as precise as the clocks of the VMs agree. The contract is left
+// unchanged.
 func (f *Fleet) RunDrill(ctx context.Context, customer string, changes int, perSecond float64) (*Drill, error) {
 	id := platform.ID{Kind: model.KindContract, Name: customer}
 	first, err := f.Store.Get(ctx, id)
@@ -72,7 +75,7 @@
 	if changes%2 == 1 {
 		first.Version = version
 		if _, err := Apply(ctx, f.Store, first); err != nil {
-			return nil, fmt.Errorf("drill: bring back: %w", err)
+			return nil, fmt.Errorf("drill: restore contract: %w", err)
 		}
 	}
 	time.Sleep(drillSettleTime)
@@ -94,7 +97,7 @@
 	return o, err
 }
 
-// newHistogram takes 1 µs to a minute at three digits.
+// newHistogram returns a histogram for 1 µs to one minute with three significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -17,18 +17,19 @@
 	"hemlockquay/internal/platform"
 )
 
-// Explanation is what the VMs did about one subject, in order of cause.
+// Explanation lists what the VMs did about one subject, causes before effects.
 type Explanation struct {
 	Subject string `json:"subject"`
-	// Related are the subjects that the first one led to.
+	// Related are the groups that the subject falls into if it is a key. Their
+	// entries are included.
 	Related []string        `json:"related,omitempty"`
 	Entries []journal.Entry `json:"entries"`
-	// Missing names the daemons that did not answer.
+	// Missing lists the daemons that did not answer, as VM/process.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Explain merges the journals of all VMs about a key, customer, target, group,
-// service or request id.
+// Explain merges the entries about a key, customer, target, group, service or request
+// ID from the journals of all VMs.
 func (f *Fleet) Explain(ctx context.Context, subject string) (*Explanation, error) {
 	entries, missing, err := f.journals(ctx)
 	if err != nil {
@@ -42,8 +43,8 @@
 	return a, nil
 }
 
-// keyGroups names the groups that a key falls into, one for each keyed service.
-// A subject that names a customer, service or target is no key.
+// keyGroups returns the groups that a key falls into, one for each keyed service. It
+// returns none for a subject that is a customer, a service or a target.
 func keyGroups(subject string, objects []platform.Object) []string {
 	var out []string
 	for _, o := range objects {
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// journals returns the entries of all daemons, and those that did not answer.
+// journals returns the journal entries of all daemons, and the daemons that did not
+// answer.
 func (f *Fleet) journals(ctx context.Context) ([]journal.Entry, []string, error) {
 	daemons, err := f.daemons(ctx)
 	if err != nil {
@@ -107,7 +109,7 @@
 	return entries, missing, nil
 }
 
-// FilterBySubject returns the entries that name one of the subjects.
+// FilterBySubject returns the entries that have one of the subjects.
 func FilterBySubject(entries []journal.Entry, subjects []string) []journal.Entry {
 	var out []journal.Entry
 	for _, e := range entries {
@@ -118,13 +120,13 @@
 	return out
 }
 
-// daemonID names one life of a daemon.
+// daemonID identifies a daemon by its VM and its process name.
 type daemonID struct{ vm, name string }
 
-// SortByCause sorts entries of several daemons by cause as far as it can be known: by
-// wall time, but never against the order within one daemon.
-// An entry counts as not earlier than the one before it in the same daemon, as a clock may have been
-// set back between them.
+// SortByCause sorts the entries of several daemons so that causes precede effects, as
+// far as that can be known: by wall time, but always in sequence within one daemon.
+// A VM's clock may have been set back between two entries, so an entry is taken to be
+// no earlier than its predecessor in the same daemon.
 func SortByCause(entries []journal.Entry) []journal.Entry {
 	out := slices.Clone(entries)
 	slices.SortStableFunc(out, func(a, b journal.Entry) int { return cmp.Compare(a.Seq, b.Seq) })
@@ -147,17 +149,17 @@
 	return out
 }
 
-// Text renders the account in plain sentences.
+// Text returns the explanation as text, one entry a line.
 func (a *Explanation) Text() string {
 	var out strings.Builder
 	for _, e := range a.Entries {
 		fmt.Fprintf(&out, "%s  %s %s: %s: %s\n", e.At.Format("2006-01-02 15:04:05.000"), e.VM, e.Process, e.Step, e.Text)
 	}
 	if len(a.Entries) == 0 {
-		fmt.Fprintf(&out, "no journal names %s; a journal keeps only the last decisions of a running daemon\n", a.Subject)
+		fmt.Fprintf(&out, "no journal entry about %s; a journal keeps only the most recent decisions of a running daemon\n", a.Subject)
 	}
 	if len(a.Missing) > 0 {
-		fmt.Fprintf(&out, "not asked, did not answer: %s\n", strings.Join(a.Missing, ", "))
+		fmt.Fprintf(&out, "daemons that did not answer: %s\n", strings.Join(a.Missing, ", "))
 	}
 	return out.String()
 }
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -9,9 +9,9 @@
 	"hemlockquay/internal/journal"
 )
 
-// A VM's clock is set back by a minute between a takeover and what followed from
-// it. By time alone the effect stands before its cause, and the account tells
-// the operator a wrong story.
+// Guards against effects that are listed before their causes. This happens with sorting
+// by time alone if a VM's clock is set back, here by a minute between a takeover and
+// its consequence.
 func TestSortByCauseKeepsOrderWithinEachDaemon(t *testing.T) {
 	at := func(s int) time.Time { return time.Unix(int64(1000+s), 0) }
 	entries := []journal.Entry{
@@ -27,8 +27,8 @@
 	require.Equal(t, []string{"earlier elsewhere", "cause", "effect", "later elsewhere"}, got)
 }
 
-// Changes of contracts come by the thousand between two moves of a key. The
-// entry that explains the move must still be there.
+// Guards against rare journal entries that frequent ones displace: thousands of contract
+// changes can come between two moves of a key, and the entry of the move must remain.
 func TestJournalKeepsRareSteps(t *testing.T) {
 	j := journal.New("vm1", "hq-agent", 4)
 	j.Add("move", "key moved", "k")
--- a/internal/ctl/file.go
+++ b/internal/ctl/file.go
@@ -13,11 +13,12 @@
 	"hemlockquay/internal/settings"
 )
 
-// versionLine is how a file says which version its author read. `get` writes it.
+// versionLine matches the comment that names the version on which a file is based.
+// Render writes it.
 var versionLine = regexp.MustCompile(`(?m)^\s*//\s*version:\s*(\d+)\s*$`)
 
-// ReadFile reads and checks an object of the kind from a file. Its Version is
-// the one named in the file's header comment, 0 where there is none.
+// ReadFile reads an object of the kind from a file and validates it. Its Version is
+// the one in the file's version comment, 0 if there is none.
 func ReadFile(kind model.Kind, file string) (platform.Object, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -26,7 +27,7 @@
 	return Parse(kind, file, text)
 }
 
-// Parse is ReadFile on a text; source stands in errors.
+// Parse is like ReadFile for a text; errors name source as its origin.
 func Parse(kind model.Kind, source string, text []byte) (platform.Object, error) {
 	typed, name, err := decode(kind, source, text)
 	if err != nil {
@@ -42,8 +43,8 @@
 			return platform.Object{}, &settings.Error{Source: source, Line: 1, Reason: err.Error()}
 		}
 	}
-	// What agents and daemons will do with it, so that none of them can refuse
-	// what was accepted here.
+	// Agents and daemons decode the object in the same way, so none of them can
+	// reject what was accepted here.
 	if _, err := model.Decode(kind, o.Name, o.Spec); err != nil {
 		return platform.Object{}, err
 	}
@@ -61,11 +62,11 @@
 		err := settings.Decode(source, text, &c)
 		return &c, c.Customer, err
 	}
-	return nil, "", fmt.Errorf("operators write contracts and services, not %s", kind)
+	return nil, "", fmt.Errorf("only contracts and services can be written, not %s", kind)
 }
 
-// Render returns the object as a file that Parse reads: its version in the
-// header comment, its spec indented.
+// Render returns the object in the form that Parse reads: a comment with the version,
+// then the indented spec.
 func Render(o platform.Object) ([]byte, error) {
 	var out bytes.Buffer
 	fmt.Fprintf(&out, "// version: %d\n", o.Version)
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -20,55 +20,56 @@
 	"hemlockquay/internal/wire"
 )
 
-// Bounds of questions to VMs.
+// Limits of queries to VMs.
 const (
-	// queryTimeout bounds one question to a daemon's admin server.
+	// queryTimeout is the time limit of one request to a daemon's admin server.
 	queryTimeout = 2 * time.Second
-	// maxConcurrentQueries is how many daemons are asked at a time.
+	// maxConcurrentQueries limits the daemons that are queried for their journals at
+	// the same time.
 	maxConcurrentQueries = 32
-	// agentsQueried is how many agents are asked for the list of VMs. One knows
-	// all; more see past a cut between some of them.
+	// agentsQueried is how many agents are queried for the list of VMs. One agent
+	// knows all VMs, unless a network partition hides some from it; querying several
+	// makes up for that.
 	agentsQueried = 3
-	// maxResponseBytes bounds a daemon's answer, bytes.
+	// maxResponseBytes limits the size of a daemon's response.
 	maxResponseBytes = 64 << 20
 )
 
-// errNoAgent says that no agent answered.
-var errNoAgent = errors.New("no agent answers; name one with --agent IP:PORT (its admin address)")
+var errNoAgent = errors.New("no agent answered; give the admin address of one with --agent IP:PORT")
 
-// Fleet asks the VMs' daemons.
+// Fleet queries the daemons of all VMs.
 type Fleet struct {
-	// Store may be down; then only Agents are known.
+	// Store may be unavailable; then only Agents can be queried at first.
 	Store platform.Store
-	// Agents are admin addresses of agents that the operator named.
+	// Agents are the admin addresses of agents that the operator gave.
 	Agents []string
-	// HTTP asks the admin servers.
+	// HTTP is the client for the admin servers.
 	HTTP *http.Client
 }
 
-// VM is one VM as the agents see it.
+// VM is the state of one VM as the agents report it.
 type VM struct {
 	Name        string `json:"name"`
 	DataCentre  string `json:"dataCentre"`
 	Incarnation string `json:"incarnation,omitempty"`
-	// State is live, leaving or silent.
+	// State is Live, Leaving or Silent.
 	State string `json:"state"`
-	// InForce is the revision that all daemons of the VM use, Held the one
-	// that its agent holds.
+	// InForce is the revision that is in force on all daemons of the VM, Held the one
+	// that its agent has.
 	InForce  uint64   `json:"inForce"`
 	Held     uint64   `json:"held"`
 	Watching bool     `json:"watching"`
 	Problems []string `json:"problems,omitempty"`
 }
 
-// States of a VM.
+// States of a VM. A Silent VM is listed by the platform, but no queried agent reports it.
 const (
 	Live    = "live"
 	Leaving = "leaving"
 	Silent  = "silent"
 )
 
-// agentDump is the part of an agent's dump that operators need.
+// agentDump is the part of an agent's dump that this package uses.
 type agentDump struct {
 	Members []wire.Member     `json:"members"`
 	Daemons []wire.ReportArgs `json:"daemons"`
@@ -77,8 +78,8 @@
 // daemonAddr is a daemon's admin address.
 type daemonAddr struct{ vm, process, addr string }
 
-// daemons returns the admin addresses of all daemons: from the status objects,
-// and for VMs that cannot write theirs from their agents.
+// daemons returns the admin addresses of all daemons. They come from the status objects,
+// or from the agent of a VM that has not been able to write its status object.
 func (f *Fleet) daemons(ctx context.Context) ([]daemonAddr, error) {
 	statuses := f.vmStatuses(ctx)
 	var out []daemonAddr
@@ -112,10 +113,11 @@
 	return out, nil
 }
 
-// agentProcess is the agent's name in status objects.
+// agentProcess is the agent's process name in status objects.
 const agentProcess = "hq-agent"
 
-// VMs returns all VMs that the platform lists or an agent has heartbeats of, by name.
+// VMs returns all VMs that the platform lists or an agent has received heartbeats from,
+// sorted by name.
 func (f *Fleet) VMs(ctx context.Context) ([]VM, error) {
 	found := make(map[string]*VM)
 	statuses := f.vmStatuses(ctx)
@@ -146,7 +148,8 @@
 	return out, nil
 }
 
-// mergeMember keeps what is newest of several agents' views.
+// mergeMember merges one agent's view of a VM into found. The latest incarnation wins;
+// within one incarnation the highest revisions do.
 func mergeMember(found map[string]*VM, m wire.Member) {
 	vm := found[m.VM]
 	if vm == nil {
@@ -167,10 +170,11 @@
 	vm.Watching = vm.Watching || m.Watching
 }
 
-// startedEarlier compares the start times in two incarnations of one VM.
+// startedEarlier reports whether incarnation a of a VM started before incarnation b.
+// Incarnations hold the start time, so a shorter one is the earlier one.
 func startedEarlier(a, b string) bool { return len(a) < len(b) || (len(a) == len(b) && a < b) }
 
-// vmStatuses returns the VMs' status objects; none where the store is down.
+// vmStatuses returns the VMs' status objects, or none if the store is unavailable.
 func (f *Fleet) vmStatuses(ctx context.Context) []model.VMStatus {
 	l, err := f.Store.List(ctx)
 	if err != nil {
@@ -188,7 +192,9 @@
 	return out
 }
 
-// queryAgents returns the dumps of the first agents that answer.
+// queryAgents returns the dumps of at least one agent, and of agentsQueried agents if
+// that many answer. It tries the agents that the operator gave first, then the others
+// in random order.
 func (f *Fleet) queryAgents(ctx context.Context, statuses []model.VMStatus) ([]agentDump, error) {
 	addrs := slices.Clone(f.Agents)
 	for _, s := range statuses {
@@ -248,10 +254,10 @@
 		}
 		return d, nil
 	}
-	return agentDump{}, fmt.Errorf("dump of %s: not an agent", addr)
+	return agentDump{}, fmt.Errorf("dump of %s: no section \"agent\"; this is not an agent's admin address", addr)
 }
 
-// get reads one page of a daemon's admin server.
+// get decodes the JSON at a path of a daemon's admin server into out.
 func (f *Fleet) get(ctx context.Context, addr, path string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -268,7 +274,7 @@
 		return fmt.Errorf("get %s%s: status %d", addr, path, resp.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
-		return fmt.Errorf("answer of %s%s: %w", addr, path, err)
+		return fmt.Errorf("decode response of %s%s: %w", addr, path, err)
 	}
 	return nil
 }
@@ -282,7 +288,7 @@
 	return ""
 }
 
-// Dump returns a daemon's whole state.
+// Dump returns the complete state of a daemon as JSON.
 func (f *Fleet) Dump(ctx context.Context, vm, process string) (json.RawMessage, error) {
 	daemons, err := f.daemons(ctx)
 	if err != nil {
@@ -295,5 +301,5 @@
 			return out, err
 		}
 	}
-	return nil, fmt.Errorf("no address of %s on VM %s is known", process, vm)
+	return nil, fmt.Errorf("no known admin address of %s on VM %s", process, vm)
 }
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -20,55 +20,55 @@
 	VM      string    `json:"vm"`
 	Step    string    `json:"step"`
 	Message string    `json:"message"`
-	// Fields are the inputs, as they stand in the line.
+	// Fields are the remaining fields of the line.
 	Fields map[string]any `json:"fields"`
 }
 
-// LogExplanation is what collected logs say about one subject.
+// LogExplanation lists the collected log lines that concern one subject.
 type LogExplanation struct {
 	Subject string `json:"subject"`
-	// Related are the targets, services and keys that the subject's own lines
+	// Related are the services, targets and routes that the subject's own lines
 	// name.
 	Related []string `json:"related,omitempty"`
 	Lines   []Line   `json:"lines"`
-	// Gaps are the times in which a VM wrote nothing while others did.
+	// Gaps are the periods in which a VM wrote nothing while others did.
 	Gaps []LogGap `json:"silences,omitempty"`
-	// Skipped counts lines that are no log lines of a daemon.
+	// Skipped counts the input lines that are not log lines of a daemon.
 	Skipped int `json:"skipped"`
 }
 
-// LogGap is a time in which a VM wrote nothing: it was suspended, had ended, or had
-// nothing to say. A request that it had read then has no line.
+// LogGap is a period in which a VM wrote no log lines: it was suspended, had ended, or
+// had nothing to log. A request that it had already read may then have no line.
 type LogGap struct {
 	VM   string    `json:"vm"`
 	From time.Time `json:"from"`
-	// To is the VM's next line, or the last line of all VMs where it has none.
+	// To is the time of the VM's next line or, without one, of the last line of all VMs.
 	To time.Time `json:"to"`
-	// Ended says that the VM wrote nothing any more.
+	// Ended is true if the VM has no later line.
 	Ended bool `json:"ended"`
 }
 
 const (
-	// minLogGap is the shortest silence that is reported. Under load a VM writes
-	// tens of lines a second.
+	// minLogGap is the shortest gap that is reported. Under load a VM writes tens of
+	// lines per second.
 	minLogGap = time.Second
-	// contextBefore and contextAfter bound the time around the subject's lines in
-	// which changes of what its VMs believed are shown: a lease, an outage's grace
-	// and a takeover are over in less.
+	// contextBefore and contextAfter are the periods before the subject's first line
+	// and after its last one from which related lines are shown. A lease, the grace
+	// period of an outage and a takeover all take less time than that.
 	contextBefore = 6 * time.Second
 	contextAfter  = time.Second
-	// requestStep is the step of lines on single requests.
+	// requestStep is the step field of lines about single requests.
 	requestStep = "request"
-	// maxLineBytes bounds a line, bytes.
+	// maxLineBytes limits the length of an input line.
 	maxLineBytes = 1 << 20
 )
 
-// relatedFields are the fields that lead from a request to what decided it.
+// relatedFields are the fields that name what a request's outcome depended on.
 var relatedFields = []string{"service", "target", "route"}
 
-// ExplainLogs reads collected logs and returns, in order of time, the lines that
-// name the subject, and around them the changes of what the VMs believed about the
-// targets and services that those lines name.
+// ExplainLogs reads collected logs and returns, in order of time, the lines that mention
+// the subject. Lines from around that time that are not about requests are included if
+// they mention a service, target or route of the subject's lines.
 func ExplainLogs(subject string, files []string) (*LogExplanation, error) {
 	all, skipped, err := readLogs(files)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return a, nil
 }
 
-// readLogs returns the lines of all files in order of time.
+// readLogs returns the log lines of all files in order of time.
 func readLogs(files []string) (all []Line, skipped int, err error) {
 	for _, name := range files {
 		f, err := os.Open(name)
@@ -101,7 +101,7 @@
 	return all, skipped, nil
 }
 
-// findLogGaps returns those of all VMs, in order of their beginning.
+// findLogGaps returns the gaps of all VMs, in order of their start.
 func findLogGaps(all []Line) []LogGap {
 	if len(all) == 0 {
 		return nil
@@ -124,8 +124,8 @@
 	return out
 }
 
-// readLines reads what follows the first brace of each line: collectors put
-// names and times in front.
+// readLines parses each line from its first brace on, because log collectors prepend
+// names and times.
 func readLines(r io.Reader) (lines []Line, skipped int, err error) {
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, maxLineBytes)
@@ -193,8 +193,8 @@
 	slices.Sort(a.Related)
 }
 
-// collectRelated collects what a line of the subject leads to: its service and the
-// targets that it was sent to or refused for.
+// collectRelated adds the service and route of a line of the subject to related, and the
+// targets that its request was sent to or refused for.
 func collectRelated(l Line, related map[string]bool) {
 	for _, field := range relatedFields {
 		if v, ok := l.Fields[field].(string); ok {
@@ -220,7 +220,8 @@
 	return false
 }
 
-// Text renders the account for people.
+// Text returns the explanation as text, one log line a line. Without log lines it lists
+// the gaps.
 func (a *LogExplanation) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %d lines, related: %s\n", a.Subject, len(a.Lines), strings.Join(a.Related, " "))
@@ -242,9 +243,9 @@
 	return b.String()
 }
 
-// writeGaps says where a request without a line may have been.
+// writeGaps lists the VMs that may have read a request without logging it.
 func (a *LogExplanation) writeGaps(b *strings.Builder) {
-	b.WriteString("no process wrote of it: it was not read, its line was left out (log.requests.omitted), or its VM ended or was suspended:\n")
+	b.WriteString("no log line mentions it: it was not read, its line was omitted (log.requests.omitted), or its VM ended or was suspended:\n")
 	for _, s := range a.Gaps {
 		until := "until " + s.To.Format("15:04:05.000")
 		if s.Ended {
--- a/internal/ctl/logs_test.go
+++ b/internal/ctl/logs_test.go
@@ -18,8 +18,8 @@
 {"time":"2026-01-01T10:00:01.500Z","level":"info","process":"hq-gateway","vm":"vm-b","step":"targets","target":"t-1","service":"other","message":"target known"}
 `
 
-// A user names a failed request. From the logs of all VMs the account shows its
-// line and, before it, what another VM noticed of the target, and nothing else.
+// Guards against explanations that miss the cause of a failed request or add unrelated
+// lines. The request's own line comes after what another VM logged about its target.
 func TestExplainLogsShowsRequestAndItsCause(t *testing.T) {
 	dir := t.TempDir()
 	files := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
@@ -44,8 +44,8 @@
 {"time":"2026-01-01T10:00:03.500Z","process":"hq-gateway","vm":"vm-a","step":"x","message":"m"}
 `
 
-// A VM was lost with the requests that it had read. Their callers name ids that no log
-// holds; the account must lead to the VM.
+// Guards against request IDs that cannot be traced: a lost VM leaves no line about the
+// requests that it had read, so the explanation must list the VMs with gaps.
 func TestExplainLogsListsGapsForUnloggedRequest(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "all")
 	require.NoError(t, os.WriteFile(file, []byte(logWithGaps), 0o600))
--- a/internal/ctl/overload.go
+++ b/internal/ctl/overload.go
@@ -12,39 +12,44 @@
 	"time"
 )
 
-// Overload is what collected logs say of the targets that were too loaded for a request:
-// whether they could have served it, by what all VMs together had there.
+// Overload summarises the requests that were refused because of the load of a target. It
+// estimates from the requests that all VMs together had in flight there whether the
+// target could have served them.
 //
-// Requests without a line, and those that still ran when the logs end, are missing in it.
+// Requests without a log line, and those still running when the logs end, are not counted.
 type Overload struct {
-	// Targets are in order of their refusals.
+	// Targets are sorted by number of refusals, the most first.
 	Targets []*TargetOverload `json:"targets"`
-	// Unknown counts refusals at targets whose slots no line names.
+	// Unknown counts the refusals that cannot be judged: no line names the target's
+	// slots, or there is no answer from which to estimate a service time.
 	Unknown int `json:"unknown"`
 }
 
-// TargetOverload is the refusals for the load of one target.
+// TargetOverload summarises the refusals because of the load of one target.
 type TargetOverload struct {
 	Target string `json:"target"`
 	Slots  int    `json:"slots"`
-	// ServiceMs is the mean time of an answer that did not wait for a slot.
+	// ServiceMs is the mean time to answer a request that did not wait for a slot.
 	ServiceMs float64 `json:"serviceMs"`
-	// Refused counts the refusals, RefusedIdle those while a slot was free.
+	// Refused counts the refusals, RefusedIdle those made while a slot was free.
 	Refused     int `json:"refused"`
 	RefusedIdle int `json:"refusedIdle"`
-	// Demand is what arrived for it while it refused, in units of what its slots serve.
+	// Demand is the ratio of the requests that arrived for the target, in the steps
+	// with refusals, to the number that its slots can serve in that time.
 	Demand float64 `json:"demand"`
-	// Servable is at most how many of the refused its free slots had the time for.
+	// Servable is an upper bound of the refused requests that the target's free slots
+	// could have served.
 	Servable float64 `json:"servable"`
 }
 
 const (
-	// overloadStep is the time over which demand and free slots are compared.
+	// overloadStep is the length of the intervals for which demand and free slots are
+	// calculated.
 	overloadStep = 200 * time.Millisecond
-	// samplesPerStep is how often free slots are sampled in a step.
+	// samplesPerStep is how many times the free slots are sampled in a step.
 	samplesPerStep = 5
-	// minServiceSamples is how many answers the service time of one target needs; with fewer
-	// that of all targets is used.
+	// minServiceSamples is the number of answers from which a target's own service time
+	// is calculated. With fewer, the mean of all targets is used.
 	minServiceSamples = 5
 )
 
@@ -53,20 +58,22 @@
 	refusalPattern = regexp.MustCompile(`^(\S+) (?:own \d+ others \d+ likely \S+ slots (\d+)|part )`)
 )
 
-// targetTraffic is what the lines on requests say of one target.
+// targetTraffic holds the attempts at one target and its refusals, read from the lines
+// about requests.
 type targetTraffic struct {
 	slots                   int
 	started, ended, refused []time.Time
 	answers                 []answerSample
 }
 
-// answerSample is how long a request took, and the load that its VM believed when it sent it.
+// answerSample is the time that a target took to answer a request, and the load that the
+// sending VM assumed there.
 type answerSample struct {
 	load int
 	took time.Duration
 }
 
-// trafficByTarget sums the lines on requests by target.
+// trafficByTarget collects the traffic of each target by name.
 type trafficByTarget map[string]*targetTraffic
 
 func (s trafficByTarget) target(name string) *targetTraffic {
@@ -78,7 +85,8 @@
 	return t
 }
 
-// add notes the attempts of a request, of which the last ended with it, and its refusal.
+// add records the attempts of a request and its refusal. Attempts are taken to follow each
+// other without a pause, the last one ending with the request.
 func (s trafficByTarget) add(l Line) {
 	attempts, _ := l.Fields["attempts"].([]any)
 	end := l.Time
@@ -123,7 +131,7 @@
 	return out
 }
 
-// meanServiceTime returns the mean service time of all targets, 0 where no answer shows one.
+// meanServiceTime returns the mean service time of all targets, 0 if no answer shows one.
 func (s trafficByTarget) meanServiceTime() time.Duration {
 	all := &targetTraffic{}
 	for _, t := range s {
@@ -132,7 +140,8 @@
 	return meanDuration(all.answers)
 }
 
-// unqueuedAnswers returns the answers to requests that found a slot free, as their VM believed.
+// unqueuedAnswers returns the answers to requests for which a slot was free, according to
+// the load that the sending VM assumed.
 func (t *targetTraffic) unqueuedAnswers() []answerSample {
 	slots := max(t.slots, 1)
 	return slices.DeleteFunc(slices.Clone(t.answers), func(a answerSample) bool { return a.load >= slots })
@@ -175,12 +184,12 @@
 	return out
 }
 
-// inFlight returns how many requests of all VMs the target had.
+// inFlight returns the number of requests of all VMs that the target was serving at a time.
 func (t *targetTraffic) inFlight(at time.Time) int {
 	return countBefore(t.started, at) - countBefore(t.ended, at)
 }
 
-// meanFreeSlots returns the mean number of free slots in the step that begins at a time.
+// meanFreeSlots returns the mean number of free slots in the step that begins at from.
 func (t *targetTraffic) meanFreeSlots(from time.Time) float64 {
 	sum := 0
 	for i := range samplesPerStep {
@@ -190,16 +199,17 @@
 	return float64(sum) / samplesPerStep
 }
 
-// countBefore returns how many of the sorted times are before another.
+// countBefore returns how many of the sorted times are before at.
 func countBefore(sorted []time.Time, at time.Time) int {
 	n, _ := slices.BinarySearchFunc(sorted, at, time.Time.Compare)
 	return n
 }
 
-// maxTargetsShown bounds the targets that are listed for people.
+// maxTargetsShown limits the targets that Write lists.
 const maxTargetsShown = 10
 
-// Write renders the targets with the most refusals for people, and sums of all.
+// Write prints a table of the targets with the most refusals and the totals of all
+// targets.
 func (o *Overload) Write(w io.Writer) {
 	if len(o.Targets) == 0 {
 		return
@@ -217,6 +227,6 @@
 	fmt.Fprintf(w, "refused for the load of %d targets: %d, of them %d with a free slot there; at most %.0f could have been served\n",
 		len(o.Targets), sum.Refused, sum.RefusedIdle, sum.Servable)
 	if o.Unknown > 0 {
-		fmt.Fprintf(w, "and %d at targets whose slots no line names\n", o.Unknown)
+		fmt.Fprintf(w, "and %d at targets whose slots or service time are unknown\n", o.Unknown)
 	}
 }
--- a/internal/ctl/overload_test.go
+++ b/internal/ctl/overload_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answeredLine is the line on a request that a target answered.
+// answeredLine returns the log line of a request that a target answered.
 func answeredLine(at time.Duration, target string, load int, took time.Duration) string {
 	return requestLine(at, fmt.Sprintf(`"status":200,"reason":"answered","attempts":["%s load %d expected 0ms took %dms 200"]`, target, load, took.Milliseconds()))
 }
 
-// refusedLine is the line on a request that was refused since a target had too much.
+// refusedLine returns the log line of a request that was refused because a target was full.
 func refusedLine(at time.Duration, target string, slots int) string {
 	return requestLine(at, fmt.Sprintf(`"status":503,"reason":"all full","attempts":[],"refusedOn":"%s own 0 others 9 likely 0.0 slots %d slowness 1.00"`, target, slots))
 }
@@ -36,7 +36,7 @@
 	return s.summary()
 }
 
-// Guards against refusals at a busy target that are taken for ones that it could have served.
+// Guards against counting refusals at a busy target as requests that it could have served.
 func TestOverloadCountsInFlightRequestsOfAllVMs(t *testing.T) {
 	const ms = time.Millisecond
 	o := overloadOf(t,
--- a/internal/ctl/summary.go
+++ b/internal/ctl/summary.go
@@ -17,54 +17,55 @@
 	"hemlockquay/internal/chart"
 )
 
-// RequestSummary is what collected logs say of how requests ended: where they were lost, when,
-// and for which of the daemons' own reasons.
+// RequestSummary counts the requests in collected logs by outcome, with the reasons that
+// the daemons logged and the times, routes, targets and keys concerned.
 type RequestSummary struct {
-	// From is the second of the first request; seconds below count from it.
+	// From is the time of the first logged request, truncated to a second.
+	// Outcome.Seconds counts from it.
 	From     time.Time `json:"from"`
 	Requests int       `json:"requests"`
-	// Outcomes are in order of their number.
+	// Outcomes are sorted by number of requests, the most frequent first.
 	Outcomes []*Outcome `json:"outcomes"`
 	Overload *Overload  `json:"overload"`
-	// Skipped counts lines that are no log lines of a daemon.
+	// Skipped counts the input lines that are not log lines of a daemon.
 	Skipped int `json:"skipped"`
 }
 
-// Outcome is the requests that ended in one way.
+// Outcome summarises the requests with the same status and reason.
 type Outcome struct {
-	// Status is what the caller got, 0 where it had left.
+	// Status is the HTTP status that the caller got, 0 if it had disconnected.
 	Status   int    `json:"status"`
 	Reason   string `json:"reason"`
 	Requests int    `json:"requests"`
-	// Took are quantiles of the time from a request's headers to its end.
+	// Took is the time from the receipt of a request's headers to its end.
 	Took Quantiles `json:"took"`
-	// Routes, Targets and Keys are the most frequent ones. The target is the one that
-	// the refusal was decided on, or the last that the request was sent to.
+	// Routes, Targets and Keys are the most frequent ones. A request counts for the
+	// target whose state led to its refusal, else for the last one it was sent to.
 	Routes  []NameCount `json:"routes"`
 	Targets []NameCount `json:"targets,omitempty"`
 	Keys    []NameCount `json:"keys,omitempty"`
-	// Seconds counts the requests by second.
+	// Seconds holds the number of requests in each second from RequestSummary.From on.
 	Seconds []int `json:"seconds"`
 }
 
-// NameCount is a part of an outcome's requests.
+// NameCount is how many of an outcome's requests concern a route, target or key.
 type NameCount struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
 }
 
 const (
-	// maxNamesShown bounds the routes, targets and keys of an outcome.
+	// maxNamesShown limits the routes, targets and keys that are listed for an outcome.
 	maxNamesShown = 3
-	// maxOutcomesShown bounds the curves of a plot.
+	// maxOutcomesShown limits the outcomes in a plot and in the table by second.
 	maxOutcomesShown = 7
-	// maxTookMicros bounds the times that are distinguished, microseconds, at tookSignificantDigits
-	// significant digits.
+	// maxTookMicros is the upper bound of the histogram of request times, in
+	// microseconds, and tookSignificantDigits its precision.
 	maxTookMicros         = int64(time.Minute / time.Microsecond)
 	tookSignificantDigits = 2
 )
 
-// SummariseRequests reads collected logs and sums the lines on requests.
+// SummariseRequests reads collected logs and summarises the lines about requests.
 func SummariseRequests(files []string) (*RequestSummary, error) {
 	all, skipped, err := readLogs(files)
 	if err != nil {
@@ -85,7 +86,7 @@
 	reason string
 }
 
-// summaryBuilder sums lines that come in order of time.
+// summaryBuilder summarises lines about requests, which must be added in order of time.
 type summaryBuilder struct {
 	from     time.Time
 	requests int
@@ -124,7 +125,7 @@
 	}
 	o.Seconds[second]++
 	took, _ := l.Fields["took"].(float64)
-	// Beyond the histogram's bound a time counts as the bound.
+	// A time above the histogram's upper bound counts as the bound.
 	_ = o.took.RecordValue(min(int64(took*float64(time.Millisecond/time.Microsecond)), maxTookMicros))
 	o.routes[asString(l.Fields["route"])]++
 	if target := decidingTarget(l); target != "" {
@@ -135,7 +136,8 @@
 	}
 }
 
-// decidingTarget returns the target that the request's end was decided on.
+// decidingTarget returns the target whose state led to the request's refusal, else the
+// last one it was sent to, or "" if there is neither.
 func decidingTarget(l Line) string {
 	text := asString(l.Fields["refusedOn"])
 	if attempts, ok := l.Fields["attempts"].([]any); ok && text == "" && len(attempts) > 0 {
@@ -164,7 +166,7 @@
 	return out
 }
 
-// mostFrequent returns the most frequent names.
+// mostFrequent returns the maxNamesShown most frequent names.
 func mostFrequent(counts map[string]int) []NameCount {
 	var out []NameCount
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
@@ -174,8 +176,8 @@
 	return out[:min(len(out), maxNamesShown)]
 }
 
-// Write renders the sums for people: a line for each outcome, then the requests by
-// second.
+// Write prints a table of the outcomes, a table of the requests by second and the
+// overloaded targets.
 func (l *RequestSummary) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d requests from %s\n", l.Requests, l.From.Format("15:04:05"))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -215,7 +217,7 @@
 	_ = t.Flush()
 }
 
-// seconds returns how many seconds the requests span.
+// seconds returns the number of seconds that the logged requests span.
 func (l *RequestSummary) seconds() int {
 	n := 0
 	for _, o := range l.Outcomes {
@@ -231,10 +233,10 @@
 	return o.Seconds[second]
 }
 
-var errNoRequests = errors.New("the logs hold no requests")
+var errNoRequests = errors.New("the logs contain no lines about requests")
 
-// Plot draws the requests by second, a curve for each of the most frequent outcomes,
-// into a file whose ending names the format.
+// Plot draws the requests by second, with a curve for each of the most frequent outcomes.
+// The extension of the file selects the format.
 func (l *RequestSummary) Plot(file string) error {
 	if l.Requests == 0 {
 		return fmt.Errorf("plot %s: %w", file, errNoRequests)
--- a/internal/ctl/summary_test.go
+++ b/internal/ctl/summary_test.go
@@ -19,8 +19,8 @@
 {"time":"2026-01-01T10:00:03.500Z","process":"hq-gateway","vm":"vm-b","step":"request","route":"r-2","status":503,"reason":"all full","took":0.2,"refusedOn":"t-2 own 2 others 8","key":9,"message":"request ended"}
 `
 
-// On a bad day thousands of requests were refused. The sums lead to the target and the
-// key that most of them were about, and to the seconds in which it happened.
+// Guards against a summary that does not show the cause of many refusals: it must name
+// the reason, the targets and keys that most of them concern, and the seconds.
 func TestSummaryCountsReasonTargetKeyAndSecond(t *testing.T) {
 	dir := t.TempDir()
 	files := []string{filepath.Join(dir, "a"), filepath.Join(dir, "b")}
@@ -63,7 +63,7 @@
 	require.Error(t, err)
 }
 
-// Guards against sums that take the inputs of a refusal for a target.
+// Guards against parsing the values in decidedOn, which led to the refusal, as a target.
 func TestRefusalWithoutRetriesCountsForLastTriedTarget(t *testing.T) {
 	l := Line{Fields: map[string]any{
 		"decidedOn": "saved 0.4 most 11.8 requests 852 vms 10 age 5200ms",
--- a/internal/ctl/wait.go
+++ b/internal/ctl/wait.go
@@ -7,36 +7,35 @@
 	"time"
 )
 
-// pollInterval is the pause between two looks at the VMs.
+// pollInterval is the pause between two queries of the VMs' states.
 const pollInterval = 100 * time.Millisecond
 
-// LagError says that the wait ended before a version was in force everywhere.
+// LagError reports that a wait ended before a version was in force on every VM.
 type LagError struct {
 	Version uint64 `json:"version"`
-	// VMs names each VM that lags and the revision it has in force.
+	// VMs are the VMs on which the version is not yet in force.
 	VMs []VM `json:"vms"`
-	// Cause is why nothing is known, where no agent answered.
+	// Cause is set if the state of the VMs is unknown because no agent answered.
 	Cause error `json:"-"`
 }
 
-// Error names the VMs that lag.
+// Error lists the VMs on which the version is not in force, with the revision that is.
 func (l *LagError) Error() string {
 	if l.Cause != nil {
-		return fmt.Sprintf("version %d is stored; whether it is in force is not known: %v", l.Version, l.Cause)
+		return fmt.Sprintf("version %d is stored, but it is unknown whether it is in force: %v", l.Version, l.Cause)
 	}
 	names := make([]string, len(l.VMs))
 	for i, vm := range l.VMs {
 		names[i] = fmt.Sprintf("%s (%s, revision %d)", vm.Name, vm.State, vm.InForce)
 	}
-	return fmt.Sprintf("version %d is stored; not yet in force on %s", l.Version, strings.Join(names, ", "))
+	return fmt.Sprintf("version %d is stored, but not yet in force on %s", l.Version, strings.Join(names, ", "))
 }
 
-// Unwrap returns the cause.
 func (l *LagError) Unwrap() error { return l.Cause }
 
-// Wait returns once every live VM has the version in force, or a *LagError when
-// the context ends. A VM that is listed and silent lags: nobody knows what it
-// does. One that leaves takes no new work and is not waited for.
+// Wait returns nil once the version is in force on every VM, or a *LagError when the
+// context ends. It also waits for silent VMs, as they may still be working with an older
+// version, but not for leaving ones, as they take no new work.
 func (f *Fleet) Wait(ctx context.Context, version uint64) error {
 	outcome := &LagError{Version: version, Cause: errNoAgent}
 	for {
