--- a/internal/ctl/cli/cli.go
+++ b/internal/ctl/cli/cli.go
@@ -67,9 +67,9 @@
 }
 
 // print writes v as JSON, or calls human.
-func (a *app) print(v any, human func(io.Writer)) error {
+func (a *app) print(v any, writeText func(io.Writer)) error {
 	if !a.JSON {
-		human(a.out)
+		writeText(a.out)
 		return nil
 	}
 	text, err := json.MarshalIndent(v, "", "  ")
@@ -80,8 +80,8 @@
 	return err
 }
 
-// table writes rows in aligned columns, the first row the heading.
-func table(w io.Writer, rows [][]string) {
+// writeTable writes rows in aligned columns, the first row the heading.
+func writeTable(w io.Writer, rows [][]string) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
 		for i, cell := range row {
@@ -145,7 +145,7 @@
 // Code returns the exit code of an error.
 func Code(err error) int {
 	var usage *flags.Error
-	var bad *settings.Error
+	var invalid *settings.Error
 	var lagging *ctl.LagError
 	switch {
 	case err == nil:
@@ -154,7 +154,7 @@
 		return ExitLagging
 	case errors.Is(err, platform.ErrConflict), errors.Is(err, errDiffers):
 		return ExitConflict
-	case errors.As(err, &usage), errors.As(err, &bad), errors.Is(err, os.ErrNotExist):
+	case errors.As(err, &usage), errors.As(err, &invalid), errors.Is(err, os.ErrNotExist):
 		return ExitUsage
 	}
 	return ExitFailure
@@ -162,22 +162,22 @@
 
 func (a *app) addCommands(p *flags.Parser) {
 	for _, kind := range []model.Kind{model.KindContract, model.KindService} {
-		group := must(p.AddCommand(string(kind), "Work on "+string(kind)+" objects", "", &struct{}{}))
-		base := object{app: a, kind: kind}
-		must(group.AddCommand("get", "Print one with its version, as a file for apply", "", &get{object: base}))
-		must(group.AddCommand("list", "List all", "", &list{object: base}))
-		must(group.AddCommand("check", "Check files as every program will", "", &check{object: base}))
-		must(group.AddCommand("diff", "Compare a file with the stored object", "", &diff{object: base}))
-		must(group.AddCommand("apply", "Write objects from files", "", &apply{object: base}))
-		must(group.AddCommand("delete", "Delete one at the version read", "", &remove{object: base}))
+		group := mustAdd(p.AddCommand(string(kind), "Work on "+string(kind)+" objects", "", &struct{}{}))
+		base := objectCommand{app: a, kind: kind}
+		mustAdd(group.AddCommand("get", "Print one with its version, as a file for apply", "", &get{objectCommand: base}))
+		mustAdd(group.AddCommand("list", "List all", "", &list{objectCommand: base}))
+		mustAdd(group.AddCommand("check", "Check files as every program will", "", &check{objectCommand: base}))
+		mustAdd(group.AddCommand("diff", "Compare a file with the stored object", "", &diff{objectCommand: base}))
+		mustAdd(group.AddCommand("apply", "Write objects from files", "", &apply{objectCommand: base}))
+		mustAdd(group.AddCommand("delete", "Delete one at the version read", "", &remove{objectCommand: base}))
 	}
-	must(p.AddCommand("status", "Show every VM and what it has in force", "", &status{app: a}))
-	must(p.AddCommand("dump", "Print the whole state of a daemon", "", &dump{app: a}))
-	must(p.AddCommand("drill", "Measure how long changes of a contract take to be in force everywhere", "", &drill{app: a}))
-	must(p.AddCommand("explain", "Tell what the VMs did about a key, customer, target, service or request id; with --log alone, how all requests ended", "", &explain{app: a}))
+	mustAdd(p.AddCommand("status", "Show every VM and what it has in force", "", &status{app: a}))
+	mustAdd(p.AddCommand("dump", "Print the whole state of a daemon", "", &dump{app: a}))
+	mustAdd(p.AddCommand("drill", "Measure how long changes of a contract take to be in force everywhere", "", &drill{app: a}))
+	mustAdd(p.AddCommand("explain", "Tell what the VMs did about a key, customer, target, service or request id; with --log alone, how all requests ended", "", &explain{app: a}))
 }
 
-func must(c *flags.Command, err error) *flags.Command {
+func mustAdd(c *flags.Command, err error) *flags.Command {
 	if err != nil {
 		panic(err)
 	}
--- a/internal/ctl/cli/fleet.go
+++ b/internal/ctl/cli/fleet.go
@@ -21,16 +21,16 @@
 	if err != nil {
 		return err
 	}
-	return c.app.print(vms, func(w io.Writer) { showVMs(w, vms) })
+	return c.app.print(vms, func(w io.Writer) { writeVMs(w, vms) })
 }
 
-func showVMs(w io.Writer, vms []ctl.VM) {
+func writeVMs(w io.Writer, vms []ctl.VM) {
 	rows := [][]string{{"VM", "DATA CENTRE", "STATE", "IN FORCE", "HELD", "WATCHES STORE", "PROBLEMS"}}
 	for _, vm := range vms {
 		rows = append(rows, []string{vm.Name, vm.DataCentre, vm.State, strconv.FormatUint(vm.InForce, 10),
 			strconv.FormatUint(vm.Held, 10), strconv.FormatBool(vm.Watching), orDash(strings.Join(vm.Problems, "; "))})
 	}
-	table(w, rows)
+	writeTable(w, rows)
 }
 
 type dump struct {
@@ -68,7 +68,7 @@
 func (c *explain) Execute([]string) error {
 	switch {
 	case c.Args.Subject == "" && len(c.Logs) > 0:
-		return c.losses()
+		return c.summarise()
 	case c.Args.Subject == "":
 		return errNoSubject
 	case len(c.Logs) > 0:
@@ -87,8 +87,8 @@
 	return c.app.print(account, func(w io.Writer) { fmt.Fprint(w, account.Text()) })
 }
 
-// losses sums the requests of collected logs by their outcome.
-func (c *explain) losses() error {
+// summarise sums the requests of collected logs by their outcome.
+func (c *explain) summarise() error {
 	sums, err := ctl.SummariseRequests(c.Logs)
 	if err != nil {
 		return err
@@ -120,14 +120,14 @@
 	}
 	return c.app.print(d, func(w io.Writer) {
 		fmt.Fprintf(w, "%d changes, %d daemons, %d not seen\n", d.Changes, d.Daemons, d.Missing)
-		table(w, [][]string{
+		writeTable(w, [][]string{
 			{"ACCEPTED TO IN FORCE", "P50 MS", "P99 MS", "MAX MS"},
-			append([]string{"on one daemon"}, cells(d.PerDaemon)...),
-			append([]string{"on the last daemon"}, cells(d.Everywhere)...),
+			append([]string{"on one daemon"}, quantileCells(d.PerDaemon)...),
+			append([]string{"on the last daemon"}, quantileCells(d.Everywhere)...),
 		})
 	})
 }
 
-func cells(s ctl.Quantiles) []string {
+func quantileCells(s ctl.Quantiles) []string {
 	return []string{fmt.Sprintf("%.1f", s.P50), fmt.Sprintf("%.1f", s.P99), fmt.Sprintf("%.1f", s.Max)}
 }
--- a/internal/ctl/cli/objects.go
+++ b/internal/ctl/cli/objects.go
@@ -13,8 +13,8 @@
 	"hemlockquay/internal/settings"
 )
 
-// object is what the commands on objects share.
-type object struct {
+// objectCommand is what the commands on objects share.
+type objectCommand struct {
 	app  *app
 	kind model.Kind
 }
@@ -28,7 +28,7 @@
 }
 
 type get struct {
-	object
+	objectCommand
 	Args nameArg `positional-args:"yes"`
 }
 
@@ -47,7 +47,7 @@
 	return c.app.print(o, func(w io.Writer) { _, _ = w.Write(text) })
 }
 
-type list struct{ object }
+type list struct{ objectCommand }
 
 // Execute implements flags.Commander.
 func (c *list) Execute([]string) error {
@@ -62,10 +62,10 @@
 	for _, o := range l.Objects {
 		if o.Kind == c.kind {
 			objects = append(objects, o)
-			rows = append(rows, row(o))
+			rows = append(rows, objectRow(o))
 		}
 	}
-	return c.app.print(objects, func(w io.Writer) { table(w, rows) })
+	return c.app.print(objects, func(w io.Writer) { writeTable(w, rows) })
 }
 
 func heading(kind model.Kind) []string {
@@ -75,7 +75,7 @@
 	return []string{"CUSTOMER", "VERSION", "SERVICES", "END", "PROBLEM"}
 }
 
-func row(o platform.Object) []string {
+func objectRow(o platform.Object) []string {
 	version := strconv.FormatUint(o.Version, 10)
 	decoded, err := model.Decode(o.Kind, o.Name, o.Spec)
 	switch typed := decoded.(type) {
@@ -100,7 +100,7 @@
 }
 
 type check struct {
-	object
+	objectCommand
 	Args filesArg `positional-args:"yes"`
 }
 
@@ -115,7 +115,7 @@
 			return err
 		}
 		if c.app.options.Store != "" {
-			if err := c.cross(ctx, o); err != nil {
+			if err := c.crossCheck(ctx, o); err != nil {
 				return err
 			}
 		}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// cross warns of, or refuses, what does not go with the stored objects.
-func (o *object) cross(ctx context.Context, mine platform.Object) error {
+// crossCheck warns of, or refuses, what does not go with the stored objects.
+func (o *objectCommand) crossCheck(ctx context.Context, mine platform.Object) error {
 	l, err := o.app.store().List(ctx)
 	if err != nil {
 		return err
@@ -138,7 +138,7 @@
 }
 
 type diff struct {
-	object
+	objectCommand
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"yes"`
 	} `positional-args:"yes"`
@@ -162,7 +162,7 @@
 		for _, d := range differences {
 			rows = append(rows, []string{d.Pointer, orDash(d.Stored), orDash(d.Local)})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	})
 	if err == nil && len(differences) > 0 {
 		return errDiffers
@@ -171,7 +171,7 @@
 }
 
 type apply struct {
-	object
+	objectCommand
 	Read uint64   `long:"read" value-name:"N" description:"the version that you read; else the file's line // version: N, else the object must be new"`
 	Wait bool     `long:"wait" description:"return once every live VM has it in force"`
 	Args filesArg `positional-args:"yes"`
@@ -196,7 +196,7 @@
 		newest = max(newest, r.Version)
 		done = append(done, r)
 		if !c.app.JSON {
-			fmt.Fprintf(c.app.out, "%s %s: version %d, %s\n", r.Kind, r.Name, r.Version, changed(r))
+			fmt.Fprintf(c.app.out, "%s %s: version %d, %s\n", r.Kind, r.Name, r.Version, changeText(r))
 		}
 	}
 	if c.app.JSON {
@@ -210,7 +210,7 @@
 	return c.app.fleet().Wait(ctx, newest)
 }
 
-func changed(r ctl.ApplyResult) string {
+func changeText(r ctl.ApplyResult) string {
 	if r.Changed {
 		return "changed"
 	}
@@ -230,7 +230,7 @@
 		if c.Read > 0 {
 			o.Version = c.Read
 		}
-		if err := c.cross(ctx, o); err != nil {
+		if err := c.crossCheck(ctx, o); err != nil {
 			return nil, err
 		}
 		objects = append(objects, o)
@@ -239,7 +239,7 @@
 }
 
 type remove struct {
-	object
+	objectCommand
 	Read uint64  `long:"read" value-name:"N" required:"yes" description:"the version that you read"`
 	Args nameArg `positional-args:"yes"`
 }
@@ -249,7 +249,7 @@
 	ctx, cancel := c.app.context()
 	defer cancel()
 	if c.kind == model.KindService {
-		if err := c.warnOfUsers(ctx); err != nil {
+		if err := c.warnOfContracts(ctx); err != nil {
 			return err
 		}
 	}
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (c *remove) warnOfUsers(ctx context.Context) error {
+func (c *remove) warnOfContracts(ctx context.Context) error {
 	l, err := c.app.store().List(ctx)
 	if err != nil {
 		return err
