--- a/internal/ctl/cli/cli.go
+++ b/internal/ctl/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of hqctl: human tables by default, JSON on
-// request, and an exit code for each outcome that a script has to distinguish.
+// Package cli implements the command line of hqctl. Commands print text by default and
+// JSON on request, and return an exit code for each outcome that scripts distinguish.
 package cli
 
 import (
@@ -26,22 +26,21 @@
 // Exit codes.
 const (
 	ExitOK = 0
-	// ExitFailure: the store or a VM did not answer, or refused.
+	// ExitFailure: the store or a VM did not answer or returned an error.
 	ExitFailure = 1
-	// ExitUsage: wrong command line, or an invalid file.
+	// ExitUsage: the command line or a file is invalid.
 	ExitUsage = 2
-	// ExitConflict: another version is stored than the one read, or diff found
-	// a difference. Nothing was written.
+	// ExitConflict: the stored version is not the one read, or diff found a
+	// difference. Nothing was written.
 	ExitConflict = 3
-	// ExitLagging: the version is stored, and not in force everywhere within
-	// the time of --wait.
+	// ExitLagging: the version is stored, but was not in force on all VMs before
+	// --wait timed out.
 	ExitLagging = 4
 )
 
-// errDiffers says that diff found a difference.
 var errDiffers = errors.New("the file differs from the stored object")
 
-// options are the flags of every command.
+// options are the flags that all commands accept.
 type options struct {
 	Store   string        `long:"store" env:"HQ_STORE" description:"base URL of the platform's object API"`
 	Agents  []string      `long:"agent" env:"HQ_AGENTS" env-delim:"," value-name:"IP:PORT" description:"admin address of an agent, for when the store is down; may be repeated"`
@@ -50,7 +49,7 @@
 	Version func()        `long:"version" description:"print the version and exit"`
 }
 
-// app is one run of hqctl.
+// app holds the options and output streams of one run of hqctl.
 type app struct {
 	options
 	out, log io.Writer
@@ -66,7 +65,7 @@
 	return &ctl.Fleet{Store: a.store(), Agents: a.Agents, HTTP: http.DefaultClient}
 }
 
-// print writes v as JSON, or calls human.
+// print writes v as JSON if --json is given, else it calls writeText.
 func (a *app) print(v any, writeText func(io.Writer)) error {
 	if !a.JSON {
 		writeText(a.out)
@@ -80,7 +79,7 @@
 	return err
 }
 
-// writeTable writes rows in aligned columns, the first row the heading.
+// writeTable writes rows in aligned columns; the first row is the heading.
 func writeTable(w io.Writer, rows [][]string) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
@@ -95,7 +94,7 @@
 	_ = t.Flush()
 }
 
-// Run carries out the command line and returns the exit code.
+// Run executes the command line and returns the exit code.
 func Run(args []string, out, log io.Writer) int {
 	a := &app{out: out, log: log}
 	exit := -1
@@ -125,7 +124,8 @@
 	return a.report(err)
 }
 
-// report prints the error, as JSON too where it has parts, and returns its code.
+// report logs the error and returns its exit code. With --json it also prints a conflict
+// or lag error as JSON.
 func (a *app) report(err error) int {
 	if err == nil {
 		return ExitOK
@@ -162,19 +162,19 @@
 
 func (a *app) addCommands(p *flags.Parser) {
 	for _, kind := range []model.Kind{model.KindContract, model.KindService} {
-		group := mustAdd(p.AddCommand(string(kind), "Work on "+string(kind)+" objects", "", &struct{}{}))
+		group := mustAdd(p.AddCommand(string(kind), "Manage "+string(kind)+" objects", "", &struct{}{}))
 		base := objectCommand{app: a, kind: kind}
-		mustAdd(group.AddCommand("get", "Print one with its version, as a file for apply", "", &get{objectCommand: base}))
-		mustAdd(group.AddCommand("list", "List all", "", &list{objectCommand: base}))
-		mustAdd(group.AddCommand("check", "Check files as every program will", "", &check{objectCommand: base}))
+		mustAdd(group.AddCommand("get", "Print an object with its version, as a file for apply", "", &get{objectCommand: base}))
+		mustAdd(group.AddCommand("list", "List all objects", "", &list{objectCommand: base}))
+		mustAdd(group.AddCommand("check", "Validate files in the same way as agents and daemons do", "", &check{objectCommand: base}))
 		mustAdd(group.AddCommand("diff", "Compare a file with the stored object", "", &diff{objectCommand: base}))
 		mustAdd(group.AddCommand("apply", "Write objects from files", "", &apply{objectCommand: base}))
-		mustAdd(group.AddCommand("delete", "Delete one at the version read", "", &remove{objectCommand: base}))
+		mustAdd(group.AddCommand("delete", "Delete an object if its version is still the one read", "", &remove{objectCommand: base}))
 	}
-	mustAdd(p.AddCommand("status", "Show every VM and what it has in force", "", &status{app: a}))
-	mustAdd(p.AddCommand("dump", "Print the whole state of a daemon", "", &dump{app: a}))
-	mustAdd(p.AddCommand("drill", "Measure how long changes of a contract take to be in force everywhere", "", &drill{app: a}))
-	mustAdd(p.AddCommand("explain", "Tell what the VMs did about a key, customer, target, service or request id; with --log alone, how all requests ended", "", &explain{app: a}))
+	mustAdd(p.AddCommand("status", "Show all VMs and the revision in force on each", "", &status{app: a}))
+	mustAdd(p.AddCommand("dump", "Print the complete state of a daemon", "", &dump{app: a}))
+	mustAdd(p.AddCommand("drill", "Measure how long changes of a contract take to come into force on all daemons", "", &drill{app: a}))
+	mustAdd(p.AddCommand("explain", "Show what the VMs did about a key, customer, target, service or request ID; with --log and no subject, summarise how all requests ended", "", &explain{app: a}))
 }
 
 func mustAdd(c *flags.Command, err error) *flags.Command {
--- a/internal/ctl/cli/fleet.go
+++ b/internal/ctl/cli/fleet.go
@@ -87,7 +87,7 @@
 	return c.app.print(account, func(w io.Writer) { fmt.Fprint(w, account.Text()) })
 }
 
-// summarise sums the requests of collected logs by their outcome.
+// summarise prints, and with --plot draws, the requests in collected logs by outcome.
 func (c *explain) summarise() error {
 	sums, err := ctl.SummariseRequests(c.Logs)
 	if err != nil {
@@ -119,7 +119,7 @@
 		return err
 	}
 	return c.app.print(d, func(w io.Writer) {
-		fmt.Fprintf(w, "%d changes, %d daemons, %d not seen\n", d.Changes, d.Daemons, d.Missing)
+		fmt.Fprintf(w, "%d changes, %d daemons, %d journal entries missing\n", d.Changes, d.Daemons, d.Missing)
 		writeTable(w, [][]string{
 			{"ACCEPTED TO IN FORCE", "P50 MS", "P99 MS", "MAX MS"},
 			append([]string{"on one daemon"}, quantileCells(d.PerDaemon)...),
--- a/internal/ctl/cli/objects.go
+++ b/internal/ctl/cli/objects.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/settings"
 )
 
-// objectCommand is what the commands on objects share.
+// objectCommand holds the fields that all commands on objects share.
 type objectCommand struct {
 	app  *app
 	kind model.Kind
@@ -104,7 +104,7 @@
 	Args filesArg `positional-args:"yes"`
 }
 
-// Execute implements flags.Commander. With --store it also compares with the
+// Execute implements flags.Commander. With --store it also checks the files against the
 // stored objects.
 func (c *check) Execute([]string) error {
 	ctx, cancel := c.app.context()
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// crossCheck warns of, or refuses, what does not go with the stored objects.
+// crossCheck checks an object against the stored ones. It logs warnings and returns an
+// error if the object must not be written.
 func (o *objectCommand) crossCheck(ctx context.Context, mine platform.Object) error {
 	l, err := o.app.store().List(ctx)
 	if err != nil {
@@ -177,7 +178,7 @@
 	Args filesArg `positional-args:"yes"`
 }
 
-// Execute implements flags.Commander. All files are checked before the first is
+// Execute implements flags.Commander. All files are checked before the first object is
 // written.
 func (c *apply) Execute([]string) error {
 	ctx, cancel := c.app.context()
@@ -214,12 +215,12 @@
 	if r.Changed {
 		return "changed"
 	}
-	return "was the same already"
+	return "unchanged"
 }
 
 func (c *apply) read(ctx context.Context) ([]platform.Object, error) {
 	if c.Read > 0 && len(c.Args.Files) > 1 {
-		return nil, &settings.Error{Source: "command line", Line: 1, Reason: "--read goes with one file"}
+		return nil, &settings.Error{Source: "command line", Line: 1, Reason: "--read can be used with one file only"}
 	}
 	var objects []platform.Object
 	for _, file := range c.Args.Files {
@@ -267,7 +268,7 @@
 		return err
 	}
 	for _, customer := range ctl.ContractsUsing(c.Args.Name, l.Objects) {
-		fmt.Fprintf(c.app.log, "warning: contract %s names service %s\n", customer, c.Args.Name)
+		fmt.Fprintf(c.app.log, "warning: contract %s refers to service %s\n", customer, c.Args.Name)
 	}
 	return nil
 }
