--- a/internal/ctl/race_test.go
+++ b/internal/ctl/apply_test.go
@@ -15,7 +15,7 @@
 	"hemlockquay/internal/platform/memstore"
 )
 
-// fault is what happens to an operator's first write.
+// fault is the fault of an operator's first write.
 type fault int
 
 const (
@@ -24,26 +24,26 @@
 	requestLost
 )
 
-// gate lets one operator's store calls pass only in its turns.
-type gate struct {
+// steppedStore makes each store call of one operator wait for a turn.
+type steppedStore struct {
 	platform.Store
 	turns chan chan struct{}
 	fault fault
 	tags  *[]string
 }
 
-func (g *gate) turn() func() {
+func (g *steppedStore) awaitTurn() func() {
 	done := <-g.turns
 	return func() { done <- struct{}{} }
 }
 
-func (g *gate) Get(ctx context.Context, id platform.ID) (platform.Object, error) {
-	defer g.turn()()
+func (g *steppedStore) Get(ctx context.Context, id platform.ID) (platform.Object, error) {
+	defer g.awaitTurn()()
 	return g.Store.Get(ctx, id)
 }
 
-func (g *gate) Put(ctx context.Context, o platform.Object) (platform.Object, error) {
-	defer g.turn()()
+func (g *steppedStore) Put(ctx context.Context, o platform.Object) (platform.Object, error) {
+	defer g.awaitTurn()()
 	f := g.fault
 	g.fault = none
 	if f == requestLost {
@@ -59,7 +59,7 @@
 	return written, err
 }
 
-func limits(rate float64, version uint64) platform.Object {
+func contractObject(rate float64, version uint64) platform.Object {
 	spec, _ := json.Marshal(model.Contract{
 		Customer: "a", TokenSHA256: fmt.Sprintf("%064x", 1),
 		Services: []model.Allowance{{Service: "s", Rate: rate, Burst: 1, Concurrency: 1, Class: model.Interactive, Weight: 1}},
@@ -67,11 +67,11 @@
 	return platform.Object{Kind: model.KindContract, Name: "a", Version: version, Spec: spec}
 }
 
-// maxCalls is the most store calls that one Apply makes: read, write, settle,
-// write again, settle its conflict, read what won.
+// maxCalls is the largest number of store calls of one Apply: read, write, check
+// after a lost answer, write again, check after its conflict, read the winner's object.
 const maxCalls = 6
 
-// interleavings returns every order of n turns of each of two operators.
+// interleavings returns every order in which two operators can take n turns each.
 func interleavings(n int) [][]int {
 	var out [][]int
 	var walk func(order []int, left [2]int)
@@ -92,44 +92,44 @@
 	return out
 }
 
-// Two operators read the same contract and apply different limits. The second
-// write undoes the first without a word, or a lost answer makes the accepted
-// one look refused. Over all orders of their store calls and every loss of a
-// first write, one is accepted, the other sees the difference, and the accepted
-// one was written once.
-func TestRacingOperatorsOneAcceptedOneConflict(t *testing.T) {
+// Guards against lost updates and wrongly reported conflicts. Two operators read the same
+// contract and apply different limits: the second write could silently overwrite the first
+// one, or a lost answer could make the accepted write look refused. For all orders of
+// their store calls, and all faults of their first writes, one write must succeed and be
+// stored once, and the other must fail with the differences.
+func TestConcurrentAppliesGiveOneSuccessAndOneConflict(t *testing.T) {
 	orders := interleavings(maxCalls)
 	require.Len(t, orders, 924)
 	for _, order := range orders {
 		for faults := range 9 {
-			synctest.Test(t, func(t *testing.T) { race(t, order, fault(faults%3), fault(faults/3)) })
+			synctest.Test(t, func(t *testing.T) { runRace(t, order, fault(faults%3), fault(faults/3)) })
 		}
 	}
 }
 
-func race(t *testing.T, order []int, first, second fault) {
+func runRace(t *testing.T, order []int, first, second fault) {
 	t.Helper()
 	ctx := context.Background()
 	mem := memstore.New()
-	base, err := mem.Put(ctx, limits(10, 0))
+	base, err := mem.Put(ctx, contractObject(10, 0))
 	require.NoError(t, err)
 	var tags []string
-	gates := [2]*gate{
+	stores := [2]*steppedStore{
 		{Store: mem, turns: make(chan chan struct{}), fault: first, tags: &tags},
 		{Store: mem, turns: make(chan chan struct{}), fault: second, tags: &tags},
 	}
 	var errs [2]error
 	ended := [2]chan struct{}{make(chan struct{}), make(chan struct{})}
-	for i := range gates {
+	for i := range stores {
 		go func() {
 			defer close(ended[i])
-			_, errs[i] = Apply(ctx, gates[i], limits(float64(20+i), base.Version))
+			_, errs[i] = Apply(ctx, stores[i], contractObject(float64(20+i), base.Version))
 		}()
 	}
 	for _, i := range order {
 		done := make(chan struct{})
 		select {
-		case gates[i].turns <- done:
+		case stores[i].turns <- done:
 			<-done
 		case <-ended[i]:
 		}
@@ -141,53 +141,52 @@
 		winner = 1
 	}
 	require.NoError(t, errs[winner], "order %v faults %v %v", order, first, second)
-	var conflict *Conflict
+	var conflict *ConflictError
 	require.True(t, errors.As(errs[1-winner], &conflict), "order %v faults %v %v: %v", order, first, second, errs[1-winner])
 	require.Equal(t, []Difference{{"/services/0/rate", fmt.Sprint(20 + winner), fmt.Sprint(21 - winner)}}, conflict.Differences)
 	stored, err := mem.Get(ctx, base.ID())
 	require.NoError(t, err)
-	require.Empty(t, Diff(stored.Spec, limits(float64(20+winner), 0).Spec))
+	require.Empty(t, Diff(stored.Spec, contractObject(float64(20+winner), 0).Spec))
 	require.Len(t, tags, 1)
 }
 
-// An operator applies a file that names no version over a contract that is
-// stored: nobody knows what it is based on. It is refused, and the same content
-// is no change.
+// Guards against a file without a version overwriting a stored contract, as it is unknown
+// which version the file is based on. Applying the same content is not a change.
 func TestApplyWithoutVersionNeverOverwrites(t *testing.T) {
 	ctx := context.Background()
 	mem := memstore.New()
-	_, err := Apply(ctx, mem, limits(10, 0))
+	_, err := Apply(ctx, mem, contractObject(10, 0))
 	require.NoError(t, err)
-	again, err := Apply(ctx, mem, limits(10, 0))
+	again, err := Apply(ctx, mem, contractObject(10, 0))
 	require.NoError(t, err)
 	require.False(t, again.Changed)
-	_, err = Apply(ctx, mem, limits(11, 0))
+	_, err = Apply(ctx, mem, contractObject(11, 0))
 	require.ErrorIs(t, err, platform.ErrConflict)
 }
 
-// losing loses the answer of every deletion after its effect.
-type losing struct{ platform.Store }
+// lostDeleteAnswers is a store that carries out every deletion and loses its answer.
+type lostDeleteAnswers struct{ platform.Store }
 
-func (l losing) Delete(ctx context.Context, o platform.Object) error {
+func (l lostDeleteAnswers) Delete(ctx context.Context, o platform.Object) error {
 	_ = l.Store.Delete(ctx, o)
 	return platform.ErrAmbiguous
 }
 
-// The answer of a deletion is lost. The operator sees a failure and repeats it
-// against an object that a colleague has created anew meanwhile.
+// Guards against a deletion that is reported as failed because its answer was lost. The
+// operator would repeat it, and could delete an object created again in the meantime.
 func TestDeleteSettlesLostAnswer(t *testing.T) {
 	ctx := context.Background()
 	mem := memstore.New()
-	old, err := mem.Put(ctx, limits(10, 0))
+	old, err := mem.Put(ctx, contractObject(10, 0))
 	require.NoError(t, err)
-	require.NoError(t, Delete(ctx, losing{mem}, old.ID(), old.Version))
-	_, err = mem.Put(ctx, limits(10, 0))
+	require.NoError(t, Delete(ctx, lostDeleteAnswers{mem}, old.ID(), old.Version))
+	_, err = mem.Put(ctx, contractObject(10, 0))
 	require.NoError(t, err)
-	require.ErrorIs(t, Delete(ctx, losing{mem}, old.ID(), old.Version), platform.ErrConflict)
+	require.ErrorIs(t, Delete(ctx, lostDeleteAnswers{mem}, old.ID(), old.Version), platform.ErrConflict)
 }
 
 func TestRenderedFileKeepsItsVersion(t *testing.T) {
-	want := limits(10, 7)
+	want := contractObject(10, 7)
 	text, err := Render(want)
 	require.NoError(t, err)
 	got, err := Parse(model.KindContract, "a.jsonc", text)
@@ -196,10 +195,10 @@
 	require.Empty(t, Diff(want.Spec, got.Spec))
 }
 
-// Two customers get the same token. Whose limits a caller meets would depend on
-// the VM; the second is refused before it is written.
+// Guards against two customers with the same token: the limits that apply to a caller
+// would depend on the VM. The second contract must be rejected before it is written.
 func TestCrossCheckRefusesSharedToken(t *testing.T) {
-	mine := limits(10, 0)
+	mine := contractObject(10, 0)
 	warnings, err := CrossCheck(mine, nil)
 	require.NoError(t, err)
 	require.Len(t, warnings, 1)
--- a/internal/ctl/cli/objects.go
+++ b/internal/ctl/cli/objects.go
@@ -13,8 +13,8 @@
 	"hemlockquay/internal/settings"
 )
 
-// object is what the commands on objects share.
-type object struct {
+// objectCommand holds the fields that all commands on objects share.
+type objectCommand struct {
 	app  *app
 	kind model.Kind
 }
@@ -28,7 +28,7 @@
 }
 
 type get struct {
-	object
+	objectCommand
 	Args nameArg `positional-args:"yes"`
 }
 
@@ -47,7 +47,7 @@
 	return c.app.print(o, func(w io.Writer) { _, _ = w.Write(text) })
 }
 
-type list struct{ object }
+type list struct{ objectCommand }
 
 // Execute implements flags.Commander.
 func (c *list) Execute([]string) error {
@@ -62,10 +62,10 @@
 	for _, o := range l.Objects {
 		if o.Kind == c.kind {
 			objects = append(objects, o)
-			rows = append(rows, row(o))
+			rows = append(rows, objectRow(o))
 		}
 	}
-	return c.app.print(objects, func(w io.Writer) { table(w, rows) })
+	return c.app.print(objects, func(w io.Writer) { writeTable(w, rows) })
 }
 
 func heading(kind model.Kind) []string {
@@ -75,7 +75,7 @@
 	return []string{"CUSTOMER", "VERSION", "SERVICES", "END", "PROBLEM"}
 }
 
-func row(o platform.Object) []string {
+func objectRow(o platform.Object) []string {
 	version := strconv.FormatUint(o.Version, 10)
 	decoded, err := model.Decode(o.Kind, o.Name, o.Spec)
 	switch typed := decoded.(type) {
@@ -100,11 +100,11 @@
 }
 
 type check struct {
-	object
+	objectCommand
 	Args filesArg `positional-args:"yes"`
 }
 
-// Execute implements flags.Commander. With --store it also compares with the
+// Execute implements flags.Commander. With --store it also checks the files against the
 // stored objects.
 func (c *check) Execute([]string) error {
 	ctx, cancel := c.app.context()
@@ -115,7 +115,7 @@
 			return err
 		}
 		if c.app.options.Store != "" {
-			if err := c.cross(ctx, o); err != nil {
+			if err := c.crossCheck(ctx, o); err != nil {
 				return err
 			}
 		}
@@ -124,8 +124,9 @@
 	return nil
 }
 
-// cross warns of, or refuses, what does not go with the stored objects.
-func (o *object) cross(ctx context.Context, mine platform.Object) error {
+// crossCheck checks an object against the stored ones. It logs warnings and returns an
+// error if the object must not be written.
+func (o *objectCommand) crossCheck(ctx context.Context, mine platform.Object) error {
 	l, err := o.app.store().List(ctx)
 	if err != nil {
 		return err
@@ -138,7 +139,7 @@
 }
 
 type diff struct {
-	object
+	objectCommand
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"yes"`
 	} `positional-args:"yes"`
@@ -160,9 +161,9 @@
 	err = c.app.print(differences, func(w io.Writer) {
 		rows := [][]string{{"FIELD", "STORED (version " + strconv.FormatUint(stored.Version, 10) + ")", "YOURS"}}
 		for _, d := range differences {
-			rows = append(rows, []string{d.Pointer, orDash(d.Stored), orDash(d.Mine)})
+			rows = append(rows, []string{d.Pointer, orDash(d.Stored), orDash(d.Local)})
 		}
-		table(w, rows)
+		writeTable(w, rows)
 	})
 	if err == nil && len(differences) > 0 {
 		return errDiffers
@@ -171,13 +172,13 @@
 }
 
 type apply struct {
-	object
+	objectCommand
 	Read uint64   `long:"read" value-name:"N" description:"the version that you read; else the file's line // version: N, else the object must be new"`
 	Wait bool     `long:"wait" description:"return once every live VM has it in force"`
 	Args filesArg `positional-args:"yes"`
 }
 
-// Execute implements flags.Commander. All files are checked before the first is
+// Execute implements flags.Commander. All files are checked before the first object is
 // written.
 func (c *apply) Execute([]string) error {
 	ctx, cancel := c.app.context()
@@ -187,7 +188,7 @@
 		return err
 	}
 	var newest uint64
-	var done []ctl.Applied
+	var done []ctl.ApplyResult
 	for _, o := range objects {
 		r, err := ctl.Apply(ctx, c.app.store(), o)
 		if err != nil {
@@ -196,7 +197,7 @@
 		newest = max(newest, r.Version)
 		done = append(done, r)
 		if !c.app.JSON {
-			fmt.Fprintf(c.app.out, "%s %s: version %d, %s\n", r.Kind, r.Name, r.Version, changed(r))
+			fmt.Fprintf(c.app.out, "%s %s: version %d, %s\n", r.Kind, r.Name, r.Version, changeText(r))
 		}
 	}
 	if c.app.JSON {
@@ -210,16 +211,16 @@
 	return c.app.fleet().Wait(ctx, newest)
 }
 
-func changed(r ctl.Applied) string {
+func changeText(r ctl.ApplyResult) string {
 	if r.Changed {
 		return "changed"
 	}
-	return "was the same already"
+	return "unchanged"
 }
 
 func (c *apply) read(ctx context.Context) ([]platform.Object, error) {
 	if c.Read > 0 && len(c.Args.Files) > 1 {
-		return nil, &settings.Error{Source: "command line", Line: 1, Reason: "--read goes with one file"}
+		return nil, &settings.Error{Source: "command line", Line: 1, Reason: "--read can be used with one file only"}
 	}
 	var objects []platform.Object
 	for _, file := range c.Args.Files {
@@ -230,7 +231,7 @@
 		if c.Read > 0 {
 			o.Version = c.Read
 		}
-		if err := c.cross(ctx, o); err != nil {
+		if err := c.crossCheck(ctx, o); err != nil {
 			return nil, err
 		}
 		objects = append(objects, o)
@@ -239,7 +240,7 @@
 }
 
 type remove struct {
-	object
+	objectCommand
 	Read uint64  `long:"read" value-name:"N" required:"yes" description:"the version that you read"`
 	Args nameArg `positional-args:"yes"`
 }
@@ -249,7 +250,7 @@
 	ctx, cancel := c.app.context()
 	defer cancel()
 	if c.kind == model.KindService {
-		if err := c.warnOfUsers(ctx); err != nil {
+		if err := c.warnOfContracts(ctx); err != nil {
 			return err
 		}
 	}
@@ -261,13 +262,13 @@
 	return nil
 }
 
-func (c *remove) warnOfUsers(ctx context.Context) error {
+func (c *remove) warnOfContracts(ctx context.Context) error {
 	l, err := c.app.store().List(ctx)
 	if err != nil {
 		return err
 	}
-	for _, customer := range ctl.UsedBy(c.Args.Name, l.Objects) {
-		fmt.Fprintf(c.app.log, "warning: contract %s names service %s\n", customer, c.Args.Name)
+	for _, customer := range ctl.ContractsUsing(c.Args.Name, l.Objects) {
+		fmt.Fprintf(c.app.log, "warning: contract %s refers to service %s\n", customer, c.Args.Name)
 	}
 	return nil
 }
--- a/internal/ctl/cross.go
+++ b/internal/ctl/crosscheck.go
@@ -9,15 +9,16 @@
 	"hemlockquay/internal/settings"
 )
 
-// CrossCheck compares an object with the others that are stored. A contract
-// whose token another customer holds is refused: VMs would put it out of force.
-// A contract for a service that is not stored, and a service that goes while
-// contracts name it, are only warned of, as the two may be applied in any order.
+// CrossCheck checks an object against the other stored objects. It rejects a
+// contract whose token belongs to another customer, because VMs would not put such
+// a contract into force. A contract that names a service which is not stored only
+// gives a warning, as contracts and services may be applied in any order; for the
+// same reason deleting a service that contracts name is only warned of.
 func CrossCheck(o platform.Object, stored []platform.Object) (warnings []string, err error) {
 	if o.Kind != model.KindContract {
 		return nil, nil
 	}
-	mine, err := contractOf(o)
+	mine, err := decodeContract(o)
 	if err != nil {
 		return nil, err
 	}
@@ -29,20 +30,20 @@
 		if other.Kind != model.KindContract || other.Name == o.Name {
 			continue
 		}
-		if theirs, err := contractOf(other); err == nil && strings.EqualFold(theirs.TokenSHA256, mine.TokenSHA256) {
+		if theirs, err := decodeContract(other); err == nil && strings.EqualFold(theirs.TokenSHA256, mine.TokenSHA256) {
 			return nil, &settings.Error{Source: "contract " + o.Name, Line: 1, Field: "/tokenSHA256",
 				Reason: fmt.Sprintf("customer %s holds this token", other.Name)}
 		}
 	}
 	for _, a := range mine.Services {
 		if !services[a.Service] {
-			warnings = append(warnings, fmt.Sprintf("contract %s names service %s, which is not stored", o.Name, a.Service))
+			warnings = append(warnings, fmt.Sprintf("contract %s refers to service %s, which is not stored", o.Name, a.Service))
 		}
 	}
 	return warnings, nil
 }
 
-func contractOf(o platform.Object) (*model.Contract, error) {
+func decodeContract(o platform.Object) (*model.Contract, error) {
 	decoded, err := model.Decode(o.Kind, o.Name, o.Spec)
 	if err != nil {
 		return nil, err
@@ -50,14 +51,14 @@
 	return decoded.(*model.Contract), nil
 }
 
-// UsedBy names the contracts that name the service.
-func UsedBy(service string, stored []platform.Object) []string {
+// ContractsUsing returns the names of the contracts that include the service.
+func ContractsUsing(service string, stored []platform.Object) []string {
 	var out []string
 	for _, o := range stored {
 		if o.Kind != model.KindContract {
 			continue
 		}
-		if c, err := contractOf(o); err == nil {
+		if c, err := decodeContract(o); err == nil {
 			if _, named := c.Allowance(service); named {
 				out = append(out, o.Name)
 			}
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -9,31 +9,32 @@
 	"github.com/tailscale/hujson"
 )
 
-// Difference is one field that differs.
+// Difference is a field whose value differs between two specs.
 type Difference struct {
 	// Pointer is the field's RFC 6901 pointer.
 	Pointer string `json:"pointer"`
-	// Stored and Mine are JSON values, "" where the field is missing.
+	// Stored is the value in the stored object, Local the one in the operator's
+	// file. Both are JSON values, "" if the field is missing.
 	Stored string `json:"stored"`
-	Mine   string `json:"mine"`
+	Local  string `json:"mine"`
 }
 
-// String renders the difference for people.
+// String returns the difference as readable text.
 func (d Difference) String() string {
-	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, orMissing(d.Stored), orMissing(d.Mine))
+	return fmt.Sprintf("%s: stored %s, yours %s", d.Pointer, valueOrMissing(d.Stored), valueOrMissing(d.Local))
 }
 
-func orMissing(v string) string {
+func valueOrMissing(v string) string {
 	if v == "" {
 		return "(missing)"
 	}
 	return v
 }
 
-// Diff compares two specs field by field, sorted by pointer. An empty spec has
-// no fields.
-func Diff(stored, mine []byte) []Difference {
-	a, b := flatten(stored), flatten(mine)
+// Diff returns the fields in which two specs differ, sorted by pointer. An empty spec
+// has no fields.
+func Diff(stored, local []byte) []Difference {
+	a, b := flatten(stored), flatten(local)
 	var out []Difference
 	for pointer, value := range a {
 		if b[pointer] != value {
@@ -54,8 +55,8 @@
 	return out
 }
 
-// flatten returns the leaves of a JSON text by pointer. What cannot be parsed is
-// one leaf.
+// flatten returns the leaf values of a JSON text by pointer. Text that cannot be
+// parsed is returned as a single leaf with an empty pointer.
 func flatten(spec []byte) map[string]string {
 	out := make(map[string]string)
 	if len(spec) == 0 {
@@ -70,19 +71,19 @@
 		out[""] = strconv.Quote(string(spec))
 		return out
 	}
-	leaves(out, "", tree)
+	collectLeaves(out, "", tree)
 	return out
 }
 
-func leaves(out map[string]string, pointer string, v any) {
+func collectLeaves(out map[string]string, pointer string, v any) {
 	switch typed := v.(type) {
 	case map[string]any:
 		for name, child := range typed {
-			leaves(out, pointer+"/"+name, child)
+			collectLeaves(out, pointer+"/"+name, child)
 		}
 	case []any:
 		for i, child := range typed {
-			leaves(out, pointer+"/"+strconv.Itoa(i), child)
+			collectLeaves(out, pointer+"/"+strconv.Itoa(i), child)
 		}
 	default:
 		text, _ := json.Marshal(typed)
