--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -34,7 +34,7 @@
 
 	LC       fx.Lifecycle
 	Base     *Base
-	Life     *Life
+	Life     *Lifecycle
 	Log      *log.Logger
 	Registry metrics.Registry
 	Journal  *journal.Journal
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -132,7 +132,7 @@
 	survive()
 	logger, flush := NewLogger(name, base.VM, base.Log)
 	defer func() { _ = flush() }()
-	var life *Life
+	var life *Lifecycle
 	app := fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		Parts(name, s, logger),
--- a/internal/daemon/drive_test.go
+++ b/internal/daemon/drive_test.go
@@ -35,7 +35,7 @@
 var quiet = &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 
 // application is a daemon whose stop runs the function.
-func application(t *testing.T, life **Life, stop func(context.Context) error) *fx.App {
+func application(t *testing.T, life **Lifecycle, stop func(context.Context) error) *fx.App {
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		Parts("hq-test", plainSettings(t), quiet),
@@ -49,7 +49,7 @@
 // A supervisor repeats SIGTERM while the daemon drains. The second one must not
 // cut off the request that still runs.
 func TestSecondSignalDoesNotCutTheDrainShort(t *testing.T) {
-	var life *Life
+	var life *Lifecycle
 	signals := make(chan os.Signal, 1)
 	whole := false
 	app := application(t, &life, func(ctx context.Context) error {
@@ -66,7 +66,7 @@
 // A request outlives the bound. The daemon ends, and its exit code says that it
 // was not graceful.
 func TestDrainThatOutlivesItsBoundFails(t *testing.T) {
-	var life *Life
+	var life *Lifecycle
 	app := application(t, &life, func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
@@ -85,7 +85,7 @@
 // A VM is replaced before its daemons heard of any configuration: they must stop
 // as well, by /drain here.
 func TestDrainWhileNotReady(t *testing.T) {
-	var life *Life
+	var life *Lifecycle
 	drained := make(chan string, 1)
 	app := application(t, &life, func(ctx context.Context) error {
 		life.BeginDrain()
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -31,7 +31,7 @@
 // order of calls of the daemons' own OnStop hooks.
 type drainPlay struct {
 	t      *testing.T
-	life   *Life
+	life   *Lifecycle
 	step   statechart.Transition
 	inject func(*drainPlay)
 
--- a/internal/daemon/kit.go
+++ b/internal/daemon/kit.go
@@ -12,13 +12,13 @@
 type Kit[S Settings] struct {
 	Settings S
 	LC       fx.Lifecycle
-	Life     *Life
+	Life     *Lifecycle
 	Log      *log.Logger
 	Registry metrics.Registry
 	Journal  *journal.Journal
 }
 
-func newKit[S Settings](s S, lc fx.Lifecycle, life *Life, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Kit[S] {
+func newKit[S Settings](s S, lc fx.Lifecycle, life *Lifecycle, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Kit[S] {
 	return &Kit[S]{Settings: s, LC: lc, Life: life, Log: logger, Registry: registry, Journal: j}
 }
 
@@ -31,7 +31,7 @@
 		fx.Provide(
 			metrics.NewRegistry,
 			func() *journal.Journal { return journal.New(base.VM, name, base.JournalLength) },
-			func(sh fx.Shutdowner, j *journal.Journal) *Life { return newLife(name, base, logger, j, sh) },
+			func(sh fx.Shutdowner, j *journal.Journal) *Lifecycle { return newLife(name, base, logger, j, sh) },
 			newKit[S],
 		),
 		fx.Invoke(startAdmin, countLogLines),
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -25,9 +25,9 @@
 	stateStopped statechart.State = "stopped"
 )
 
-// Life is the daemon's state, its reasons for not being ready and the sections
+// Lifecycle is the daemon's state, its reasons for not being ready and the sections
 // of its dump. It is safe for concurrent use.
-type Life struct {
+type Lifecycle struct {
 	name, vm string
 	log      *log.Logger
 	journal  *journal.Journal
@@ -56,8 +56,8 @@
 	dump func() any
 }
 
-func newLife(name string, base *Base, logger *log.Logger, j *journal.Journal, sh fx.Shutdowner) *Life {
-	return &Life{
+func newLife(name string, base *Base, logger *log.Logger, j *journal.Journal, sh fx.Shutdowner) *Lifecycle {
+	return &Lifecycle{
 		name:     name,
 		vm:       base.VM,
 		log:      logger,
@@ -72,7 +72,7 @@
 
 // Ready says that the daemon has a configuration in force. The daemon is ready once
 // all that it requires besides is met.
-func (l *Life) Ready() {
+func (l *Lifecycle) Ready() {
 	l.mu.Lock()
 	l.configured = true
 	missing := len(l.needs) > 0
@@ -87,7 +87,7 @@
 
 // Require adds a condition of readiness, named by why it is not met yet. It must be
 // called before Ready can be. met may be called more than once.
-func (l *Life) Require(reason string) (met func()) {
+func (l *Lifecycle) Require(reason string) (met func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.needs = append(l.needs, reason)
@@ -104,19 +104,21 @@
 }
 
 // NotReadyBecause notes why the daemon waits; /readyz shows it.
-func (l *Life) NotReadyBecause(reason string) {
+func (l *Lifecycle) NotReadyBecause(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waiting = reason
 }
 
 // Note records a decision in the daemon's journal.
-func (l *Life) Note(step, text string, subjects ...string) { l.journal.Add(step, text, subjects...) }
+func (l *Lifecycle) Note(step, text string, subjects ...string) {
+	l.journal.Add(step, text, subjects...)
+}
 
 // Lead waits until those that send work have been notified that the daemon leaves.
 // It goes between BeginDrain and the first refusal.
 // During the lead the daemon serves on, while /readyz and the heartbeats report that it leaves.
-func (l *Life) Lead(ctx context.Context) {
+func (l *Lifecycle) Lead(ctx context.Context) {
 	select {
 	case <-time.After(l.lead):
 	case <-ctx.Done():
@@ -129,14 +131,14 @@
 // SetLongest notes the longest deadline that a request may have.
 // The bound of the drain follows the configuration in force, and never falls: requests of an older
 // one may still run.
-func (l *Life) SetLongest(d time.Duration) {
+func (l *Lifecycle) SetLongest(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.longest = max(l.longest, d)
 }
 
 // Longest returns the longest deadline that a request may have.
-func (l *Life) Longest() time.Duration {
+func (l *Lifecycle) Longest() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.longest
@@ -144,14 +146,14 @@
 
 // Serving reports whether new work is taken: the daemon is ready, or leaves and is
 // still in its lead.
-func (l *Life) Serving() bool {
+func (l *Lifecycle) Serving() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.serving
 }
 
 // Drain begins the graceful shutdown. It returns at once.
-func (l *Life) Drain() {
+func (l *Lifecycle) Drain() {
 	l.BeginDrain()
 	if l.shutdown != nil {
 		_ = l.shutdown.Shutdown()
@@ -159,19 +161,19 @@
 }
 
 // BeginDrain marks the daemon as draining, once.
-func (l *Life) BeginDrain() {
+func (l *Lifecycle) BeginDrain() {
 	if l.fire(eventDrain) {
 		close(l.draining)
 	}
 }
 
 // Draining is closed when the graceful shutdown begins.
-func (l *Life) Draining() <-chan struct{} { return l.draining }
+func (l *Lifecycle) Draining() <-chan struct{} { return l.draining }
 
 // Drained says that no request is left.
-func (l *Life) Drained() { l.fire(eventDrained) }
+func (l *Lifecycle) Drained() { l.fire(eventDrained) }
 
-func (l *Life) fire(e statechart.Event) bool {
+func (l *Lifecycle) fire(e statechart.Event) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.machine.Fire(e); err != nil {
@@ -188,7 +190,7 @@
 }
 
 // IsReady reports whether the daemon takes work, and why not.
-func (l *Life) IsReady() (bool, string) {
+func (l *Lifecycle) IsReady() (bool, string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch state := l.machine.State(); state {
@@ -202,7 +204,7 @@
 }
 
 // AdminAddr returns the address on which the admin server listens.
-func (l *Life) AdminAddr() string {
+func (l *Lifecycle) AdminAddr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.admin
@@ -210,7 +212,7 @@
 
 // Section adds a part to the dump. dump must be safe for concurrent use and
 // return what encoding/json can render.
-func (l *Life) Section(name string, dump func() any) {
+func (l *Lifecycle) Section(name string, dump func() any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sections = append(l.sections, section{name, dump})
@@ -240,7 +242,7 @@
 func Cut[T any](list []T) []T { return list[:min(len(list), maxShown)] }
 
 // Dump returns the state of all parts.
-func (l *Life) Dump() Dump {
+func (l *Lifecycle) Dump() Dump {
 	ready, why := l.IsReady()
 	l.mu.Lock()
 	d := Dump{Process: l.name, VM: l.vm, Version: command.Version, State: string(l.machine.State())}
--- a/internal/daemon/life_test.go
+++ b/internal/daemon/life_test.go
@@ -9,7 +9,7 @@
 	"hemlockquay/internal/journal"
 )
 
-func testLife() *Life {
+func testLife() *Lifecycle {
 	return newLife("test", &Base{VM: "vm1"}, &log.Logger{Level: log.PanicLevel}, journal.New("vm1", "test", 16), nil)
 }
 
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -92,7 +92,7 @@
 	t        testing.TB
 	addr     string
 	agent    string
-	life     *daemon.Life
+	life     *daemon.Lifecycle
 	app      *fxtest.App
 	dispatch *dispatchPeer
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -58,7 +58,7 @@
 // Feed holds the current view. Current is safe for concurrent use.
 type Feed struct {
 	endpoint Endpoint
-	life     *daemon.Life
+	life     *daemon.Lifecycle
 	log      *log.Logger
 	client   *peer.Client
 	current  atomic.Pointer[view.View]
@@ -81,7 +81,7 @@
 }
 
 // New returns a feed that runs for the application's life.
-func New(lc fx.Lifecycle, e Endpoint, life *daemon.Life, logger *log.Logger, registry metrics.Registry) *Feed {
+func New(lc fx.Lifecycle, e Endpoint, life *daemon.Lifecycle, logger *log.Logger, registry metrics.Registry) *Feed {
 	f := &Feed{
 		endpoint: e,
 		life:     life,
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,7 +37,7 @@
 	clock      boottime.Clock
 	log        *log.Logger
 	registry   metrics.Registry
-	life       *daemon.Life
+	life       *daemon.Lifecycle
 	self       mesh.Member
 	state      *routingState
 	mesh       *mesh.Mesh
