--- a/internal/daemon/drive_test.go
+++ b/internal/daemon/drive_test.go
@@ -89,7 +89,7 @@
 	drained := make(chan string, 1)
 	app := application(t, &life, func(ctx context.Context) error {
 		life.BeginDrain()
-		life.Lead(ctx)
+		life.WaitLeaveLead(ctx)
 		life.Drained()
 		drained <- life.Dump().State
 		return nil
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -140,7 +140,7 @@
 	case <-ctx.Done():
 		return
 	}
-	p.life.Lead(ctx) // time that a pause takes is part of it
+	p.life.WaitLeaveLead(ctx) // time that a pause takes is part of it
 	p.whilePaused()
 	p.calls.Wait()
 	if p.alive() {
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -115,10 +115,10 @@
 	l.journal.Add(step, text, subjects...)
 }
 
-// Lead waits until those that send work have been notified that the daemon leaves.
+// WaitLeaveLead waits until those that send work have been notified that the daemon leaves.
 // It goes between BeginDrain and the first refusal.
 // During the lead the daemon serves on, while /readyz and the heartbeats report that it leaves.
-func (l *Lifecycle) Lead(ctx context.Context) {
+func (l *Lifecycle) WaitLeaveLead(ctx context.Context) {
 	select {
 	case <-time.After(l.lead):
 	case <-ctx.Done():
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -107,7 +107,7 @@
 // send it to the next dispatcher.
 func (d *dispatcher) stop(ctx context.Context) error {
 	d.Life.BeginDrain()
-	d.Life.Lead(ctx)
+	d.Life.WaitLeaveLead(ctx)
 	d.mu.Lock()
 	d.draining = true
 	queues := slices.Collect(maps.Values(d.queues))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -114,7 +114,7 @@
 // those in flight are answered and new ones refused as not run.
 func (e *entry) stop(ctx context.Context) error {
 	e.Life.BeginDrain()
-	e.Life.Lead(ctx)
+	e.Life.WaitLeaveLead(ctx)
 	err := e.server.Shutdown(ctx)
 	e.cancel()
 	e.duties.Wait()
