--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -164,7 +164,7 @@
 			a.Life.Ready()
 			return
 		}
-		a.Life.NotReadyBecause(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers holds one",
+		a.Life.SetNotReadyReason(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers holds one",
 			a.Settings.Store, len(a.members.addrs())))
 		pause.For(ctx, a.Settings.Heartbeat.D())
 	}
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -103,8 +103,8 @@
 	})
 }
 
-// NotReadyBecause notes why the daemon waits; /readyz shows it.
-func (l *Lifecycle) NotReadyBecause(reason string) {
+// SetNotReadyReason notes why the daemon waits; /readyz shows it.
+func (l *Lifecycle) SetNotReadyReason(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.waiting = reason
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -134,7 +134,7 @@
 	defer f.done.Done()
 	for ctx.Err() == nil {
 		if err := f.pull(ctx); err != nil {
-			f.life.NotReadyBecause("agent " + f.endpoint.Agent + ": " + err.Error())
+			f.life.SetNotReadyReason("agent " + f.endpoint.Agent + ": " + err.Error())
 			f.log.Debug().Err(err).Str("step", "pull").Str("peer", f.endpoint.Agent).Msg("no news from the agent")
 			pause.For(ctx, retryPause)
 		}
@@ -151,7 +151,7 @@
 		return err
 	}
 	if !reply.Ready {
-		f.life.NotReadyBecause("agent " + f.endpoint.Agent + " holds no configuration yet or has not heard its peers")
+		f.life.SetNotReadyReason("agent " + f.endpoint.Agent + " holds no configuration yet or has not heard its peers")
 		pause.For(ctx, readyPause)
 		return nil
 	}
