--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -128,10 +128,10 @@
 	l.serving = false
 }
 
-// SetLongest notes the longest deadline that a request may have.
+// RaiseMaxDeadline notes the longest deadline that a request may have.
 // The bound of the drain follows the configuration in force, and never falls: requests of an older
 // one may still run.
-func (l *Lifecycle) SetLongest(d time.Duration) {
+func (l *Lifecycle) RaiseMaxDeadline(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.longest = max(l.longest, d)
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -156,7 +156,7 @@
 		return nil
 	}
 	f.apply(v, &reply)
-	f.life.SetLongest(f.Current().LongestDeadline())
+	f.life.RaiseMaxDeadline(f.Current().LongestDeadline())
 	f.life.Ready()
 	return nil
 }
