--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -141,7 +141,7 @@
 	)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	return drive(app, logger, signals, func() time.Duration { return life.Longest() + stopMargin })
+	return drive(app, logger, signals, func() time.Duration { return life.MaxDeadline() + stopMargin })
 }
 
 // startTimeout bounds the start: listening and dialling take milliseconds.
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -137,8 +137,8 @@
 	l.longest = max(l.longest, d)
 }
 
-// Longest returns the longest deadline that a request may have.
-func (l *Lifecycle) Longest() time.Duration {
+// MaxDeadline returns the longest deadline that a request may have.
+func (l *Lifecycle) MaxDeadline() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.longest
--- a/internal/entry/http_test.go
+++ b/internal/entry/http_test.go
@@ -305,7 +305,7 @@
 		close(stopped)
 	}()
 	<-l.life.Draining()
-	require.Equal(t, time.Minute, l.life.Longest(), "the drain waits for the longest deadline in force")
+	require.Equal(t, time.Minute, l.life.MaxDeadline(), "the drain waits for the longest deadline in force")
 	require.Empty(t, l.dispatch.cancels)
 	close(end)
 	r := l.read(bufio.NewReader(conn), "GET")
