--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -75,7 +75,7 @@
 	if err := server.Register("Agent", a.relay); err != nil {
 		return nil, err
 	}
-	k.Life.Section("agent", a.dump)
+	k.Life.AddDumpSection("agent", a.dump)
 	return a, nil
 }
 
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for admin: %w", err)
 	}
-	p.Life.Section(ringsSection, func() any { return rings(p.Registry) })
+	p.Life.AddDumpSection(ringsSection, func() any { return rings(p.Registry) })
 	p.Life.admin = listener.Addr().String()
 	server := &http.Server{Handler: adminHandler(p), ReadHeaderTimeout: headerTimeout}
 	p.LC.Append(fx.Hook{
--- a/internal/daemon/figures_test.go
+++ b/internal/daemon/figures_test.go
@@ -29,7 +29,7 @@
 	j := journal.New("vm1", "hq-test", 4)
 	life := newLife("hq-test", &plainSettings(t).Base, quiet, j, nil)
 	handler := adminHandler(adminParams{Life: life, Registry: registry, Journal: j})
-	life.Section(ringsSection, func() any { return rings(registry) })
+	life.AddDumpSection(ringsSection, func() any { return rings(registry) })
 	metrics.GetOrRegisterTimer("entry.answered", registry).Update(1500 * time.Microsecond)
 	metrics.GetOrRegisterGauge("ring.a.b.depth", registry).Update(7)
 	metrics.GetOrRegisterCounter("ring.a.b.dropped", registry).Inc(2)
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -210,9 +210,9 @@
 	return l.admin
 }
 
-// Section adds a part to the dump. dump must be safe for concurrent use and
+// AddDumpSection adds a part to the dump. dump must be safe for concurrent use and
 // return what encoding/json can render.
-func (l *Lifecycle) Section(name string, dump func() any) {
+func (l *Lifecycle) AddDumpSection(name string, dump func() any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sections = append(l.sections, section{name, dump})
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -84,9 +84,9 @@
 	if err := server.Register("Dispatch", &rpcReceiver{intents: d.intents, crashes: d.crashes, d: d}); err != nil {
 		return err
 	}
-	k.Life.Section("dispatch", d.dump)
-	k.Life.Section("intents", d.intents.dump)
-	k.Life.Section("quarantine", d.crashes.dump)
+	k.Life.AddDumpSection("dispatch", d.dump)
+	k.Life.AddDumpSection("intents", d.intents.dump)
+	k.Life.AddDumpSection("quarantine", d.crashes.dump)
 	k.LC.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 	return nil
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -84,8 +84,8 @@
 	if err := peers.Register("Entry", &shareReceiver{e.admitter}); err != nil {
 		return nil, err
 	}
-	k.Life.Section("entry", e.dump)
-	k.Life.Section("limits", e.admitter.dump)
+	k.Life.AddDumpSection("entry", e.dump)
+	k.Life.AddDumpSection("limits", e.admitter.dump)
 	e.server = &http.Server{
 		Handler:           e.handler(),
 		ReadHeaderTimeout: k.Settings.ReadTimeout.D(),
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -96,7 +96,7 @@
 		older:    metrics.GetOrRegisterCounter("config.refused.older", registry),
 	}
 	f.current.Store(view.Build(nil, nil, nil))
-	life.Section("view", func() any { return f.dump() })
+	life.AddDumpSection("view", func() any { return f.dump() })
 	lc.Append(fx.Hook{OnStart: f.start, OnStop: f.stop})
 	return f
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -98,7 +98,7 @@
 	g := newGateway(kit.Settings, a, boottime.System{}, kit.Log, kit.Registry)
 	g.life = kit.Life
 	g.receiveSIGHUP()
-	kit.Life.Section("view", g.dump)
+	kit.Life.AddDumpSection("view", g.dump)
 	kit.LC.Append(fx.Hook{OnStart: g.start, OnStop: g.stop})
 	return nil
 }
