--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -208,6 +208,6 @@
 	objects, granted := a.config.list(), a.grants.list()
 	return dump{
 		a.incarnation, revision, totals{len(objects), len(granted)},
-		daemon.Cut(objects), a.members.live(), a.config.problems(), daemon.Cut(granted), a.relay.liveDaemons(),
+		daemon.TruncateForDump(objects), a.members.live(), a.config.problems(), daemon.TruncateForDump(granted), a.relay.liveDaemons(),
 	}
 }
--- a/internal/daemon/figures_test.go
+++ b/internal/daemon/figures_test.go
@@ -49,8 +49,8 @@
 
 	require.Contains(t, get(t, handler, "/dump"), `"a.b":{"depth":7,"dropped":2}`)
 	require.Contains(t, get(t, handler, "/dump?pretty"), "\n    \"process\": \"hq-test\"")
-	require.Len(t, Cut(make([]int, maxShown+1)), maxShown)
-	require.Len(t, Cut(make([]int, 3)), 3)
+	require.Len(t, TruncateForDump(make([]int, maxShown+1)), maxShown)
+	require.Len(t, TruncateForDump(make([]int, 3)), 3)
 	life.Note("configure", "contract c1 version 2 is in force", "c1")
 	require.Contains(t, get(t, handler, "/journal?pretty"), "\n        \"text\": \"contract c1 version 2 is in force\"")
 }
--- a/internal/daemon/life.go
+++ b/internal/daemon/life.go
@@ -238,8 +238,8 @@
 // of megabytes, held in memory while it is written.
 const maxShown = 1000
 
-// Cut returns the first items of a list, as many as a dump shows.
-func Cut[T any](list []T) []T { return list[:min(len(list), maxShown)] }
+// TruncateForDump returns the first items of a list, as many as a dump shows.
+func TruncateForDump[T any](list []T) []T { return list[:min(len(list), maxShown)] }
 
 // Dump returns the state of all parts.
 func (l *Lifecycle) Dump() Dump {
--- a/internal/feed/report.go
+++ b/internal/feed/report.go
@@ -101,6 +101,6 @@
 	return dump{
 		Source: v.Source, Revision: v.Revision, State: v.State,
 		Totals:  totals{len(inForce), len(v.Members), len(v.Listed), len(v.Grants), len(v.Problems)},
-		Objects: daemon.Cut(inForce), Members: daemon.Cut(v.Members), Listed: daemon.Cut(v.Listed), Grants: daemon.Cut(v.Grants), Problems: daemon.Cut(v.Problems),
+		Objects: daemon.TruncateForDump(inForce), Members: daemon.TruncateForDump(v.Members), Listed: daemon.TruncateForDump(v.Listed), Grants: daemon.TruncateForDump(v.Grants), Problems: daemon.TruncateForDump(v.Problems),
 	}
 }
