--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,7 +25,7 @@
 
 // agent is the process: its state and its duties.
 type agent struct {
-	*daemon.Kit[*Settings]
+	*daemon.Deps[*Settings]
 	incarnation string
 	started     int64
 	writes      atomic.Uint64
@@ -46,7 +46,7 @@
 	duties       sync.WaitGroup
 }
 
-func start(k *daemon.Kit[*Settings]) error {
+func start(k *daemon.Deps[*Settings]) error {
 	a, err := newAgent(k, objectapi.New(k.Settings.Store))
 	if err != nil {
 		return err
@@ -55,14 +55,14 @@
 	return nil
 }
 
-func newAgent(k *daemon.Kit[*Settings], store platform.Store) (*agent, error) {
+func newAgent(k *daemon.Deps[*Settings], store platform.Store) (*agent, error) {
 	server, err := peer.Listen(k.Settings.Listen)
 	if err != nil {
 		return nil, err
 	}
 	started := time.Now().UnixNano()
 	a := &agent{
-		Kit:         k,
+		Deps:        k,
 		incarnation: fmt.Sprintf("%s-%d", k.Settings.VM, started),
 		started:     started,
 		store:       store,
--- a/internal/daemon/kit.go
+++ b/internal/daemon/kit.go
@@ -8,8 +8,8 @@
 	"hemlockquay/internal/journal"
 )
 
-// Kit is what a daemon with settings S is built from. Parts provides it.
-type Kit[S Settings] struct {
+// Deps is what a daemon with settings S is built from. Parts provides it.
+type Deps[S Settings] struct {
 	Settings S
 	LC       fx.Lifecycle
 	Life     *Lifecycle
@@ -18,12 +18,12 @@
 	Journal  *journal.Journal
 }
 
-func newKit[S Settings](s S, lc fx.Lifecycle, life *Lifecycle, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Kit[S] {
-	return &Kit[S]{Settings: s, LC: lc, Life: life, Log: logger, Registry: registry, Journal: j}
+func newKit[S Settings](s S, lc fx.Lifecycle, life *Lifecycle, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Deps[S] {
+	return &Deps[S]{Settings: s, LC: lc, Life: life, Log: logger, Registry: registry, Journal: j}
 }
 
 // Parts provides what each daemon stands on: its settings, log, metrics, journal
-// and life, joined in a Kit. It starts the admin server.
+// and life, joined in a Deps. It starts the admin server.
 func Parts[S Settings](name string, s S, logger *log.Logger) fx.Option {
 	base := s.Common()
 	return fx.Options(
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 
 // dispatcher owns the queues and answers the entries' calls.
 type dispatcher struct {
-	*daemon.Kit[*Settings]
+	*daemon.Deps[*Settings]
 	server *peer.Server
 	feed   *feed.Feed
 	sender *target.Sender
@@ -54,7 +54,7 @@
 	duties   sync.WaitGroup
 }
 
-func start(k *daemon.Kit[*Settings]) error {
+func start(k *daemon.Deps[*Settings]) error {
 	server, err := peer.Listen(k.Settings.Listen)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: server.Addr(), Loads: counted.hottest}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &dispatcher{
-		Kit:    k,
+		Deps:   k,
 		server: server,
 		feed:   feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry),
 		sender: target.NewSender(k.Settings.TargetConnections),
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -33,7 +33,7 @@
 
 // entry is the process: the callers' HTTP server and its parts.
 type entry struct {
-	*daemon.Kit[*Settings]
+	*daemon.Deps[*Settings]
 	parser    *requestParser
 	feed      *feed.Feed
 	forwarder *forwarder
@@ -56,7 +56,7 @@
 // first, or a request crosses the close. Without it net/http uses readTimeout.
 const idleTimeout = 3 * time.Minute
 
-func newEntry(k *daemon.Kit[*Settings], clock boottime.Clock) (*entry, error) {
+func newEntry(k *daemon.Deps[*Settings], clock boottime.Clock) (*entry, error) {
 	listener, err := net.Listen("tcp", k.Settings.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen for callers: %w", err)
@@ -68,7 +68,7 @@
 	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: peers.Addr()}
 	f := feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry)
 	e := &entry{
-		Kit:       k,
+		Deps:      k,
 		parser:    &requestParser{vm: k.Settings.VM},
 		feed:      f,
 		forwarder: &forwarder{vm: k.Settings.VM, feed: f, peers: pooled{peer.NewRequestPool(k.Settings.PeerConnections)}},
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -93,7 +93,7 @@
 	)
 }
 
-func start(kit *daemon.Kit[*Settings], a Adapter) error {
+func start(kit *daemon.Deps[*Settings], a Adapter) error {
 	debug.SetGCPercent(kit.Settings.GCPercent)
 	g := newGateway(kit.Settings, a, boottime.System{}, kit.Log, kit.Registry)
 	g.life = kit.Life
