--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -135,7 +135,7 @@
 	var life *Lifecycle
 	app := fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
-		Parts(name, s, logger),
+		BaseModule(name, s, logger),
 		fx.Populate(&life),
 		module,
 	)
--- a/internal/daemon/drive_test.go
+++ b/internal/daemon/drive_test.go
@@ -38,7 +38,7 @@
 func application(t *testing.T, life **Lifecycle, stop func(context.Context) error) *fx.App {
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
-		Parts("hq-test", plainSettings(t), quiet),
+		BaseModule("hq-test", plainSettings(t), quiet),
 		fx.Populate(life),
 		fx.Invoke(func(lc fx.Lifecycle) { lc.Append(fx.Hook{OnStop: stop}) }),
 	)
--- a/internal/daemon/kit.go
+++ b/internal/daemon/kit.go
@@ -8,7 +8,7 @@
 	"hemlockquay/internal/journal"
 )
 
-// Deps is what a daemon with settings S is built from. Parts provides it.
+// Deps is what a daemon with settings S is built from. BaseModule provides it.
 type Deps[S Settings] struct {
 	Settings S
 	LC       fx.Lifecycle
@@ -22,9 +22,9 @@
 	return &Deps[S]{Settings: s, LC: lc, Life: life, Log: logger, Registry: registry, Journal: j}
 }
 
-// Parts provides what each daemon stands on: its settings, log, metrics, journal
+// BaseModule provides what each daemon stands on: its settings, log, metrics, journal
 // and life, joined in a Deps. It starts the admin server.
-func Parts[S Settings](name string, s S, logger *log.Logger) fx.Option {
+func BaseModule[S Settings](name string, s S, logger *log.Logger) fx.Option {
 	base := s.Common()
 	return fx.Options(
 		fx.Supply(s, base, logger),
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -33,7 +33,7 @@
 	s := &dispatch.Settings{Listen: addr, Agent: l.agent, TargetConnections: 110}
 	s.Base = daemon.Base{VM: "vm1", DataCentre: "a", Admin: "127.0.0.1:0", Log: "error", LeaveLead: model.Duration(time.Millisecond)}
 	require.NoError(b, s.Check())
-	app := fxtest.New(b, daemon.Parts("hq-dispatch", s, quiet), dispatch.Module)
+	app := fxtest.New(b, daemon.BaseModule("hq-dispatch", s, quiet), dispatch.Module)
 	app.RequireStart()
 	b.Cleanup(func() {
 		l.app.RequireStop()
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -145,7 +145,7 @@
 	l := &lab{t: t, agent: s.Agent}
 	clock := new(handClock)
 	var e *entry
-	l.app = fxtest.New(t, daemon.Parts(processName, s, quiet),
+	l.app = fxtest.New(t, daemon.BaseModule(processName, s, quiet),
 		fx.Provide(func() boottime.Clock { return clock }, newEntry), fx.Populate(&e, &l.life))
 	l.app.RequireStart()
 	l.addr = e.listener.Addr().String()
