--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -75,7 +75,7 @@
 	if err := server.Register("Agent", a.relay); err != nil {
 		return nil, err
 	}
-	k.Life.AddDumpSection("agent", a.dump)
+	k.Lifecycle.AddDumpSection("agent", a.dump)
 	return a, nil
 }
 
@@ -83,7 +83,7 @@
 func (a *agent) build() {
 	s := a.Settings
 	a.relay = newRelay(a.incarnation)
-	self := wire.Member{VM: s.VM, DataCentre: s.DataCentre, Incarnation: a.incarnation, AgentAddr: a.server.Addr(), AdminAddr: a.Life.AdminAddr()}
+	self := wire.Member{VM: s.VM, DataCentre: s.DataCentre, Incarnation: a.incarnation, AgentAddr: a.server.Addr(), AdminAddr: a.Lifecycle.AdminAddr()}
 	a.members = newMembers(self, boottime.System{}, s.Silence.D(), a.relay.refreshLive)
 	a.members.grantsChanged = a.relay.refresh
 	a.grantsPushed = make(chan struct{}, 1)
@@ -161,17 +161,17 @@
 func (a *agent) becomeReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, ready := a.config.state(); ready && a.members.settled() && a.relay.seeded.Load() {
-			a.Life.Ready()
+			a.Lifecycle.Ready()
 			return
 		}
-		a.Life.SetNotReadyReason(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers holds one",
+		a.Lifecycle.SetNotReadyReason(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers holds one",
 			a.Settings.Store, len(a.members.addrs())))
 		pause.For(ctx, a.Settings.Heartbeat.D())
 	}
 }
 
 func (a *agent) stop(context.Context) error {
-	a.Life.BeginDrain()
+	a.Lifecycle.BeginDrain()
 	a.members.updateSelf(func(m *wire.Member) { m.Leaving = true })
 	a.awaitDaemons()
 	a.cancel()
@@ -180,7 +180,7 @@
 	a.peers.Close()
 	a.commander.Close()
 	a.assigner.hints.close()
-	a.Life.Drained()
+	a.Lifecycle.Drained()
 	return nil
 }
 
--- a/internal/daemon/kit.go
+++ b/internal/daemon/kit.go
@@ -10,16 +10,16 @@
 
 // Deps is what a daemon with settings S is built from. BaseModule provides it.
 type Deps[S Settings] struct {
-	Settings S
-	LC       fx.Lifecycle
-	Life     *Lifecycle
-	Log      *log.Logger
-	Registry metrics.Registry
-	Journal  *journal.Journal
+	Settings  S
+	LC        fx.Lifecycle
+	Lifecycle *Lifecycle
+	Log       *log.Logger
+	Registry  metrics.Registry
+	Journal   *journal.Journal
 }
 
 func newKit[S Settings](s S, lc fx.Lifecycle, life *Lifecycle, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Deps[S] {
-	return &Deps[S]{Settings: s, LC: lc, Life: life, Log: logger, Registry: registry, Journal: j}
+	return &Deps[S]{Settings: s, LC: lc, Lifecycle: life, Log: logger, Registry: registry, Journal: j}
 }
 
 // BaseModule provides what each daemon stands on: its settings, log, metrics, journal
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -65,7 +65,7 @@
 	d := &dispatcher{
 		Deps:   k,
 		server: server,
-		feed:   feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry),
+		feed:   feed.New(k.LC, endpoint, k.Lifecycle, k.Log, k.Registry),
 		sender: target.NewSender(k.Settings.TargetConnections),
 		prober: target.NewProber(),
 		loads:  counted,
@@ -74,7 +74,7 @@
 		queues: make(map[queueID]*queue),
 		owners: make(map[string]*queue),
 	}
-	d.crashes = newCrashWatch(k.Settings.VM, d.feed, k.Life.Require(needsCases), k.Journal, k.Log, k.Registry)
+	d.crashes = newCrashWatch(k.Settings.VM, d.feed, k.Lifecycle.Require(needsCases), k.Journal, k.Log, k.Registry)
 	d.parts = &parts{
 		vm: k.Settings.VM, limit: k.Settings.QueueLength, fifo: k.Settings.Order == OrderFIFO,
 		feed: d.feed, sender: d.sender, prober: d.prober, suspects: d.crashes,
@@ -84,9 +84,9 @@
 	if err := server.Register("Dispatch", &rpcReceiver{intents: d.intents, crashes: d.crashes, d: d}); err != nil {
 		return err
 	}
-	k.Life.AddDumpSection("dispatch", d.dump)
-	k.Life.AddDumpSection("intents", d.intents.dump)
-	k.Life.AddDumpSection("quarantine", d.crashes.dump)
+	k.Lifecycle.AddDumpSection("dispatch", d.dump)
+	k.Lifecycle.AddDumpSection("intents", d.intents.dump)
+	k.Lifecycle.AddDumpSection("quarantine", d.crashes.dump)
 	k.LC.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 	return nil
 }
@@ -106,8 +106,8 @@
 // sent is answered, and all else is refused as not run at once, so that entries
 // send it to the next dispatcher.
 func (d *dispatcher) stop(ctx context.Context) error {
-	d.Life.BeginDrain()
-	d.Life.WaitLeaveLead(ctx)
+	d.Lifecycle.BeginDrain()
+	d.Lifecycle.WaitLeaveLead(ctx)
 	d.mu.Lock()
 	d.draining = true
 	queues := slices.Collect(maps.Values(d.queues))
@@ -124,7 +124,7 @@
 	d.crashes.peers.Close()
 	d.sender.Close()
 	d.prober.Close()
-	d.Life.Drained()
+	d.Lifecycle.Drained()
 	return nil
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: peers.Addr()}
-	f := feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry)
+	f := feed.New(k.LC, endpoint, k.Lifecycle, k.Log, k.Registry)
 	e := &entry{
 		Deps:      k,
 		parser:    &requestParser{vm: k.Settings.VM},
@@ -79,13 +79,13 @@
 		listener:  listener,
 	}
 	e.admitter = newAdmitter(k.Settings.VM, e.started, k.Settings.ReadTimeout.D(), clock, k.Journal, k.Registry)
-	e.sharer = newSharer(k.Settings.VM, e.admitter, f, k.Life.Require(needsBase), k.Log, k.Registry)
+	e.sharer = newSharer(k.Settings.VM, e.admitter, f, k.Lifecycle.Require(needsBase), k.Log, k.Registry)
 	e.peers = peers
 	if err := peers.Register("Entry", &shareReceiver{e.admitter}); err != nil {
 		return nil, err
 	}
-	k.Life.AddDumpSection("entry", e.dump)
-	k.Life.AddDumpSection("limits", e.admitter.dump)
+	k.Lifecycle.AddDumpSection("entry", e.dump)
+	k.Lifecycle.AddDumpSection("limits", e.admitter.dump)
 	e.server = &http.Server{
 		Handler:           e.handler(),
 		ReadHeaderTimeout: k.Settings.ReadTimeout.D(),
@@ -113,15 +113,15 @@
 // stop drains: requests are answered until the balancer has been notified; then
 // those in flight are answered and new ones refused as not run.
 func (e *entry) stop(ctx context.Context) error {
-	e.Life.BeginDrain()
-	e.Life.WaitLeaveLead(ctx)
+	e.Lifecycle.BeginDrain()
+	e.Lifecycle.WaitLeaveLead(ctx)
 	err := e.server.Shutdown(ctx)
 	e.cancel()
 	e.duties.Wait()
 	e.sharer.peers.Close()
 	e.peers.Close()
 	e.forwarder.peers.Close()
-	e.Life.Drained()
+	e.Lifecycle.Drained()
 	if err != nil {
 		return fmt.Errorf("drain callers: %w", err)
 	}
@@ -143,7 +143,7 @@
 		e.refuse(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, why).After(time.Second))
 		return
 	}
-	if ready, why := e.Life.IsReady(); !ready && !e.Life.Serving() {
+	if ready, why := e.Lifecycle.IsReady(); !ready && !e.Lifecycle.Serving() {
 		e.refuse(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, why).After(time.Second))
 		return
 	}
@@ -180,12 +180,12 @@
 // one is refused once the lead is over.
 func (e *entry) leaving(c *gin.Context) string {
 	select {
-	case <-e.Life.Draining():
+	case <-e.Lifecycle.Draining():
 	default:
 		return ""
 	}
 	c.Header("Connection", "close")
-	if e.Life.Serving() {
+	if e.Lifecycle.Serving() {
 		return ""
 	}
 	return "the entry is leaving"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -96,9 +96,9 @@
 func start(kit *daemon.Deps[*Settings], a Adapter) error {
 	debug.SetGCPercent(kit.Settings.GCPercent)
 	g := newGateway(kit.Settings, a, boottime.System{}, kit.Log, kit.Registry)
-	g.life = kit.Life
+	g.life = kit.Lifecycle
 	g.receiveSIGHUP()
-	kit.Life.AddDumpSection("view", g.dump)
+	kit.Lifecycle.AddDumpSection("view", g.dump)
 	kit.LC.Append(fx.Hook{OnStart: g.start, OnStop: g.stop})
 	return nil
 }
