--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for admin: %w", err)
 	}
-	p.Life.AddDumpSection(ringsSection, func() any { return rings(p.Registry) })
+	p.Life.AddDumpSection(ringsSection, func() any { return ringStates(p.Registry) })
 	p.Life.admin = listener.Addr().String()
 	server := &http.Server{Handler: adminHandler(p), ReadHeaderTimeout: headerTimeout}
 	p.LC.Append(fx.Hook{
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// show answers in JSON: one line for programs, indented where the query says
+// writeJSON answers in JSON: one line for programs, indented where the query says
 // "pretty".
-func show(c *gin.Context, v any) {
+func writeJSON(c *gin.Context, v any) {
 	if _, pretty := c.GetQuery("pretty"); pretty {
 		c.IndentedJSON(http.StatusOK, v)
 		return
@@ -81,10 +81,10 @@
 		}
 		c.String(http.StatusOK, "ready\n")
 	})
-	e.GET("/metrics", func(c *gin.Context) { show(c, figures(p.Registry)) })
-	e.GET("/metrics.txt", func(c *gin.Context) { c.String(http.StatusOK, "%s", figuresText(p.Registry)) })
-	e.GET("/dump", func(c *gin.Context) { show(c, p.Life.Dump()) })
-	e.GET("/journal", func(c *gin.Context) { show(c, p.Journal.Entries()) })
+	e.GET("/metrics", func(c *gin.Context) { writeJSON(c, metricValues(p.Registry)) })
+	e.GET("/metrics.txt", func(c *gin.Context) { c.String(http.StatusOK, "%s", metricsText(p.Registry)) })
+	e.GET("/dump", func(c *gin.Context) { writeJSON(c, p.Life.Dump()) })
+	e.GET("/journal", func(c *gin.Context) { writeJSON(c, p.Journal.Entries()) })
 	e.GET("/debug/pprof/profile", gin.WrapF(pprof.Profile))
 	e.GET("/debug/pprof/heap", gin.WrapH(pprof.Handler("heap")))
 	e.GET("/debug/pprof/goroutine", gin.WrapH(pprof.Handler("goroutine")))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -129,7 +129,7 @@
 
 func serve[S Settings](name string, s S, module fx.Option) int {
 	base := s.Common()
-	survive()
+	ignoreSIGPIPE()
 	logger, flush := NewLogger(name, base.VM, base.Log)
 	defer func() { _ = flush() }()
 	var life *Lifecycle
@@ -141,7 +141,7 @@
 	)
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	return drive(app, logger, signals, func() time.Duration { return life.MaxDeadline() + stopMargin })
+	return runApp(app, logger, signals, func() time.Duration { return life.MaxDeadline() + stopMargin })
 }
 
 // startTimeout bounds the start: listening and dialling take milliseconds.
@@ -151,9 +151,9 @@
 // take: the lead, the last answers and the goodbye to the agent.
 const stopMargin = time.Minute
 
-// drive runs the application to its end and returns the exit code.
+// runApp runs the application to its end and returns the exit code.
 // Only the first signal is read: a repeated SIGTERM must not cut off requests in flight.
-func drive(app *fx.App, logger *log.Logger, signals <-chan os.Signal, bound func() time.Duration) int {
+func runApp(app *fx.App, logger *log.Logger, signals <-chan os.Signal, stopTimeout func() time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := app.Start(ctx); err != nil {
@@ -165,7 +165,7 @@
 	case <-app.Done():
 	}
 	logger.Info().Str("step", "stop").Msg("graceful shutdown begins")
-	stop, cancelStop := context.WithTimeout(context.Background(), bound())
+	stop, cancelStop := context.WithTimeout(context.Background(), stopTimeout())
 	defer cancelStop()
 	if err := app.Stop(stop); err != nil {
 		logger.Error().Err(err).Str("step", "stop").Msg("shutdown was not graceful")
--- a/internal/daemon/drive_test.go
+++ b/internal/daemon/daemon_test.go
@@ -21,45 +21,45 @@
 	"hemlockquay/internal/model"
 )
 
-// plain are the settings of a daemon that does nothing.
-type plain struct{ Base }
+// minimalSettings are the settings of a daemon that does nothing.
+type minimalSettings struct{ Base }
 
-func (p *plain) Check() error { return p.CheckBase() }
+func (p *minimalSettings) Check() error { return p.CheckBase() }
 
-func plainSettings(t *testing.T) *plain {
-	s := &plain{Base{VM: "vm1", DataCentre: "a", Admin: "127.0.0.1:0", LeaveLead: model.Duration(time.Millisecond)}}
+func newMinimalSettings(t *testing.T) *minimalSettings {
+	s := &minimalSettings{Base{VM: "vm1", DataCentre: "a", Admin: "127.0.0.1:0", LeaveLead: model.Duration(time.Millisecond)}}
 	require.NoError(t, s.Check())
 	return s
 }
 
-var quiet = &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
+var discardLogger = &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 
-// application is a daemon whose stop runs the function.
-func application(t *testing.T, life **Lifecycle, stop func(context.Context) error) *fx.App {
+// newTestApp is a daemon whose stop runs the function.
+func newTestApp(t *testing.T, life **Lifecycle, stop func(context.Context) error) *fx.App {
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
-		BaseModule("hq-test", plainSettings(t), quiet),
+		BaseModule("hq-test", newMinimalSettings(t), discardLogger),
 		fx.Populate(life),
 		fx.Invoke(func(lc fx.Lifecycle) { lc.Append(fx.Hook{OnStop: stop}) }),
 	)
 }
 
-func bound(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+func fixedTimeout(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 // A supervisor repeats SIGTERM while the daemon drains. The second one must not
 // cut off the request that still runs.
 func TestSecondSignalDoesNotCutTheDrainShort(t *testing.T) {
 	var life *Lifecycle
 	signals := make(chan os.Signal, 1)
-	whole := false
-	app := application(t, &life, func(ctx context.Context) error {
+	contextAlive := false
+	app := newTestApp(t, &life, func(ctx context.Context) error {
 		signals <- syscall.SIGTERM
-		whole = ctx.Err() == nil
+		contextAlive = ctx.Err() == nil
 		return nil
 	})
 	signals <- syscall.SIGTERM
-	require.Equal(t, command.OK, drive(app, quiet, signals, bound(time.Minute)))
-	require.True(t, whole)
+	require.Equal(t, command.OK, runApp(app, discardLogger, signals, fixedTimeout(time.Minute)))
+	require.True(t, contextAlive)
 	require.Len(t, signals, 1, "nothing reads the second signal")
 }
 
@@ -67,19 +67,19 @@
 // was not graceful.
 func TestDrainThatOutlivesItsBoundFails(t *testing.T) {
 	var life *Lifecycle
-	app := application(t, &life, func(ctx context.Context) error {
+	app := newTestApp(t, &life, func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	})
 	signals := make(chan os.Signal, 1)
 	signals <- syscall.SIGTERM
-	require.Equal(t, command.Failure, drive(app, quiet, signals, bound(10*time.Millisecond)))
+	require.Equal(t, command.Failure, runApp(app, discardLogger, signals, fixedTimeout(10*time.Millisecond)))
 }
 
 func TestDaemonThatCannotStartFails(t *testing.T) {
 	app := fx.New(fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.Invoke(func() error { return errors.New("address in use") }))
-	require.Equal(t, command.Failure, drive(app, quiet, nil, bound(time.Second)))
+	require.Equal(t, command.Failure, runApp(app, discardLogger, nil, fixedTimeout(time.Second)))
 }
 
 // A VM is replaced before its daemons heard of any configuration: they must stop
@@ -87,7 +87,7 @@
 func TestDrainWhileNotReady(t *testing.T) {
 	var life *Lifecycle
 	drained := make(chan string, 1)
-	app := application(t, &life, func(ctx context.Context) error {
+	app := newTestApp(t, &life, func(ctx context.Context) error {
 		life.BeginDrain()
 		life.WaitLeaveLead(ctx)
 		life.Drained()
@@ -96,7 +96,7 @@
 	})
 	ended := make(chan int, 1)
 	require.NoError(t, app.Err())
-	go func() { ended <- drive(app, quiet, nil, bound(time.Minute)) }()
+	go func() { ended <- runApp(app, discardLogger, nil, fixedTimeout(time.Minute)) }()
 	url := "http://" + life.AdminAddr()
 	ready, err := http.Get(url + "/readyz")
 	require.NoError(t, err)
@@ -130,6 +130,6 @@
 		"--config " + good:              command.Failure,
 	}
 	for args, want := range cases {
-		require.Equal(t, want, run("hq-test", strings.Fields(args), new(plain), broken), args)
+		require.Equal(t, want, run("hq-test", strings.Fields(args), new(minimalSettings), broken), args)
 	}
 }
--- a/internal/daemon/kit.go
+++ b/internal/daemon/deps.go
@@ -18,7 +18,7 @@
 	Journal   *journal.Journal
 }
 
-func newKit[S Settings](s S, lc fx.Lifecycle, life *Lifecycle, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Deps[S] {
+func newDeps[S Settings](s S, lc fx.Lifecycle, life *Lifecycle, logger *log.Logger, registry metrics.Registry, j *journal.Journal) *Deps[S] {
 	return &Deps[S]{Settings: s, LC: lc, Lifecycle: life, Log: logger, Registry: registry, Journal: j}
 }
 
@@ -31,15 +31,15 @@
 		fx.Provide(
 			metrics.NewRegistry,
 			func() *journal.Journal { return journal.New(base.VM, name, base.JournalLength) },
-			func(sh fx.Shutdowner, j *journal.Journal) *Lifecycle { return newLife(name, base, logger, j, sh) },
-			newKit[S],
+			func(sh fx.Shutdowner, j *journal.Journal) *Lifecycle { return newLifecycle(name, base, logger, j, sh) },
+			newDeps[S],
 		),
-		fx.Invoke(startAdmin, countLogLines),
+		fx.Invoke(startAdmin, registerDroppedLines),
 	)
 }
 
-// countLogLines shows how many lines the log has dropped.
-func countLogLines(logger *log.Logger, registry metrics.Registry) error {
+// registerDroppedLines shows how many lines the log has dropped.
+func registerDroppedLines(logger *log.Logger, registry metrics.Registry) error {
 	if io, ok := logger.Writer.(*log.IOWriter); ok {
 		if w, ok := io.Writer.(*logWriter); ok {
 			return registry.Register("log.lines.dropped", w.dropped)
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -20,46 +20,46 @@
 
 const (
 	drainLead = time.Second
-	// balancerLooks is how often a balancer reads /readyz.
-	balancerLooks = 503 * time.Millisecond
-	requestEvery  = 53 * time.Millisecond
-	requestWork   = 211 * time.Millisecond
-	playEnd       = 15 * time.Second
+	// balancerPollInterval is how often a balancer reads /readyz.
+	balancerPollInterval = 503 * time.Millisecond
+	requestInterval      = 53 * time.Millisecond
+	requestDuration      = 211 * time.Millisecond
+	simDuration          = 15 * time.Second
 )
 
-// drainPlay is the life of one daemon behind a balancer. Its server keeps the
+// drainSim is the life of one daemon behind a balancer. Its server keeps the
 // order of calls of the daemons' own OnStop hooks.
-type drainPlay struct {
+type drainSim struct {
 	t      *testing.T
 	life   *Lifecycle
 	step   statechart.Transition
-	inject func(*drainPlay)
+	inject func(*drainSim)
 
-	mu       sync.Mutex
-	taken    bool
-	killed   bool
-	pausedTo time.Time
-	work     time.Duration
-	inFlight int
-	// configured is when the first configuration comes.
-	configured time.Duration
+	mu          sync.Mutex
+	injected    bool
+	killed      bool
+	pausedUntil time.Time
+	work        time.Duration
+	inFlight    int
+	// configuredAfter is when the first configuration comes.
+	configuredAfter time.Duration
 
-	answered, refused, cut int
-	lastTaken              time.Time
-	drainedAt, stoppedAt   time.Time
-	calls, duties          sync.WaitGroup
+	answered, refused, unknown int
+	lastAccepted               time.Time
+	drainStartedAt, stoppedAt  time.Time
+	requests, background       sync.WaitGroup
 }
 
-func newDrainPlay(t *testing.T, step statechart.Transition, inject func(*drainPlay)) *drainPlay {
+func newDrainSim(t *testing.T, step statechart.Transition, inject func(*drainSim)) *drainSim {
 	base := &Base{VM: "vm1", LeaveLead: model.Duration(drainLead)}
-	p := &drainPlay{t: t, step: step, inject: inject, work: requestWork, configured: 200 * time.Millisecond}
-	p.life = newLife("hq-test", base, &log.Logger{Level: log.PanicLevel}, journal.New("vm1", "hq-test", 10), nil)
-	p.life.machine.Watch(p.noteStep)
+	p := &drainSim{t: t, step: step, inject: inject, work: requestDuration, configuredAfter: 200 * time.Millisecond}
+	p.life = newLifecycle("hq-test", base, &log.Logger{Level: log.PanicLevel}, journal.New("vm1", "hq-test", 10), nil)
+	p.life.machine.Watch(p.onTransition)
 	return p
 }
 
-// noteStep is called under the life's lock; the fault comes right after it.
-func (p *drainPlay) noteStep(s statechart.Transition) {
+// onTransition is called under the life's lock; the fault comes right after it.
+func (p *drainSim) onTransition(s statechart.Transition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s.Event == eventDrained {
@@ -67,33 +67,33 @@
 		p.stoppedAt = time.Now()
 	}
 	if s.Event == eventDrain {
-		p.drainedAt = time.Now()
+		p.drainStartedAt = time.Now()
 	}
-	if s == p.step && !p.taken {
-		p.taken = true
-		p.duties.Go(func() { p.inject(p) })
+	if s == p.step && !p.injected {
+		p.injected = true
+		p.background.Go(func() { p.inject(p) })
 	}
 }
 
 // run lives through start, work and drain, and returns what callers received.
-func (p *drainPlay) run() string {
+func (p *drainSim) run() string {
 	begun := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if p.step.Event == "" {
-		p.taken = true
+		p.injected = true
 		p.inject(p)
 	}
-	p.duties.Go(func() { p.server(ctx) })
-	p.duties.Go(func() { p.balancer(begun) })
+	p.background.Go(func() { p.server(ctx) })
+	p.background.Go(func() { p.balancer(begun) })
 	drainAt := 3 * time.Second
 	if p.step.From == "starting" && p.step.Event == eventDrain {
 		drainAt = 100 * time.Millisecond
 		p.configureAfter(5 * time.Second)
 	}
-	p.duties.Go(func() {
-		time.Sleep(p.firstConfiguration())
-		if time.Since(begun) < playEnd && p.alive() {
+	p.background.Go(func() {
+		time.Sleep(p.configurationDelay())
+		if time.Since(begun) < simDuration && p.alive() {
 			p.life.Ready()
 		}
 	})
@@ -101,25 +101,25 @@
 	if p.alive() {
 		p.life.Drain()
 	}
-	time.Sleep(playEnd - drainAt)
+	time.Sleep(simDuration - drainAt)
 	cancel()
-	p.calls.Wait()
+	p.requests.Wait()
 	return p.outcome()
 }
 
-func (p *drainPlay) outcome() string {
+func (p *drainSim) outcome() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	require.True(p.t, p.taken, "nothing led to the step")
+	require.True(p.t, p.injected, "nothing led to the step")
 	if !p.killed {
-		require.Zero(p.t, p.cut, "a planned stop cut a request off")
+		require.Zero(p.t, p.unknown, "a planned stop cut a request off")
 		require.False(p.t, p.stoppedAt.IsZero(), "it never stopped")
-		require.Less(p.t, p.lastTaken.Sub(p.drainedAt), drainLead+balancerLooks, "new work after it left")
+		require.Less(p.t, p.lastAccepted.Sub(p.drainStartedAt), drainLead+balancerPollInterval, "new work after it left")
 	}
 	switch {
-	case p.answered+p.refused+p.cut == 0:
+	case p.answered+p.refused+p.unknown == 0:
 		return "nothing was sent"
-	case p.cut > 0:
+	case p.unknown > 0:
 		return "answered; unknown in flight"
 	case p.refused > 0:
 		return "answered; no"
@@ -127,40 +127,40 @@
 	return "answered"
 }
 
-func (p *drainPlay) alive() bool {
+func (p *drainSim) alive() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.killed
 }
 
 // server keeps the order of the daemons' stop: lead, refuse, wait, drained.
-func (p *drainPlay) server(ctx context.Context) {
+func (p *drainSim) server(ctx context.Context) {
 	select {
 	case <-p.life.Draining():
 	case <-ctx.Done():
 		return
 	}
 	p.life.WaitLeaveLead(ctx) // time that a pause takes is part of it
-	p.whilePaused()
-	p.calls.Wait()
+	p.waitWhilePaused()
+	p.requests.Wait()
 	if p.alive() {
 		p.life.Drained()
 	}
 }
 
-func (p *drainPlay) whilePaused() {
+func (p *drainSim) waitWhilePaused() {
 	p.mu.Lock()
-	wait := time.Until(p.pausedTo)
+	wait := time.Until(p.pausedUntil)
 	p.mu.Unlock()
 	time.Sleep(max(0, wait))
 }
 
 // balancer sends while its last look found the daemon ready.
-func (p *drainPlay) balancer(begun time.Time) {
+func (p *drainSim) balancer(begun time.Time) {
 	ready, looked := false, time.Time{}
-	for time.Since(begun) < playEnd-6*time.Second {
-		time.Sleep(requestEvery)
-		if time.Since(looked) >= balancerLooks {
+	for time.Since(begun) < simDuration-6*time.Second {
+		time.Sleep(requestInterval)
+		if time.Since(looked) >= balancerPollInterval {
 			looked = time.Now()
 			ready, _ = p.life.IsReady()
 			ready = ready && p.alive()
@@ -171,11 +171,11 @@
 	}
 }
 
-func (p *drainPlay) request() {
+func (p *drainSim) request() {
 	if !p.alive() {
 		return // the balancer's connection fails; it sends elsewhere
 	}
-	p.whilePaused()
+	p.waitWhilePaused()
 	if !p.life.Serving() {
 		p.mu.Lock()
 		p.refused++
@@ -184,91 +184,91 @@
 	}
 	p.mu.Lock()
 	p.inFlight++
-	p.lastTaken = time.Now()
+	p.lastAccepted = time.Now()
 	work := p.work
 	p.mu.Unlock()
-	p.calls.Go(func() {
+	p.requests.Go(func() {
 		time.Sleep(work)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.inFlight--
 		if p.killed {
-			p.cut++
+			p.unknown++
 			return
 		}
 		p.answered++
 	})
 }
 
-func (p *drainPlay) kill() {
+func (p *drainSim) kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.killed = true
 }
 
-func (p *drainPlay) pause(d time.Duration) {
+func (p *drainSim) pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pausedTo = time.Now().Add(d)
+	p.pausedUntil = time.Now().Add(d)
 }
 
-func (p *drainPlay) slow(d time.Duration) {
+func (p *drainSim) setRequestDuration(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.work = d
 }
 
-func (p *drainPlay) lateConfiguration() { p.configureAfter(2 * time.Second) }
+func (p *drainSim) delayConfiguration() { p.configureAfter(2 * time.Second) }
 
-func (p *drainPlay) configureAfter(d time.Duration) {
+func (p *drainSim) configureAfter(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.configured = d
+	p.configuredAfter = d
 }
 
-func (p *drainPlay) firstConfiguration() time.Duration {
+func (p *drainSim) configurationDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.configured
+	return p.configuredAfter
 }
 
 const (
-	noneHere   = "a daemon's life holds no lease and depends on none"
-	noStep     = "what a target or request does shows in a drain as longer work only: see target frozen and back"
-	noNetwork  = "a cut shows in a drain as a configuration that comes late: see agent lost"
-	viaAgent   = "a daemon learns of the store through its agent: see agent lost"
-	justLosses = "the same as the loss of the process, or of its agent, alone"
+	noLease     = "a daemon's life holds no lease and depends on none"
+	targetOnly  = "what a target or request does shows in a drain as longer work only: see target frozen and back"
+	networkOnly = "a cut shows in a drain as a configuration that comes late: see agent lost"
+	viaAgent    = "a daemon learns of the store through its agent: see agent lost"
+	sameAsLoss  = "the same as the loss of the process, or of its agent, alone"
 )
 
-var drainBreakages = map[faults.Fault]struct {
+var drainFaults = map[faults.Fault]struct {
 	impossible string
-	inject     func(*drainPlay)
+	inject     func(*drainSim)
 }{
-	faults.None:             {inject: func(*drainPlay) {}},
-	faults.Partition:        {impossible: noNetwork},
-	faults.Pause:            {inject: func(p *drainPlay) { p.pause(2 * time.Second) }},
-	faults.EntryLost:        {inject: (*drainPlay).kill},
-	faults.DispatchLost:     {inject: (*drainPlay).kill},
-	faults.AgentLost:        {inject: (*drainPlay).lateConfiguration},
-	faults.TargetFrozen:     {inject: func(p *drainPlay) { p.slow(3 * time.Second) }},
-	faults.TargetLost:       {impossible: noStep},
+	faults.None:             {inject: func(*drainSim) {}},
+	faults.Partition:        {impossible: networkOnly},
+	faults.Pause:            {inject: func(p *drainSim) { p.pause(2 * time.Second) }},
+	faults.EntryLost:        {inject: (*drainSim).kill},
+	faults.DispatchLost:     {inject: (*drainSim).kill},
+	faults.AgentLost:        {inject: (*drainSim).delayConfiguration},
+	faults.TargetFrozen:     {inject: func(p *drainSim) { p.setRequestDuration(3 * time.Second) }},
+	faults.TargetLost:       {impossible: targetOnly},
 	faults.StoreDown:        {impossible: viaAgent},
 	faults.StoreSlow:        {impossible: viaAgent},
 	faults.StoreAnswerLost:  {impossible: viaAgent},
-	faults.LeaseLapsed:      {impossible: noneHere},
-	faults.OperatorsRace:    {inject: func(p *drainPlay) { p.life.Drain(); p.life.Drain() }},
-	faults.CrashingRequest:  {impossible: noStep},
-	faults.VMLeaves:         {inject: func(p *drainPlay) { p.life.Drain() }},
-	faults.TargetLeaves:     {impossible: noStep},
-	faults.DataCentreLost:   {impossible: justLosses},
-	faults.TargetLostTwice:  {impossible: noStep},
-	faults.PartitionTwice:   {impossible: noNetwork},
-	faults.TargetAndStore:   {impossible: noStep},
-	faults.AgentAndTarget:   {impossible: justLosses},
-	faults.PauseInPartition: {impossible: noNetwork},
+	faults.LeaseLapsed:      {impossible: noLease},
+	faults.OperatorsRace:    {inject: func(p *drainSim) { p.life.Drain(); p.life.Drain() }},
+	faults.CrashingRequest:  {impossible: targetOnly},
+	faults.VMLeaves:         {inject: func(p *drainSim) { p.life.Drain() }},
+	faults.TargetLeaves:     {impossible: targetOnly},
+	faults.DataCentreLost:   {impossible: sameAsLoss},
+	faults.TargetLostTwice:  {impossible: targetOnly},
+	faults.PartitionTwice:   {impossible: networkOnly},
+	faults.TargetAndStore:   {impossible: targetOnly},
+	faults.AgentAndTarget:   {impossible: sameAsLoss},
+	faults.PauseInPartition: {impossible: networkOnly},
 }
 
-const drainAbout = `The life of one daemon, from start over work to drain, behind a balancer that looks at /readyz every 503 ms,
+const drainDescription = `The life of one daemon, from start over work to drain, behind a balancer that looks at /readyz every 503 ms,
 with a lead of 1 s and a request every 53 ms. Its server is a fake that keeps the order of the daemons' own stop; the
 state, readiness and lead are the real ones. Each cell shows what callers received.
 
@@ -280,10 +280,10 @@
 // docs/faults/daemon.md shows each fault at each step.
 func TestFaultsAtStepsOfDaemon(t *testing.T) {
 	chart := charts.MustLoad("daemon")
-	m := faults.New(chart, drainAbout)
+	m := faults.New(chart, drainDescription)
 	for _, step := range faults.Steps(chart) {
 		for _, f := range faults.All() {
-			b, ok := drainBreakages[f]
+			b, ok := drainFaults[f]
 			require.True(t, ok, "no entry for %s", f)
 			if b.impossible != "" {
 				m.Impossible(f, step, b.impossible)
@@ -291,9 +291,9 @@
 			}
 			t.Run(fmt.Sprintf("%s at %s", f, faults.Name(step)), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					p := newDrainPlay(t, step, b.inject)
+					p := newDrainSim(t, step, b.inject)
 					m.Set(f, step, p.run())
-					p.duties.Wait()
+					p.background.Wait()
 				})
 			})
 		}
--- a/internal/daemon/life.go
+++ b/internal/daemon/lifecycle.go
@@ -28,45 +28,45 @@
 // Lifecycle is the daemon's state, its reasons for not being ready and the sections
 // of its dump. It is safe for concurrent use.
 type Lifecycle struct {
-	name, vm string
-	log      *log.Logger
-	journal  *journal.Journal
-	lead     time.Duration
-	shutdown fx.Shutdowner
+	name, vm  string
+	log       *log.Logger
+	journal   *journal.Journal
+	leaveLead time.Duration
+	shutdown  fx.Shutdowner
 
-	mu      sync.Mutex
-	machine *statechart.Machine
-	waiting string
-	// needs are the conditions of readiness that are not met; configured says
+	mu             sync.Mutex
+	machine        *statechart.Machine
+	notReadyReason string
+	// unmet are the conditions of readiness that are not met; configured says
 	// that Ready was called meanwhile.
-	needs      []string
+	unmet      []string
 	configured bool
 	// serving stays true while the daemon is ready, and through the lead of
 	// its graceful shutdown.
 	serving  bool
 	draining chan struct{}
-	// longest is how long a request may still run.
-	longest  time.Duration
-	sections []section
-	admin    string
+	// maxDeadline is how long a request may still run.
+	maxDeadline time.Duration
+	sections    []dumpSection
+	admin       string
 }
 
-type section struct {
+type dumpSection struct {
 	name string
 	dump func() any
 }
 
-func newLife(name string, base *Base, logger *log.Logger, j *journal.Journal, sh fx.Shutdowner) *Lifecycle {
+func newLifecycle(name string, base *Base, logger *log.Logger, j *journal.Journal, sh fx.Shutdowner) *Lifecycle {
 	return &Lifecycle{
-		name:     name,
-		vm:       base.VM,
-		log:      logger,
-		journal:  j,
-		lead:     base.LeaveLead.D(),
-		shutdown: sh,
-		machine:  charts.MustLoad("daemon").Start(),
-		waiting:  "no configuration yet",
-		draining: make(chan struct{}),
+		name:           name,
+		vm:             base.VM,
+		log:            logger,
+		journal:        j,
+		leaveLead:      base.LeaveLead.D(),
+		shutdown:       sh,
+		machine:        charts.MustLoad("daemon").Start(),
+		notReadyReason: "no configuration yet",
+		draining:       make(chan struct{}),
 	}
 }
 
@@ -75,9 +75,9 @@
 func (l *Lifecycle) Ready() {
 	l.mu.Lock()
 	l.configured = true
-	missing := len(l.needs) > 0
+	missing := len(l.unmet) > 0
 	if missing {
-		l.waiting = l.needs[0]
+		l.notReadyReason = l.unmet[0]
 	}
 	l.mu.Unlock()
 	if !missing {
@@ -90,11 +90,11 @@
 func (l *Lifecycle) Require(reason string) (met func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.needs = append(l.needs, reason)
+	l.unmet = append(l.unmet, reason)
 	return sync.OnceFunc(func() {
 		l.mu.Lock()
-		i := slices.Index(l.needs, reason)
-		l.needs = slices.Delete(l.needs, i, i+1)
+		i := slices.Index(l.unmet, reason)
+		l.unmet = slices.Delete(l.unmet, i, i+1)
 		configured := l.configured
 		l.mu.Unlock()
 		if configured {
@@ -107,7 +107,7 @@
 func (l *Lifecycle) SetNotReadyReason(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waiting = reason
+	l.notReadyReason = reason
 }
 
 // Note records a decision in the daemon's journal.
@@ -120,7 +120,7 @@
 // During the lead the daemon serves on, while /readyz and the heartbeats report that it leaves.
 func (l *Lifecycle) WaitLeaveLead(ctx context.Context) {
 	select {
-	case <-time.After(l.lead):
+	case <-time.After(l.leaveLead):
 	case <-ctx.Done():
 	}
 	l.mu.Lock()
@@ -134,14 +134,14 @@
 func (l *Lifecycle) RaiseMaxDeadline(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.longest = max(l.longest, d)
+	l.maxDeadline = max(l.maxDeadline, d)
 }
 
 // MaxDeadline returns the longest deadline that a request may have.
 func (l *Lifecycle) MaxDeadline() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.longest
+	return l.maxDeadline
 }
 
 // Serving reports whether new work is taken: the daemon is ready, or leaves and is
@@ -197,7 +197,7 @@
 	case stateReady:
 		return true, ""
 	case l.machine.Chart().Initial:
-		return false, l.waiting
+		return false, l.notReadyReason
 	default:
 		return false, string(state)
 	}
@@ -215,7 +215,7 @@
 func (l *Lifecycle) AddDumpSection(name string, dump func() any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sections = append(l.sections, section{name, dump})
+	l.sections = append(l.sections, dumpSection{name, dump})
 }
 
 // Dump is a daemon's whole state.
@@ -234,12 +234,12 @@
 	Value any    `json:"value"`
 }
 
-// maxShown bounds a list in a dump: at a million groups the whole would be hundreds
+// maxDumpItems bounds a list in a dump: at a million groups the whole would be hundreds
 // of megabytes, held in memory while it is written.
-const maxShown = 1000
+const maxDumpItems = 1000
 
 // TruncateForDump returns the first items of a list, as many as a dump shows.
-func TruncateForDump[T any](list []T) []T { return list[:min(len(list), maxShown)] }
+func TruncateForDump[T any](list []T) []T { return list[:min(len(list), maxDumpItems)] }
 
 // Dump returns the state of all parts.
 func (l *Lifecycle) Dump() Dump {
--- a/internal/daemon/life_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -9,8 +9,8 @@
 	"hemlockquay/internal/journal"
 )
 
-func testLife() *Lifecycle {
-	return newLife("test", &Base{VM: "vm1"}, &log.Logger{Level: log.PanicLevel}, journal.New("vm1", "test", 16), nil)
+func newTestLifecycle() *Lifecycle {
+	return newLifecycle("test", &Base{VM: "vm1"}, &log.Logger{Level: log.PanicLevel}, journal.New("vm1", "test", 16), nil)
 }
 
 // A daemon has its configuration and lacks what another part must fetch first, or
@@ -18,7 +18,7 @@
 // which one is missing.
 func TestReadyNeedsAllThatIsRequired(t *testing.T) {
 	for _, configuredFirst := range []bool{true, false} {
-		l := testLife()
+		l := newTestLifecycle()
 		one, two := l.Require("one is missing"), l.Require("two is missing")
 		if configuredFirst {
 			l.Ready()
@@ -44,7 +44,7 @@
 
 // It is stopped while it waits: what comes in late does not make it ready.
 func TestRequirementMetAfterDrain(t *testing.T) {
-	l := testLife()
+	l := newTestLifecycle()
 	met := l.Require("something is missing")
 	l.Ready()
 	l.BeginDrain()
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -13,16 +13,16 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// logLines bounds the lines that wait for the reader of the log: a second of a
+// maxQueuedLines bounds the lines that wait for the reader of the log: a second of a
 // full rate of requests, about a megabyte.
-const logLines = 4096
+const maxQueuedLines = 4096
 
-// requestRoom is the part of them that lines on requests may fill: the rest is kept
+// maxRequestLines is the part of them that lines on requests may fill: the rest is kept
 // for changes of what the process believes, which are few and explain the others.
-const requestRoom = logLines * 3 / 4
+const maxRequestLines = maxQueuedLines * 3 / 4
 
-// requestMark is in the lines on single requests.
-var requestMark = []byte(`"step":"request"`)
+// requestMarker is in the lines on single requests.
+var requestMarker = []byte(`"step":"request"`)
 
 // logWriter hands lines to a goroutine that writes them.
 // A full queue drops the line and counts it, so that requests never wait for the reader of the
@@ -36,14 +36,14 @@
 }
 
 func newLogWriter(out io.Writer) *logWriter {
-	w := &logWriter{out: out, lines: make(chan []byte, logLines), dropped: metrics.NewCounter(), done: make(chan struct{})}
+	w := &logWriter{out: out, lines: make(chan []byte, maxQueuedLines), dropped: metrics.NewCounter(), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
-	if len(w.lines) >= requestRoom && bytes.Contains(line, requestMark) {
+	if len(w.lines) >= maxRequestLines && bytes.Contains(line, requestMarker) {
 		w.dropped.Inc(1)
 		return len(line), nil
 	}
@@ -57,10 +57,10 @@
 
 func (w *logWriter) run() {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range w.lines {
-		if n := w.dropped.Count(); n > told && len(w.lines) == 0 {
-			told = n
+		if n := w.dropped.Count(); n > reported && len(w.lines) == 0 {
+			reported = n
 			line = append(line, fmt.Sprintf("{\"level\":\"warn\",\"step\":\"log\",\"dropped\":%d,\"message\":\"log lines dropped since the start\"}\n", n)...)
 		}
 		if _, err := w.out.Write(line); err != nil {
@@ -69,9 +69,9 @@
 	}
 }
 
-// flushMost bounds the writing of what waits at the end, well below the margin within
+// flushTimeout bounds the writing of what waits at the end, well below the margin within
 // which a process must end.
-const flushMost = time.Second
+const flushTimeout = time.Second
 
 var errNotFlushed = errors.New("log not written to its end: nobody reads it")
 
@@ -82,11 +82,11 @@
 	select {
 	case <-w.done:
 		return nil
-	case <-time.After(flushMost):
+	case <-time.After(flushTimeout):
 		return errNotFlushed
 	}
 }
 
-// survive keeps the process alive when the reader of its output is gone.
+// ignoreSIGPIPE keeps the process alive when the reader of its output is gone.
 // Without it the next line to the closed pipe would end the process by SIGPIPE.
-func survive() { signal.Ignore(syscall.SIGPIPE) }
+func ignoreSIGPIPE() { signal.Ignore(syscall.SIGPIPE) }
--- a/internal/daemon/logwriter_test.go
+++ b/internal/daemon/logwriter_test.go
@@ -18,8 +18,8 @@
 func TestLogNeverBlocksAndCountsWhatItDrops(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := newLogWriter(pipe)
-	const written = logLines + 100
-	for range written {
+	const lineCount = maxQueuedLines + 100
+	for range lineCount {
 		n, err := w.Write([]byte("line\n"))
 		require.NoError(t, err)
 		require.Equal(t, 5, n)
@@ -35,15 +35,15 @@
 	require.NoError(t, w.Close())
 	pipe.Close()
 	<-read
-	require.Equal(t, written-int(dropped), strings.Count(got.String(), "line\n"))
+	require.Equal(t, lineCount-int(dropped), strings.Count(got.String(), "line\n"))
 	require.Contains(t, got.String(), "log lines dropped since the start")
 }
 
-// stuck is an output that nobody reads.
-type stuck struct{ until chan struct{} }
+// blockedWriter is an output that nobody reads.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.until
+func (s blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	return len(p), nil
 }
 
@@ -51,13 +51,13 @@
 // until it was killed.
 func TestStopDoesNotWaitForTheReaderOfTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{make(chan struct{})}
+		out := blockedWriter{make(chan struct{})}
 		w := newLogWriter(out)
 		_, _ = w.Write([]byte("line\n"))
 		begin := time.Now()
 		require.ErrorIs(t, w.Close(), errNotFlushed)
-		require.Equal(t, flushMost, time.Since(begin))
-		close(out.until)
+		require.Equal(t, flushTimeout, time.Since(begin))
+		close(out.unblock)
 	})
 }
 
@@ -72,7 +72,7 @@
 	require.NoError(t, syscall.Dup3(int(writer.Fd()), stdout, 0))
 	reader.Close()
 	writer.Close()
-	survive()
+	ignoreSIGPIPE()
 	_, err = os.Stdout.WriteString("line\n")
 	require.NoError(t, syscall.Dup3(saved, stdout, 0))
 	require.ErrorIs(t, err, syscall.EPIPE)
@@ -83,12 +83,12 @@
 func TestLinesOnRequestsLeaveRoomForOthers(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := newLogWriter(pipe)
-	for range 2 * logLines {
+	for range 2 * maxQueuedLines {
 		_, _ = w.Write([]byte(`{"step":"request"}` + "\n"))
 	}
 	dropped := w.dropped.Count()
 	require.Positive(t, dropped)
-	for range logLines - requestRoom - 1 {
+	for range maxQueuedLines - maxRequestLines - 1 {
 		_, _ = w.Write([]byte(`{"step":"config"}` + "\n"))
 	}
 	require.Equal(t, dropped, w.dropped.Count(), "nothing else is dropped")
--- a/internal/daemon/figures.go
+++ b/internal/daemon/metrics.go
@@ -10,9 +10,9 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// TimerFigures is a timer on /metrics. Percentiles are of the last minutes: the
+// TimerStats is a timer on /metrics. Percentiles are of the last minutes: the
 // library weighs newer samples higher.
-type TimerFigures struct {
+type TimerStats struct {
 	Count int64 `json:"count"`
 	// PerSecond1m is the rate of the last minute.
 	PerSecond1m float64 `json:"perSecond1m"`
@@ -24,15 +24,15 @@
 	MaxMs       float64 `json:"maxMs"`
 }
 
-// MeterFigures is a meter on /metrics.
-type MeterFigures struct {
+// MeterStats is a meter on /metrics.
+type MeterStats struct {
 	Count       int64   `json:"count"`
 	PerSecond1m float64 `json:"perSecond1m"`
 }
 
-// figures renders all metrics by name. Counters are {"count": n}, gauges
+// metricValues renders all metrics by name. Counters are {"count": n}, gauges
 // {"value": v}; times are milliseconds and say so.
-func figures(registry metrics.Registry) map[string]any {
+func metricValues(registry metrics.Registry) map[string]any {
 	out := make(map[string]any)
 	for name, values := range registry.GetAll() {
 		out[name] = values
@@ -40,29 +40,29 @@
 	registry.Each(func(name string, metric any) {
 		switch m := metric.(type) {
 		case metrics.Timer:
-			out[name] = timerFigures(m.Snapshot())
+			out[name] = timerStats(m.Snapshot())
 		case metrics.Meter:
-			out[name] = MeterFigures{Count: m.Count(), PerSecond1m: m.Rate1()}
+			out[name] = MeterStats{Count: m.Count(), PerSecond1m: m.Rate1()}
 		}
 	})
 	return out
 }
 
-// figuresText renders all metrics as text: a line each, name and value, in order of
+// metricsText renders all metrics as text: a line each, name and value, in order of
 // names. Figures of one metric follow its name after a dot, as in figures.
-func figuresText(registry metrics.Registry) string {
+func metricsText(registry metrics.Registry) string {
 	var lines []string
-	for name, values := range figures(registry) {
-		for figure, value := range numbers(values) {
-			lines = append(lines, fmt.Sprintf("%s.%s %v\n", strings.ReplaceAll(name, " ", "_"), figure, value))
+	for name, values := range metricValues(registry) {
+		for field, value := range fieldsByName(values) {
+			lines = append(lines, fmt.Sprintf("%s.%s %v\n", strings.ReplaceAll(name, " ", "_"), field, value))
 		}
 	}
 	slices.Sort(lines)
 	return strings.Join(lines, "")
 }
 
-// numbers returns the figures of one metric by the names that they have in JSON.
-func numbers(values any) map[string]any {
+// fieldsByName returns the figures of one metric by the names that they have in JSON.
+func fieldsByName(values any) map[string]any {
 	var out map[string]any
 	text, err := json.Marshal(values)
 	if err == nil {
@@ -75,9 +75,9 @@
 	return out
 }
 
-func timerFigures(t metrics.Timer) TimerFigures {
+func timerStats(t metrics.Timer) TimerStats {
 	p := t.Percentiles([]float64{0.5, 0.9, 0.99, 0.999})
-	return TimerFigures{
+	return TimerStats{
 		Count: t.Count(), PerSecond1m: t.Rate1(), MeanMs: milliseconds(t.Mean()),
 		P50Ms: milliseconds(p[0]), P90Ms: milliseconds(p[1]), P99Ms: milliseconds(p[2]), P999Ms: milliseconds(p[3]),
 		MaxMs: milliseconds(float64(t.Max())),
@@ -101,9 +101,9 @@
 	Dropped int64 `json:"dropped"`
 }
 
-// rings returns the state of all rings by name. It follows the metrics, so that a
+// ringStates returns the state of all ringStates by name. It follows the metrics, so that a
 // ring cannot be left out.
-func rings(registry metrics.Registry) map[string]RingState {
+func ringStates(registry metrics.Registry) map[string]RingState {
 	out := make(map[string]RingState)
 	registry.Each(func(name string, metric any) {
 		ring, ok := strings.CutPrefix(name, ringPrefix)
--- a/internal/daemon/figures_test.go
+++ b/internal/daemon/metrics_test.go
@@ -27,9 +27,9 @@
 func TestAdminShowsUnitsAndRings(t *testing.T) {
 	registry := metrics.NewRegistry()
 	j := journal.New("vm1", "hq-test", 4)
-	life := newLife("hq-test", &plainSettings(t).Base, quiet, j, nil)
+	life := newLifecycle("hq-test", &newMinimalSettings(t).Base, discardLogger, j, nil)
 	handler := adminHandler(adminParams{Life: life, Registry: registry, Journal: j})
-	life.AddDumpSection(ringsSection, func() any { return rings(registry) })
+	life.AddDumpSection(ringsSection, func() any { return ringStates(registry) })
 	metrics.GetOrRegisterTimer("entry.answered", registry).Update(1500 * time.Microsecond)
 	metrics.GetOrRegisterGauge("ring.a.b.depth", registry).Update(7)
 	metrics.GetOrRegisterCounter("ring.a.b.dropped", registry).Inc(2)
@@ -49,7 +49,7 @@
 
 	require.Contains(t, get(t, handler, "/dump"), `"a.b":{"depth":7,"dropped":2}`)
 	require.Contains(t, get(t, handler, "/dump?pretty"), "\n    \"process\": \"hq-test\"")
-	require.Len(t, TruncateForDump(make([]int, maxShown+1)), maxShown)
+	require.Len(t, TruncateForDump(make([]int, maxDumpItems+1)), maxDumpItems)
 	require.Len(t, TruncateForDump(make([]int, 3)), 3)
 	life.Note("configure", "contract c1 version 2 is in force", "c1")
 	require.Contains(t, get(t, handler, "/journal?pretty"), "\n        \"text\": \"contract c1 version 2 is in force\"")
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -57,13 +57,13 @@
 				require.NoError(t, settings.Decode("f.jsonc", []byte(required+"\n}"), s))
 				s, _ = newSettings(name)
 				err := settings.Decode("f.jsonc", []byte(required+",\n\""+c.field+"\": "+c.value+"\n}"), s)
-				requirePlace(t, err, c.field, fieldLine)
+				requireErrorAt(t, err, c.field, fieldLine)
 			})
 		}
 	}
 }
 
-func requirePlace(t *testing.T, err error, field string, line int) {
+func requireErrorAt(t *testing.T, err error, field string, line int) {
 	t.Helper()
 	var e *settings.Error
 	require.True(t, errors.As(err, &e), "%v", err)
@@ -80,7 +80,7 @@
 			field := strings.Trim(strings.SplitN(line, ":", 2)[0], `"`)
 			s, _ := newSettings(name)
 			err := settings.Decode("f.jsonc", []byte(strings.Replace(required, line, `"`+field+`": "",`, 1)+"\n}"), s)
-			requirePlace(t, err, field, i+2)
+			requireErrorAt(t, err, field, i+2)
 		}
 	}
 }
