--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -17,10 +17,10 @@
 	"hemlockquay/internal/settings"
 )
 
-// headerTimeout bounds how long a client may take to send its headers.
+// headerTimeout bounds how long a client may take to send the request headers.
 const headerTimeout = 5 * time.Second
 
-// CheckAddr reports an address that is not IP:PORT.
+// CheckAddr returns an error if the address is not IP:PORT.
 func CheckAddr(pointer, addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil {
@@ -40,12 +40,12 @@
 	Journal  *journal.Journal
 }
 
-// startAdmin serves /healthz, /readyz, /metrics, /metrics.txt, /dump, /journal
-// and /drain.
+// startAdmin starts the admin server, which serves /healthz, /readyz, /metrics,
+// /metrics.txt, /dump, /journal, /debug/pprof and /drain.
 func startAdmin(p adminParams) error {
 	listener, err := net.Listen("tcp", p.Base.Admin)
 	if err != nil {
-		return fmt.Errorf("listen for admin: %w", err)
+		return fmt.Errorf("start admin server: %w", err)
 	}
 	p.Life.AddDumpSection(ringsSection, func() any { return ringStates(p.Registry) })
 	p.Life.admin = listener.Addr().String()
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// writeJSON answers in JSON: one line for programs, indented where the query says
-// "pretty".
+// writeJSON responds with v as JSON, on one line, or indented if the query has the
+// parameter "pretty".
 func writeJSON(c *gin.Context, v any) {
 	if _, pretty := c.GetQuery("pretty"); pretty {
 		c.IndentedJSON(http.StatusOK, v)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is the frame that every program of a VM stands in: flags,
-// checked settings, logs, metrics, the admin HTTP server, and the life from
-// start to graceful shutdown.
+// Package daemon provides what the daemons of a VM have in common: flags,
+// validated settings, logs, metrics, the admin HTTP server, and the lifecycle
+// from start to graceful shutdown.
 package daemon
 
 import (
@@ -26,7 +26,7 @@
 type Base struct {
 	// VM is the name of this VM in the platform's list.
 	VM string `json:"vm"`
-	// DataCentre is where the VM stands.
+	// DataCentre is the data centre that the VM runs in.
 	DataCentre string `json:"dataCentre"`
 	// Admin is the IP:PORT of the admin HTTP server.
 	Admin string `json:"admin"`
@@ -36,12 +36,13 @@
 	// JournalLength is how many decisions of each step the journal keeps.
 	// Default 4096.
 	JournalLength int `json:"journalLength,omitempty"`
-	// LeaveLead is how long a daemon that leaves still serves, so that those
-	// that send work learn of it. Default 1s.
+	// LeaveLead is how long a daemon that shuts down goes on serving, so that
+	// senders of requests are notified first. Default 1s.
 	LeaveLead model.Duration `json:"leaveLead,omitempty"`
 }
 
-// Reloadable settings know the file that they were read from.
+// Reloadable is implemented by settings that are read again while the daemon runs, from the file
+// that SetSource names.
 type Reloadable interface {
 	SetSource(file string)
 }
@@ -49,18 +50,19 @@
 const (
 	defaultJournalLength = 4096
 	maxJournalLength     = 1 << 20
-	// defaultLeaveLead covers a report (at once), a heartbeat (150 ms), the
-	// pull of the other VMs' entries, and balancers that look twice a second.
+	// defaultLeaveLead covers the report to the agent (immediate), a heartbeat
+	// (150 ms), the pull by the entries of the other VMs, and load balancers that
+	// poll /readyz twice a second.
 	defaultLeaveLead = model.Duration(time.Second)
-	// maxLeaveLead keeps a target that leaves from new work "within a few
-	// seconds" and a replacement short.
+	// maxLeaveLead bounds how long a leaving daemon takes new requests, which has to
+	// end "within a few seconds", and how long the replacement of a VM takes.
 	maxLeaveLead = model.Duration(30 * time.Second)
 )
 
-// Common returns the shared part; it lets Main read any daemon's settings.
+// Common returns the shared part of any daemon's settings; Main needs it.
 func (b *Base) Common() *Base { return b }
 
-// CheckBase reports the first impossible value and fills in defaults.
+// CheckBase fills in defaults and reports the first invalid value.
 func (b *Base) CheckBase() error {
 	if b.Log == "" {
 		b.Log = "info"
@@ -81,7 +83,7 @@
 	case b.LeaveLead < 0 || b.LeaveLead > maxLeaveLead:
 		return settings.Impossible("/leaveLead", "%v is not between 0 and %v", b.LeaveLead, maxLeaveLead)
 	case log.ParseLevel(b.Log) > log.FatalLevel:
-		return settings.Impossible("/log", "%q is not a level", b.Log)
+		return settings.Impossible("/log", "%q is not a log level", b.Log)
 	}
 	return CheckAddr("/admin", b.Admin)
 }
@@ -98,7 +100,7 @@
 	Check  bool   `long:"check" description:"check the settings and exit"`
 }
 
-// Main runs a daemon: it reads the settings into s, builds the fx application of
+// Main runs a daemon: it reads the settings into s, builds the fx application from
 // module and runs it until SIGTERM, SIGINT or /drain. It does not return.
 func Main[S Settings](name string, s S, module fx.Option) {
 	os.Exit(run(name, os.Args[1:], s, module))
@@ -144,20 +146,20 @@
 	return runApp(app, logger, signals, func() time.Duration { return life.MaxDeadline() + stopMargin })
 }
 
-// startTimeout bounds the start: listening and dialling take milliseconds.
+// startTimeout bounds the start of the application: listening and dialling take milliseconds.
 const startTimeout = 15 * time.Second
 
-// stopMargin is how much longer than the longest request a graceful shutdown may
-// take: the lead, the last answers and the goodbye to the agent.
+// stopMargin is how much longer than the longest request deadline a graceful shutdown
+// may take. It covers LeaveLead, the last responses and the final report to the agent.
 const stopMargin = time.Minute
 
-// runApp runs the application to its end and returns the exit code.
-// Only the first signal is read: a repeated SIGTERM must not cut off requests in flight.
+// runApp runs the application until a signal or a shutdown request and returns the exit code.
+// Only the first signal is read: a repeated SIGTERM must not abort requests in flight.
 func runApp(app *fx.App, logger *log.Logger, signals <-chan os.Signal, stopTimeout func() time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := app.Start(ctx); err != nil {
-		logger.Error().Err(rootCause(err)).Str("step", "start").Msg("cannot start")
+		logger.Error().Err(rootCause(err)).Str("step", "start").Msg("daemon could not start")
 		return command.Failure
 	}
 	select {
@@ -168,7 +170,7 @@
 	stop, cancelStop := context.WithTimeout(context.Background(), stopTimeout())
 	defer cancelStop()
 	if err := app.Stop(stop); err != nil {
-		logger.Error().Err(err).Str("step", "stop").Msg("shutdown was not graceful")
+		logger.Error().Err(err).Str("step", "stop").Msg("graceful shutdown failed or timed out")
 		return command.Failure
 	}
 	logger.Info().Str("step", "stop").Msg("stopped")
@@ -185,8 +187,8 @@
 	}
 }
 
-// NewLogger returns a logger of JSON lines on standard output that never blocks,
-// and what writes the lines that wait, to be called at the end.
+// NewLogger returns a non-blocking logger that writes JSON lines to standard output, and
+// a function that writes the queued lines; it must be called before the process exits.
 func NewLogger(process, vm, level string) (logger *log.Logger, flush func() error) {
 	w := newLogWriter(os.Stdout)
 	return &log.Logger{
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -21,7 +21,7 @@
 	"hemlockquay/internal/model"
 )
 
-// minimalSettings are the settings of a daemon that does nothing.
+// minimalSettings are the settings of a daemon that has none of its own.
 type minimalSettings struct{ Base }
 
 func (p *minimalSettings) Check() error { return p.CheckBase() }
@@ -34,7 +34,7 @@
 
 var discardLogger = &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 
-// newTestApp is a daemon whose stop runs the function.
+// newTestApp returns the application of a daemon that runs stop when it shuts down.
 func newTestApp(t *testing.T, life **Lifecycle, stop func(context.Context) error) *fx.App {
 	return fx.New(
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
@@ -46,8 +46,8 @@
 
 func fixedTimeout(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// A supervisor repeats SIGTERM while the daemon drains. The second one must not
-// cut off the request that still runs.
+// Guards against a repeated SIGTERM, as supervisors send it, aborting the requests that are in
+// flight during the drain.
 func TestSecondSignalDoesNotCutTheDrainShort(t *testing.T) {
 	var life *Lifecycle
 	signals := make(chan os.Signal, 1)
@@ -63,8 +63,8 @@
 	require.Len(t, signals, 1, "nothing reads the second signal")
 }
 
-// A request outlives the bound. The daemon ends, and its exit code says that it
-// was not graceful.
+// A request takes longer than the time limit of the drain. The daemon must end all the same, with
+// the exit code of a failure.
 func TestDrainThatOutlivesItsBoundFails(t *testing.T) {
 	var life *Lifecycle
 	app := newTestApp(t, &life, func(ctx context.Context) error {
@@ -82,8 +82,8 @@
 	require.Equal(t, command.Failure, runApp(app, discardLogger, nil, fixedTimeout(time.Second)))
 }
 
-// A VM is replaced before its daemons heard of any configuration: they must stop
-// as well, by /drain here.
+// A VM is replaced before its daemons have received a configuration. They must still stop when
+// they are asked to, here by /drain.
 func TestDrainWhileNotReady(t *testing.T) {
 	var life *Lifecycle
 	drained := make(chan string, 1)
--- a/internal/daemon/deps.go
+++ b/internal/daemon/deps.go
@@ -8,7 +8,7 @@
 	"hemlockquay/internal/journal"
 )
 
-// Deps is what a daemon with settings S is built from. BaseModule provides it.
+// Deps holds the dependencies of a daemon with settings S. BaseModule provides it.
 type Deps[S Settings] struct {
 	Settings  S
 	LC        fx.Lifecycle
@@ -22,8 +22,8 @@
 	return &Deps[S]{Settings: s, LC: lc, Lifecycle: life, Log: logger, Registry: registry, Journal: j}
 }
 
-// BaseModule provides what each daemon stands on: its settings, log, metrics, journal
-// and life, joined in a Deps. It starts the admin server.
+// BaseModule returns the fx module that all daemons share: it provides settings, log,
+// metrics, journal and lifecycle, singly and as Deps, and starts the admin server.
 func BaseModule[S Settings](name string, s S, logger *log.Logger) fx.Option {
 	base := s.Common()
 	return fx.Options(
@@ -38,7 +38,7 @@
 	)
 }
 
-// registerDroppedLines shows how many lines the log has dropped.
+// registerDroppedLines registers the metric of the lines that the log has dropped.
 func registerDroppedLines(logger *log.Logger, registry metrics.Registry) error {
 	if io, ok := logger.Writer.(*log.IOWriter); ok {
 		if w, ok := io.Writer.(*logWriter); ok {
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -20,15 +20,15 @@
 
 const (
 	drainLead = time.Second
-	// balancerPollInterval is how often a balancer reads /readyz.
+	// balancerPollInterval is the interval at which the load balancer reads /readyz.
 	balancerPollInterval = 503 * time.Millisecond
 	requestInterval      = 53 * time.Millisecond
 	requestDuration      = 211 * time.Millisecond
 	simDuration          = 15 * time.Second
 )
 
-// drainSim is the life of one daemon behind a balancer. Its server keeps the
-// order of calls of the daemons' own OnStop hooks.
+// drainSim simulates one daemon behind a load balancer, from start to stop. Its server makes
+// the calls of the daemons' OnStop hooks in the same order.
 type drainSim struct {
 	t      *testing.T
 	life   *Lifecycle
@@ -41,7 +41,7 @@
 	pausedUntil time.Time
 	work        time.Duration
 	inFlight    int
-	// configuredAfter is when the first configuration comes.
+	// configuredAfter is the time from the start to the first configuration.
 	configuredAfter time.Duration
 
 	answered, refused, unknown int
@@ -58,7 +58,7 @@
 	return p
 }
 
-// onTransition is called under the life's lock; the fault comes right after it.
+// onTransition is called with the lifecycle's lock held; the fault is injected right after it.
 func (p *drainSim) onTransition(s statechart.Transition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// run lives through start, work and drain, and returns what callers received.
+// run simulates start, service and drain, and returns what callers received.
 func (p *drainSim) run() string {
 	begun := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,11 +110,11 @@
 func (p *drainSim) outcome() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	require.True(p.t, p.injected, "nothing led to the step")
+	require.True(p.t, p.injected, "the transition under test never happened")
 	if !p.killed {
-		require.Zero(p.t, p.unknown, "a planned stop cut a request off")
-		require.False(p.t, p.stoppedAt.IsZero(), "it never stopped")
-		require.Less(p.t, p.lastAccepted.Sub(p.drainStartedAt), drainLead+balancerPollInterval, "new work after it left")
+		require.Zero(p.t, p.unknown, "a planned stop aborted a request")
+		require.False(p.t, p.stoppedAt.IsZero(), "the daemon never stopped")
+		require.Less(p.t, p.lastAccepted.Sub(p.drainStartedAt), drainLead+balancerPollInterval, "a request was accepted after the leave lead and one poll of the balancer")
 	}
 	switch {
 	case p.answered+p.refused+p.unknown == 0:
@@ -133,14 +133,14 @@
 	return !p.killed
 }
 
-// server keeps the order of the daemons' stop: lead, refuse, wait, drained.
+// server shuts down in the order of the daemons: leave lead, refuse, wait for requests, drained.
 func (p *drainSim) server(ctx context.Context) {
 	select {
 	case <-p.life.Draining():
 	case <-ctx.Done():
 		return
 	}
-	p.life.WaitLeaveLead(ctx) // time that a pause takes is part of it
+	p.life.WaitLeaveLead(ctx) // a pause counts towards it
 	p.waitWhilePaused()
 	p.requests.Wait()
 	if p.alive() {
@@ -155,7 +155,7 @@
 	time.Sleep(max(0, wait))
 }
 
-// balancer sends while its last look found the daemon ready.
+// balancer sends requests while its last poll of /readyz found the daemon ready.
 func (p *drainSim) balancer(begun time.Time) {
 	ready, looked := false, time.Time{}
 	for time.Since(begun) < simDuration-6*time.Second {
@@ -173,7 +173,7 @@
 
 func (p *drainSim) request() {
 	if !p.alive() {
-		return // the balancer's connection fails; it sends elsewhere
+		return // the connection fails and the balancer chooses another daemon
 	}
 	p.waitWhilePaused()
 	if !p.life.Serving() {
@@ -275,9 +275,8 @@
 Checked in each cell: a stop that was planned cuts off no request in flight, ends, and takes no new work later than the
 lead and one look of the balancer; the daemon is stopped only when no request is left.`
 
-// A VM is replaced, and callers see broken connections: its daemon was asked to stop
-// while it started, twice, or in the middle of a pause.
-// docs/faults/daemon.md shows each fault at each step.
+// Guards against broken connections during the replacement of a VM: a daemon may be asked to stop
+// while it starts, twice, or during a pause. docs/faults/daemon.md shows each fault at each step.
 func TestFaultsAtStepsOfDaemon(t *testing.T) {
 	chart := charts.MustLoad("daemon")
 	m := faults.New(chart, drainDescription)
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -25,8 +25,8 @@
 	stateStopped statechart.State = "stopped"
 )
 
-// Lifecycle is the daemon's state, its reasons for not being ready and the sections
-// of its dump. It is safe for concurrent use.
+// Lifecycle holds the state of the daemon, its reasons for not being ready and the
+// sections of its dump. It is safe for concurrent use.
 type Lifecycle struct {
 	name, vm  string
 	log       *log.Logger
@@ -37,15 +37,15 @@
 	mu             sync.Mutex
 	machine        *statechart.Machine
 	notReadyReason string
-	// unmet are the conditions of readiness that are not met; configured says
-	// that Ready was called meanwhile.
+	// unmet lists the readiness conditions that are not met yet; configured is
+	// true once Ready has been called.
 	unmet      []string
 	configured bool
-	// serving stays true while the daemon is ready, and through the lead of
-	// its graceful shutdown.
+	// serving is true while the daemon is ready, and during leaveLead, the first
+	// part of its graceful shutdown.
 	serving  bool
 	draining chan struct{}
-	// maxDeadline is how long a request may still run.
+	// maxDeadline is the longest deadline that a request may have.
 	maxDeadline time.Duration
 	sections    []dumpSection
 	admin       string
@@ -70,8 +70,8 @@
 	}
 }
 
-// Ready says that the daemon has a configuration in force. The daemon is ready once
-// all that it requires besides is met.
+// Ready reports to the lifecycle that a configuration is in force. The daemon becomes
+// ready once all conditions added by Require are met as well.
 func (l *Lifecycle) Ready() {
 	l.mu.Lock()
 	l.configured = true
@@ -85,8 +85,8 @@
 	}
 }
 
-// Require adds a condition of readiness, named by why it is not met yet. It must be
-// called before Ready can be. met may be called more than once.
+// Require adds a readiness condition; reason says what is missing until met is called.
+// All calls of Require must precede the first call of Ready. met may be called more than once.
 func (l *Lifecycle) Require(reason string) (met func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,21 +103,21 @@
 	})
 }
 
-// SetNotReadyReason notes why the daemon waits; /readyz shows it.
+// SetNotReadyReason sets the reason that /readyz shows until the daemon is ready.
 func (l *Lifecycle) SetNotReadyReason(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notReadyReason = reason
 }
 
-// Note records a decision in the daemon's journal.
+// Note adds a decision to the daemon's journal.
 func (l *Lifecycle) Note(step, text string, subjects ...string) {
 	l.journal.Add(step, text, subjects...)
 }
 
-// WaitLeaveLead waits until those that send work have been notified that the daemon leaves.
-// It goes between BeginDrain and the first refusal.
-// During the lead the daemon serves on, while /readyz and the heartbeats report that it leaves.
+// WaitLeaveLead waits for the setting LeaveLead, or until ctx ends, and then stops Serving.
+// It is called after BeginDrain and before the first request is refused. Meanwhile the daemon
+// goes on serving, and /readyz and the heartbeats tell senders of requests that it is leaving.
 func (l *Lifecycle) WaitLeaveLead(ctx context.Context) {
 	select {
 	case <-time.After(l.leaveLead):
@@ -128,9 +128,9 @@
 	l.serving = false
 }
 
-// RaiseMaxDeadline notes the longest deadline that a request may have.
-// The bound of the drain follows the configuration in force, and never falls: requests of an older
-// one may still run.
+// RaiseMaxDeadline raises the longest deadline that a request may have to d, if d is longer.
+// The time limit of the drain follows the configuration in force, but never falls: requests
+// accepted under an older configuration may still run.
 func (l *Lifecycle) RaiseMaxDeadline(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,15 +144,15 @@
 	return l.maxDeadline
 }
 
-// Serving reports whether new work is taken: the daemon is ready, or leaves and is
-// still in its lead.
+// Serving reports whether new requests are accepted: the daemon is ready, or is draining
+// and LeaveLead has not passed yet.
 func (l *Lifecycle) Serving() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.serving
 }
 
-// Drain begins the graceful shutdown. It returns at once.
+// Drain begins the graceful shutdown and returns without waiting for it.
 func (l *Lifecycle) Drain() {
 	l.BeginDrain()
 	if l.shutdown != nil {
@@ -160,17 +160,17 @@
 	}
 }
 
-// BeginDrain marks the daemon as draining, once.
+// BeginDrain marks the daemon as draining. Further calls have no effect.
 func (l *Lifecycle) BeginDrain() {
 	if l.fire(eventDrain) {
 		close(l.draining)
 	}
 }
 
-// Draining is closed when the graceful shutdown begins.
+// Draining returns a channel that is closed when the graceful shutdown begins.
 func (l *Lifecycle) Draining() <-chan struct{} { return l.draining }
 
-// Drained says that no request is left.
+// Drained marks the daemon as stopped: no request is in flight.
 func (l *Lifecycle) Drained() { l.fire(eventDrained) }
 
 func (l *Lifecycle) fire(e statechart.Event) bool {
@@ -185,11 +185,11 @@
 	case stateStopped:
 		l.serving = false
 	}
-	l.log.Info().Str("step", "life").Str("state", string(l.machine.State())).Msg("state changed")
+	l.log.Info().Str("step", "life").Str("state", string(l.machine.State())).Msg("daemon state changed")
 	return true
 }
 
-// IsReady reports whether the daemon takes work, and why not.
+// IsReady reports whether the daemon is ready, and the reason if it is not.
 func (l *Lifecycle) IsReady() (bool, string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,15 +210,15 @@
 	return l.admin
 }
 
-// AddDumpSection adds a part to the dump. dump must be safe for concurrent use and
-// return what encoding/json can render.
+// AddDumpSection adds a section to the dump. dump must be safe for concurrent use and
+// return a value that encoding/json can encode.
 func (l *Lifecycle) AddDumpSection(name string, dump func() any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sections = append(l.sections, dumpSection{name, dump})
 }
 
-// Dump is a daemon's whole state.
+// Dump is the state of a daemon, as /dump shows it.
 type Dump struct {
 	Process  string      `json:"process"`
 	VM       string      `json:"vm"`
@@ -228,20 +228,20 @@
 	Sections []DumpEntry `json:"sections"`
 }
 
-// DumpEntry is the state of one part.
+// DumpEntry is one section of a Dump.
 type DumpEntry struct {
 	Name  string `json:"name"`
 	Value any    `json:"value"`
 }
 
-// maxDumpItems bounds a list in a dump: at a million groups the whole would be hundreds
-// of megabytes, held in memory while it is written.
+// maxDumpItems bounds the length of a list in a dump: with a million groups a full list
+// would take hundreds of megabytes, held in memory while it is written.
 const maxDumpItems = 1000
 
-// TruncateForDump returns the first items of a list, as many as a dump shows.
+// TruncateForDump returns the first items of a list, at most as many as a dump shows.
 func TruncateForDump[T any](list []T) []T { return list[:min(len(list), maxDumpItems)] }
 
-// Dump returns the state of all parts.
+// Dump returns the state of the daemon with all sections.
 func (l *Lifecycle) Dump() Dump {
 	ready, why := l.IsReady()
 	l.mu.Lock()
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -13,9 +13,8 @@
 	return newLifecycle("test", &Base{VM: "vm1"}, &log.Logger{Level: log.PanicLevel}, journal.New("vm1", "test", 16), nil)
 }
 
-// A daemon has its configuration and lacks what another part must fetch first, or
-// the other way round. It takes work only when both are there, and /readyz tells
-// which one is missing.
+// The configuration and the conditions of Require may be met in either order. The daemon must not
+// be ready before it has both, and /readyz must tell which one is missing.
 func TestReadyNeedsAllThatIsRequired(t *testing.T) {
 	for _, configuredFirst := range []bool{true, false} {
 		l := newTestLifecycle()
@@ -42,7 +41,7 @@
 	}
 }
 
-// It is stopped while it waits: what comes in late does not make it ready.
+// A readiness condition that is met after the drain began must not make the daemon ready.
 func TestRequirementMetAfterDrain(t *testing.T) {
 	l := newTestLifecycle()
 	met := l.Require("something is missing")
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -13,20 +13,20 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// maxQueuedLines bounds the lines that wait for the reader of the log: a second of a
-// full rate of requests, about a megabyte.
+// maxQueuedLines bounds the queue of unwritten log lines. It holds one second of lines at
+// the full request rate, about a megabyte.
 const maxQueuedLines = 4096
 
-// maxRequestLines is the part of them that lines on requests may fill: the rest is kept
-// for changes of what the process believes, which are few and explain the others.
+// maxRequestLines is the queue length from which lines on single requests are dropped. The
+// rest of the queue is reserved for lines on state changes, which are few and explain the others.
 const maxRequestLines = maxQueuedLines * 3 / 4
 
-// requestMarker is in the lines on single requests.
+// requestMarker is the part of a log line that marks it as one on a single request.
 var requestMarker = []byte(`"step":"request"`)
 
-// logWriter hands lines to a goroutine that writes them.
-// A full queue drops the line and counts it, so that requests never wait for the reader of the
-// output. Lines on requests are dropped first.
+// logWriter writes log lines from a queue, in a goroutine of its own.
+// A line that finds the queue full is dropped and counted, so that requests never wait for the
+// process that reads the output. Lines on single requests are dropped first.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -69,14 +69,14 @@
 	}
 }
 
-// flushTimeout bounds the writing of what waits at the end, well below the margin within
-// which a process must end.
+// flushTimeout bounds the writing of queued lines at exit. It is well below the time that a
+// process has to end.
 const flushTimeout = time.Second
 
-var errNotFlushed = errors.New("log not written to its end: nobody reads it")
+var errNotFlushed = errors.New("queued log lines were not written in time: standard output is not being read")
 
-// Close writes what waits and ends.
-// It does not wait for a reader that has ended.
+// Close writes the queued lines and stops the goroutine.
+// It returns errNotFlushed if the output does not accept them within flushTimeout.
 func (w *logWriter) Close() error {
 	w.once.Do(func() { close(w.lines) })
 	select {
@@ -87,6 +87,6 @@
 	}
 }
 
-// ignoreSIGPIPE keeps the process alive when the reader of its output is gone.
-// Without it the next line to the closed pipe would end the process by SIGPIPE.
+// ignoreSIGPIPE keeps the process running when the reader of its standard output exits.
+// Otherwise the next write to the closed pipe would end the process by SIGPIPE.
 func ignoreSIGPIPE() { signal.Ignore(syscall.SIGPIPE) }
--- a/internal/daemon/logwriter_test.go
+++ b/internal/daemon/logwriter_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Nobody reads the log. The process must go on, keep the newest counts, and say
-// how much is missing when the reader is back.
+// The process that reads the log has stalled. Writes must neither block nor fail, and the log must
+// report how many lines were dropped once it is read again.
 func TestLogNeverBlocksAndCountsWhatItDrops(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := newLogWriter(pipe)
@@ -39,7 +39,7 @@
 	require.Contains(t, got.String(), "log lines dropped since the start")
 }
 
-// blockedWriter is an output that nobody reads.
+// blockedWriter is an output that blocks until unblock is closed.
 type blockedWriter struct{ unblock chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) {
@@ -47,7 +47,7 @@
 	return len(p), nil
 }
 
-// Nobody reads the output, and the process is asked to stop. It waited for its reader
+// Guards against a shutdown that waits for a stalled reader of the log: the process once waited
 // until it was killed.
 func TestStopDoesNotWaitForTheReaderOfTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -61,8 +61,8 @@
 	})
 }
 
-// The collector of logs ended, and the next line ended the daemon by SIGPIPE, seen as
-// exit code 141 of a gateway under load. Without survive this test ends its process.
+// Guards against the exit of the log collector ending the daemon: its next log line raised SIGPIPE,
+// seen as exit code 141 of a gateway under load. Without ignoreSIGPIPE the test process itself ends.
 func TestProcessSurvivesTheEndOfItsLogsReader(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
@@ -78,8 +78,8 @@
 	require.ErrorIs(t, err, syscall.EPIPE)
 }
 
-// The reader is slow in the busiest second. Requests filled the queue, and the line on
-// the change that explains them was the one that was lost.
+// Guards against the loss of lines on state changes under load: lines on requests filled the queue
+// while the log was read slowly, and the line that explained them was dropped.
 func TestLinesOnRequestsLeaveRoomForOthers(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := newLogWriter(pipe)
@@ -91,7 +91,7 @@
 	for range maxQueuedLines - maxRequestLines - 1 {
 		_, _ = w.Write([]byte(`{"step":"config"}` + "\n"))
 	}
-	require.Equal(t, dropped, w.dropped.Count(), "nothing else is dropped")
+	require.Equal(t, dropped, w.dropped.Count(), "lines on other steps are not dropped")
 	go func() { _, _ = io.Copy(io.Discard, reader) }()
 	require.NoError(t, w.Close())
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -10,11 +10,11 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// TimerStats is a timer on /metrics. Percentiles are of the last minutes: the
-// library weighs newer samples higher.
+// TimerStats is a timer on /metrics. Percentiles cover the last few minutes: the
+// library gives newer samples more weight.
 type TimerStats struct {
 	Count int64 `json:"count"`
-	// PerSecond1m is the rate of the last minute.
+	// PerSecond1m is the average rate over the last minute.
 	PerSecond1m float64 `json:"perSecond1m"`
 	MeanMs      float64 `json:"meanMs"`
 	P50Ms       float64 `json:"p50Ms"`
@@ -30,8 +30,8 @@
 	PerSecond1m float64 `json:"perSecond1m"`
 }
 
-// metricValues renders all metrics by name. Counters are {"count": n}, gauges
-// {"value": v}; times are milliseconds and say so.
+// metricValues returns the values of all metrics by name. Counters are {"count": n},
+// gauges {"value": v}. Times are in milliseconds, and the names of their fields end in Ms.
 func metricValues(registry metrics.Registry) map[string]any {
 	out := make(map[string]any)
 	for name, values := range registry.GetAll() {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// metricsText renders all metrics as text: a line each, name and value, in order of
-// names. Figures of one metric follow its name after a dot, as in figures.
+// metricsText renders all metrics as text, with one "NAME.FIELD VALUE" line for each field
+// of each metric, sorted. The fields are those of metricValues.
 func metricsText(registry metrics.Registry) string {
 	var lines []string
 	for name, values := range metricValues(registry) {
@@ -61,7 +61,7 @@
 	return strings.Join(lines, "")
 }
 
-// fieldsByName returns the figures of one metric by the names that they have in JSON.
+// fieldsByName returns the fields of one metric by their JSON names.
 func fieldsByName(values any) map[string]any {
 	var out map[string]any
 	text, err := json.Marshal(values)
@@ -69,7 +69,7 @@
 		err = json.Unmarshal(text, &out)
 	}
 	if err != nil {
-		// A gauge may hold a number that JSON cannot.
+		// A gauge may hold a number that JSON cannot represent, such as NaN.
 		return map[string]any{"error": err}
 	}
 	return out
@@ -86,7 +86,7 @@
 
 func milliseconds(nanoseconds float64) float64 { return nanoseconds / float64(time.Millisecond) }
 
-// Names of a ring's metrics; see package ring.
+// Parts of the names of a ring's metrics; see package ring.
 const (
 	ringPrefix   = "ring."
 	ringDepth    = ".depth"
@@ -94,9 +94,9 @@
 	ringsSection = "rings"
 )
 
-// RingState is one ring in the dump.
+// RingState is the state of one ring in the dump.
 type RingState struct {
-	// Depth is how many messages wait, Dropped how many were lost when full.
+	// Depth is the number of queued entries, Dropped that of entries lost because the ring was full.
 	Depth   int64 `json:"depth"`
 	Dropped int64 `json:"dropped"`
 }
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -43,9 +43,9 @@
 	text := get(t, handler, "/metrics.txt")
 	require.Contains(t, text, "entry.answered.count 1\n")
 	require.Contains(t, text, "entry.answered.p99Ms 1.5\n")
-	require.Contains(t, text, "ring.a.b.depth.value 7\nring.a.b.dropped.count 2\n", "in order of names")
+	require.Contains(t, text, "ring.a.b.depth.value 7\nring.a.b.dropped.count 2\n", "sorted by name")
 	metrics.GetOrRegisterCounter("outcome.503.all full", registry).Inc(1)
-	require.Contains(t, get(t, handler, "/metrics.txt"), "outcome.503.all_full.count 1\n", "a name is one word")
+	require.Contains(t, get(t, handler, "/metrics.txt"), "outcome.503.all_full.count 1\n", "spaces in a name become underscores")
 
 	require.Contains(t, get(t, handler, "/dump"), `"a.b":{"depth":7,"dropped":2}`)
 	require.Contains(t, get(t, handler, "/dump?pretty"), "\n    \"process\": \"hq-test\"")
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -14,7 +14,7 @@
 	"hemlockquay/internal/settings"
 )
 
-// newSettings returns the settings of a daemon and the fields that it requires.
+// newSettings returns empty settings of a daemon and a settings file with the fields that it requires.
 func newSettings(name string) (daemon.Settings, string) {
 	const base = "{\n\"vm\": \"vm1\",\n\"dataCentre\": \"a\",\n\"admin\": \"127.0.0.1:0\",\n\"listen\": \"127.0.0.1:0\",\n"
 	switch name {
@@ -26,11 +26,11 @@
 	return new(entry.Settings), base + `"agent": "127.0.0.1:1"`
 }
 
-// fieldLine is the line of the field under test.
+// fieldLine is the line at which the tests put the field under test.
 const fieldLine = 7
 
-// An operator makes a slip in a settings file. The daemon must not start, and must
-// say where the slip is: a limit that is silently ignored is not in force.
+// A settings file has a mistake. The daemon must not start, and must report the line and field:
+// a misspelt limit that is silently ignored would not be in force.
 func TestSettingsAreRefusedWithLineAndField(t *testing.T) {
 	cases := []struct{ daemon, field, value string }{
 		{"all", "nonsense", `1`},
