--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -101,8 +101,8 @@
 	Dropped int64 `json:"dropped"`
 }
 
-// ringStates returns the state of all ringStates by name. It follows the metrics, so that a
-// ring cannot be left out.
+// ringStates returns the state of all rings by name. It reads the registered metrics, so
+// that no ring can be left out.
 func ringStates(registry metrics.Registry) map[string]RingState {
 	out := make(map[string]RingState)
 	registry.Each(func(name string, metric any) {
