--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -90,27 +90,27 @@
 	orDefault(&s.ReleaseLimit, defaultRelease)
 	switch {
 	case !strings.HasPrefix(s.Store, "http://") && !strings.HasPrefix(s.Store, "https://"):
-		return settings.Impossible("/store", "%q is not an http or https URL", s.Store)
+		return settings.Invalid("/store", "%q is not an http or https URL", s.Store)
 	case s.StoreTimeout <= 0:
-		return settings.Impossible("/storeTimeout", "%v is not above 0", s.StoreTimeout)
+		return settings.Invalid("/storeTimeout", "%v is not above 0", s.StoreTimeout)
 	case s.Heartbeat <= 0:
-		return settings.Impossible("/heartbeat", "%v is not above 0", s.Heartbeat)
+		return settings.Invalid("/heartbeat", "%v is not above 0", s.Heartbeat)
 	case s.GrantEvery <= 0:
-		return settings.Impossible("/grantEvery", "%v is not above 0", s.GrantEvery)
+		return settings.Invalid("/grantEvery", "%v is not above 0", s.GrantEvery)
 	case s.Silence < 2*s.Heartbeat:
-		return settings.Impossible("/silence", "%v is below two heartbeats (%v): one lost message would end a VM", s.Silence, s.Heartbeat)
+		return settings.Invalid("/silence", "%v is below two heartbeats (%v): one lost message would end a VM", s.Silence, s.Heartbeat)
 	case s.GrantLife < 2*s.GrantEvery:
-		return settings.Impossible("/grantLife", "%v is below two renewals (%v): one lost message would end a grant", s.GrantLife, s.GrantEvery)
+		return settings.Invalid("/grantLife", "%v is below two renewals (%v): one lost message would end a grant", s.GrantLife, s.GrantEvery)
 	case s.TakeoverSilence < 2*s.Heartbeat:
-		return settings.Impossible("/takeoverSilence", "%v is below two heartbeats (%v)", s.TakeoverSilence, s.Heartbeat)
+		return settings.Invalid("/takeoverSilence", "%v is below two heartbeats (%v)", s.TakeoverSilence, s.Heartbeat)
 	case s.Authority < 2*s.GrantEvery:
-		return settings.Impossible("/authority", "%v is below two renewals (%v): one lost message would end it", s.Authority, s.GrantEvery)
+		return settings.Invalid("/authority", "%v is below two renewals (%v): one lost message would end it", s.Authority, s.GrantEvery)
 	case s.ClockMargin < 0:
-		return settings.Impossible("/clockMargin", "%v is below 0", s.ClockMargin)
+		return settings.Invalid("/clockMargin", "%v is below 0", s.ClockMargin)
 	case s.TakeoverPatience < 0:
-		return settings.Impossible("/takeoverPatience", "%v is below 0", s.TakeoverPatience)
+		return settings.Invalid("/takeoverPatience", "%v is below 0", s.TakeoverPatience)
 	case s.ReleaseLimit < 0:
-		return settings.Impossible("/releaseLimit", "%v is below 0", s.ReleaseLimit)
+		return settings.Invalid("/releaseLimit", "%v is below 0", s.ReleaseLimit)
 	}
 	for i, addr := range s.Peers {
 		if err := daemon.CheckAddr(fmt.Sprintf("/peers/%d", i), addr); err != nil {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -24,7 +24,7 @@
 func CheckAddr(pointer, addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil {
-		return settings.Impossible(pointer, "%q is not IP:PORT", addr)
+		return settings.Invalid(pointer, "%q is not IP:PORT", addr)
 	}
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -75,15 +75,15 @@
 	}
 	switch {
 	case b.VM == "":
-		return settings.Impossible("/vm", "empty")
+		return settings.Invalid("/vm", "empty")
 	case b.DataCentre == "":
-		return settings.Impossible("/dataCentre", "empty")
+		return settings.Invalid("/dataCentre", "empty")
 	case b.JournalLength < 1 || b.JournalLength > maxJournalLength:
-		return settings.Impossible("/journalLength", "%d is not between 1 and %d", b.JournalLength, maxJournalLength)
+		return settings.Invalid("/journalLength", "%d is not between 1 and %d", b.JournalLength, maxJournalLength)
 	case b.LeaveLead < 0 || b.LeaveLead > maxLeaveLead:
-		return settings.Impossible("/leaveLead", "%v is not between 0 and %v", b.LeaveLead, maxLeaveLead)
+		return settings.Invalid("/leaveLead", "%v is not between 0 and %v", b.LeaveLead, maxLeaveLead)
 	case log.ParseLevel(b.Log) > log.FatalLevel:
-		return settings.Impossible("/log", "%q is not a log level", b.Log)
+		return settings.Invalid("/log", "%q is not a log level", b.Log)
 	}
 	return CheckAddr("/admin", b.Admin)
 }
--- a/internal/dispatch/settings.go
+++ b/internal/dispatch/settings.go
@@ -54,11 +54,11 @@
 	s.setDefaults()
 	switch {
 	case s.Order != OrderFair && s.Order != OrderFIFO:
-		return settings.Impossible("/order", "%q is neither fair nor fifo", s.Order)
+		return settings.Invalid("/order", "%q is neither fair nor fifo", s.Order)
 	case s.QueueLength < 1 || s.QueueLength > maxQueueLength:
-		return settings.Impossible("/queueLength", "%d is not between 1 and %d", s.QueueLength, maxQueueLength)
+		return settings.Invalid("/queueLength", "%d is not between 1 and %d", s.QueueLength, maxQueueLength)
 	case s.TargetConnections < 1 || s.TargetConnections > maxTargetConnections:
-		return settings.Impossible("/targetConnections", "%d is not between 1 and %d", s.TargetConnections, maxTargetConnections)
+		return settings.Invalid("/targetConnections", "%d is not between 1 and %d", s.TargetConnections, maxTargetConnections)
 	}
 	if err := daemon.CheckAddr("/agent", s.Agent); err != nil {
 		return err
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -55,11 +55,11 @@
 	}
 	switch {
 	case s.PeerConnections < 1 || s.PeerConnections > maxPeerConnections:
-		return settings.Impossible("/peerConnections", "%d is not between 1 and %d", s.PeerConnections, maxPeerConnections)
+		return settings.Invalid("/peerConnections", "%d is not between 1 and %d", s.PeerConnections, maxPeerConnections)
 	case s.ReadTimeout < 0:
-		return settings.Impossible("/readTimeout", "%v is below 0", s.ReadTimeout)
+		return settings.Invalid("/readTimeout", "%v is below 0", s.ReadTimeout)
 	case s.MaxHeader < 1024 || s.MaxHeader > maxMaxHeader:
-		return settings.Impossible("/maxHeader", "%d is not between 1024 and %d", s.MaxHeader, maxMaxHeader)
+		return settings.Invalid("/maxHeader", "%d is not between 1024 and %d", s.MaxHeader, maxMaxHeader)
 	}
 	if err := daemon.CheckAddr("/agent", s.Agent); err != nil {
 		return err
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -96,17 +96,17 @@
 	setDefault(&s.Repeats.Window, defaultWindow)
 	switch {
 	case s.Grace < 0:
-		return settings.Impossible("/grace", "%v is negative", s.Grace)
+		return settings.Invalid("/grace", "%v is negative", s.Grace)
 	case s.LinkMbps < 0 || s.LinkMbps > math.MaxUint32:
-		return settings.Impossible("/linkMbps", "%v is not a speed", s.LinkMbps)
+		return settings.Invalid("/linkMbps", "%v is not a speed", s.LinkMbps)
 	case s.GCPercent < 1:
-		return settings.Impossible("/gcPercent", "%v is under 1", s.GCPercent)
+		return settings.Invalid("/gcPercent", "%v is under 1", s.GCPercent)
 	case s.MemoryMB < 0:
-		return settings.Impossible("/memoryMB", "%v is negative", s.MemoryMB)
+		return settings.Invalid("/memoryMB", "%v is negative", s.MemoryMB)
 	case s.HoldMost < minHold:
-		return settings.Impossible("/holdMost", "%v is under %v", s.HoldMost, minHold)
+		return settings.Invalid("/holdMost", "%v is under %v", s.HoldMost, minHold)
 	case s.Repeats.Ratio < 0 || s.Repeats.Slack < 0 || s.Repeats.Window < 0:
-		return settings.Impossible("/repeats", "a value is negative")
+		return settings.Invalid("/repeats", "a value is negative")
 	}
 	return nil
 }
--- a/internal/loadgen/experiment.go
+++ b/internal/loadgen/experiment.go
@@ -130,10 +130,10 @@
 		e.SlowAfter = defaultSlowAfter
 	}
 	if len(e.Admins) > 0 && len(e.Admins) != len(e.Entries) {
-		return settings.Impossible("/admins", "%d admins for %d entries", len(e.Admins), len(e.Entries))
+		return settings.Invalid("/admins", "%d admins for %d entries", len(e.Admins), len(e.Entries))
 	}
 	if e.Duration < 0 {
-		return settings.Impossible("/duration", "%v is below 0", e.Duration)
+		return settings.Invalid("/duration", "%v is below 0", e.Duration)
 	}
 	for i := range e.Workloads {
 		if err := e.Workloads[i].check(fmt.Sprintf("/workloads/%d", i)); err != nil {
@@ -142,7 +142,7 @@
 	}
 	for i, f := range e.Faults {
 		if f.Path == "" || f.Path[0] != '/' {
-			return settings.Impossible(fmt.Sprintf("/faults/%d/path", i), "%q does not begin with /", f.Path)
+			return settings.Invalid(fmt.Sprintf("/faults/%d/path", i), "%q does not begin with /", f.Path)
 		}
 	}
 	return nil
@@ -170,21 +170,21 @@
 	w.setDefaults()
 	switch {
 	case w.Service == "":
-		return settings.Impossible(at+"/service", "empty")
+		return settings.Invalid(at+"/service", "empty")
 	case !(w.Rate > 0) && w.Schedule == "":
-		return settings.Impossible(at+"/rate", "%v is not above 0", w.Rate)
+		return settings.Invalid(at+"/rate", "%v is not above 0", w.Rate)
 	case w.Zipf != 0 && w.Zipf <= 1:
-		return settings.Impossible(at+"/zipf", "%v is not above 1", w.Zipf)
+		return settings.Invalid(at+"/zipf", "%v is not above 1", w.Zipf)
 	case w.Arrivals != Poisson && w.Arrivals != Even && w.Arrivals != Bursts:
-		return settings.Impossible(at+"/arrivals", "%q is none of poisson, even, bursts", w.Arrivals)
+		return settings.Invalid(at+"/arrivals", "%q is none of poisson, even, bursts", w.Arrivals)
 	case w.BurstEvery < 0:
-		return settings.Impossible(at+"/burstEvery", "%v is below 0", w.BurstEvery)
+		return settings.Invalid(at+"/burstEvery", "%v is below 0", w.BurstEvery)
 	case w.HotShare < 0 || w.HotShare > 1:
-		return settings.Impossible(at+"/hotShare", "%v is not between 0 and 1", w.HotShare)
+		return settings.Invalid(at+"/hotShare", "%v is not between 0 and 1", w.HotShare)
 	case w.Direct && w.Keys > 0:
-		return settings.Impossible(at+"/direct", "targets serve keys under a grant only")
+		return settings.Invalid(at+"/direct", "targets serve keys under a grant only")
 	case w.HotShare > 0 && (w.Keys == 0 || w.HotEvery <= 0):
-		return settings.Impossible(at+"/hotShare", "needs keys and hotEvery")
+		return settings.Invalid(at+"/hotShare", "needs keys and hotEvery")
 	}
 	return nil
 }
--- a/internal/loadgen/path.go
+++ b/internal/loadgen/path.go
@@ -67,15 +67,15 @@
 	}
 	switch {
 	case len(p.Fronts) == 0 || len(p.Admins) != len(p.Fronts):
-		return settings.Impossible("/admins", "%d for %d fronts", len(p.Admins), len(p.Fronts))
+		return settings.Invalid("/admins", "%d for %d fronts", len(p.Admins), len(p.Fronts))
 	case p.Rate <= 0:
-		return settings.Impossible("/rate", "%v is not above 0", p.Rate)
+		return settings.Invalid("/rate", "%v is not above 0", p.Rate)
 	case p.Duration < 0:
-		return settings.Impossible("/duration", "%v is negative", p.Duration)
+		return settings.Invalid("/duration", "%v is negative", p.Duration)
 	case len(p.Routes) == 0:
-		return settings.Impossible("/routes", "empty")
+		return settings.Invalid("/routes", "empty")
 	case p.Headers.RequestID == "" || p.Headers.DeadlineMs == "" || p.Headers.Key == "" || p.Headers.Stamp == "":
-		return settings.Impossible("/headers", "one is empty")
+		return settings.Invalid("/headers", "one is empty")
 	}
 	return nil
 }
--- a/internal/model/check.go
+++ b/internal/model/check.go
@@ -37,7 +37,7 @@
 
 func checkName(field, name string) error {
 	if !namePattern.MatchString(name) {
-		return settings.Impossible(field, "%q is not a name: lower-case letters, digits and hyphens, at most 63", name)
+		return settings.Invalid(field, "%q is not a name: lower-case letters, digits and hyphens, at most 63", name)
 	}
 	return nil
 }
@@ -53,19 +53,19 @@
 	}
 	switch {
 	case s.Slots < 1 || s.Slots > maxSlots:
-		return settings.Impossible("/slots", "%d is not between 1 and %d", s.Slots, maxSlots)
+		return settings.Invalid("/slots", "%d is not between 1 and %d", s.Slots, maxSlots)
 	case s.Connections < s.Slots || s.Connections > maxConnections:
-		return settings.Impossible("/connections", "%d is not between the slots (%d) and %d", s.Connections, s.Slots, maxConnections)
+		return settings.Invalid("/connections", "%d is not between the slots (%d) and %d", s.Connections, s.Slots, maxConnections)
 	case s.Deadline <= 0 || s.Deadline > s.MaxDeadline:
-		return settings.Impossible("/deadline", "%v is not above 0 and at most maxDeadline (%v)", s.Deadline, s.MaxDeadline)
+		return settings.Invalid("/deadline", "%v is not above 0 and at most maxDeadline (%v)", s.Deadline, s.MaxDeadline)
 	case s.MaxDeadline > longestTimeout:
-		return settings.Impossible("/maxDeadline", "%v is above %v", s.MaxDeadline, longestTimeout)
+		return settings.Invalid("/maxDeadline", "%v is above %v", s.MaxDeadline, longestTimeout)
 	case s.MaxBody < 1 || s.MaxBody > maxBody:
-		return settings.Impossible("/maxBody", "%d is not between 1 and %d bytes", s.MaxBody, maxBody)
+		return settings.Invalid("/maxBody", "%d is not between 1 and %d bytes", s.MaxBody, maxBody)
 	case !(s.BackgroundFloor >= 0 && s.BackgroundFloor <= 0.5):
-		return settings.Impossible("/backgroundFloor", "%v is not between 0 and 0.5", s.BackgroundFloor)
+		return settings.Invalid("/backgroundFloor", "%v is not between 0 and 0.5", s.BackgroundFloor)
 	case s.Slices < 1 || s.Slices > maxSlices:
-		return settings.Impossible("/slices", "%d is not between 1 and %d", s.Slices, maxSlices)
+		return settings.Invalid("/slices", "%d is not between 1 and %d", s.Slices, maxSlices)
 	}
 	return s.Weights.check()
 }
@@ -93,7 +93,7 @@
 
 func (s *Service) checkTargets() error {
 	if len(s.Targets) == 0 || len(s.Targets) > maxTargets {
-		return settings.Impossible("/targets", "%d targets; need 1 to %d", len(s.Targets), maxTargets)
+		return settings.Invalid("/targets", "%d targets; need 1 to %d", len(s.Targets), maxTargets)
 	}
 	names := make(map[string]bool, len(s.Targets))
 	addrs := make(map[string]bool, len(s.Targets))
@@ -106,10 +106,10 @@
 			return err
 		}
 		if _, _, err := net.SplitHostPort(t.Addr); err != nil {
-			return settings.Impossible(at+"/addr", "%q is not IP:PORT", t.Addr)
+			return settings.Invalid(at+"/addr", "%q is not IP:PORT", t.Addr)
 		}
 		if names[t.Name] || addrs[t.Addr] {
-			return settings.Impossible(at, "name or address stands twice")
+			return settings.Invalid(at, "name or address stands twice")
 		}
 		names[t.Name], addrs[t.Addr] = true, true
 	}
@@ -122,7 +122,7 @@
 		value float64
 	}{{"imbalance", w.Imbalance}, {"churn", w.Churn}, {"unavailable", w.Unavailable}} {
 		if !(v.value >= 0) || math.IsInf(v.value, 0) {
-			return settings.Impossible("/weights/"+v.field, "%v is not a weight of 0 or more", v.value)
+			return settings.Invalid("/weights/"+v.field, "%v is not a weight of 0 or more", v.value)
 		}
 	}
 	return nil
@@ -144,10 +144,10 @@
 		return err
 	}
 	if h, err := hex.DecodeString(c.TokenSHA256); err != nil || len(h) != tokenHashBytes {
-		return settings.Impossible("/tokenSHA256", "not a SHA-256 in hexadecimal")
+		return settings.Invalid("/tokenSHA256", "not a SHA-256 in hexadecimal")
 	}
 	if len(c.Services) == 0 {
-		return settings.Impossible("/services", "a contract needs at least one service")
+		return settings.Invalid("/services", "a contract needs at least one service")
 	}
 	seen := make(map[string]bool, len(c.Services))
 	for i := range c.Services {
@@ -156,7 +156,7 @@
 			return err
 		}
 		if seen[c.Services[i].Service] {
-			return settings.Impossible(at+"/service", "%q stands twice", c.Services[i].Service)
+			return settings.Invalid(at+"/service", "%q stands twice", c.Services[i].Service)
 		}
 		seen[c.Services[i].Service] = true
 	}
@@ -175,15 +175,15 @@
 	}
 	switch {
 	case !(a.Rate > 0 && a.Rate <= maxRate):
-		return settings.Impossible(at+"/rate", "%v is not above 0 and at most %v", a.Rate, maxRate)
+		return settings.Invalid(at+"/rate", "%v is not above 0 and at most %v", a.Rate, maxRate)
 	case a.Burst < 1:
-		return settings.Impossible(at+"/burst", "%d is below 1: no request would ever pass", a.Burst)
+		return settings.Invalid(at+"/burst", "%d is below 1: no request would ever pass", a.Burst)
 	case a.Concurrency < 1:
-		return settings.Impossible(at+"/concurrency", "%d is below 1: no request would ever pass", a.Concurrency)
+		return settings.Invalid(at+"/concurrency", "%d is below 1: no request would ever pass", a.Concurrency)
 	case a.Class != Interactive && a.Class != Background:
-		return settings.Impossible(at+"/class", "%q is neither interactive nor background", a.Class)
+		return settings.Invalid(at+"/class", "%q is neither interactive nor background", a.Class)
 	case a.Weight < 1 || a.Weight > maxWeight:
-		return settings.Impossible(at+"/weight", "%d is not between 1 and %d", a.Weight, maxWeight)
+		return settings.Invalid(at+"/weight", "%d is not between 1 and %d", a.Weight, maxWeight)
 	}
 	return nil
 }
--- a/internal/model/decode.go
+++ b/internal/model/decode.go
@@ -61,13 +61,13 @@
 	for i, g := range a.Groups {
 		switch {
 		case g.ID >= a.NextGroup:
-			return settings.Impossible(groupField(i, "id"), "%d is not below nextGroup (%d)", g.ID, a.NextGroup)
+			return settings.Invalid(groupField(i, "id"), "%d is not below nextGroup (%d)", g.ID, a.NextGroup)
 		case ids[g.ID]:
-			return settings.Impossible(groupField(i, "id"), "%d stands twice", g.ID)
+			return settings.Invalid(groupField(i, "id"), "%d stands twice", g.ID)
 		case len(g.Slices) == 0:
-			return settings.Impossible(groupField(i, "slices"), "a group without slices")
+			return settings.Invalid(groupField(i, "slices"), "a group without slices")
 		case g.Owner.Name == "" || g.Owner.Name == g.Standby.Name || g.Owner.Name == g.Witness.Name:
-			return settings.Impossible(groupField(i, "owner"), "%q is missing or stands twice", g.Owner.Name)
+			return settings.Invalid(groupField(i, "owner"), "%q is missing or stands twice", g.Owner.Name)
 		}
 		ids[g.ID] = true
 	}
@@ -82,7 +82,7 @@
 // Check reports the first impossible value.
 func (v *VMStatus) Check() error {
 	if strings.TrimSpace(v.Name) == "" {
-		return settings.Impossible("/name", "empty")
+		return settings.Invalid("/name", "empty")
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,8 +33,8 @@
 // Error renders pointer and reason.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Pointer, e.Reason) }
 
-// Impossible returns a FieldError with a formatted reason.
-func Impossible(pointer, format string, args ...any) error {
+// Invalid returns a FieldError with a formatted reason.
+func Invalid(pointer, format string, args ...any) error {
 	return &FieldError{Pointer: pointer, Reason: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -16,7 +16,7 @@
 
 func (s *sample) Check() error {
 	if s.Inner.Count < 1 {
-		return Impossible("/inner/count", "%d is below 1", s.Inner.Count)
+		return Invalid("/inner/count", "%d is below 1", s.Inner.Count)
 	}
 	return nil
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -68,11 +68,11 @@
 		target := slices.Contains(targetNames(), f.What)
 		switch {
 		case !target && !slices.Contains(vmNames(), f.What):
-			return settings.Impossible(fmt.Sprintf("/faults/%d/what", i), "%q is neither target nor VM", f.What)
+			return settings.Invalid(fmt.Sprintf("/faults/%d/what", i), "%q is neither target nor VM", f.What)
 		case !slices.Contains(kinds[target], f.Kind):
-			return settings.Impossible(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.What)
+			return settings.Invalid(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.What)
 		case f.At < 0 || f.For < 0:
-			return settings.Impossible(fmt.Sprintf("/faults/%d", i), "a time is negative")
+			return settings.Invalid(fmt.Sprintf("/faults/%d", i), "a time is negative")
 		}
 	}
 	return nil
--- a/internal/standin/plan/plan.go
+++ b/internal/standin/plan/plan.go
@@ -53,13 +53,13 @@
 func (d *Deployment) Check() error {
 	switch {
 	case d.Name == "":
-		return settings.Impossible("/name", "empty")
+		return settings.Invalid("/name", "empty")
 	case len(d.DataCentres) == 0:
-		return settings.Impossible("/dataCentres", "empty")
+		return settings.Invalid("/dataCentres", "empty")
 	}
 	for i, s := range d.Services {
 		if s.Servers < 1 {
-			return settings.Impossible(fmt.Sprintf("/services/%d/servers", i), "%d is below 1", s.Servers)
+			return settings.Invalid(fmt.Sprintf("/services/%d/servers", i), "%d is below 1", s.Servers)
 		}
 	}
 	return nil
--- a/internal/statechart/statechart.go
+++ b/internal/statechart/statechart.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	if !states[c.Initial] {
-		return settings.Impossible("/initial", "%q is not a declared state", c.Initial)
+		return settings.Invalid("/initial", "%q is not a declared state", c.Initial)
 	}
 	if err := c.index(states, events); err != nil {
 		return err
@@ -80,7 +80,7 @@
 	seen := make(map[T]bool, len(names))
 	for i, n := range names {
 		if n == "" || seen[n] {
-			return nil, settings.Impossible(fmt.Sprintf("%s/%d", at, i), "%q is empty or stands twice", n)
+			return nil, settings.Invalid(fmt.Sprintf("%s/%d", at, i), "%q is empty or stands twice", n)
 		}
 		seen[n] = true
 	}
@@ -94,22 +94,22 @@
 		at := fmt.Sprintf("/transitions/%d", i)
 		switch {
 		case !states[t.From]:
-			return settings.Impossible(at+"/from", "%q is not a declared state", t.From)
+			return settings.Invalid(at+"/from", "%q is not a declared state", t.From)
 		case !states[t.To]:
-			return settings.Impossible(at+"/to", "%q is not a declared state", t.To)
+			return settings.Invalid(at+"/to", "%q is not a declared state", t.To)
 		case !events[t.Event]:
-			return settings.Impossible(at+"/event", "%q is not a declared event", t.Event)
+			return settings.Invalid(at+"/event", "%q is not a declared event", t.Event)
 		}
 		s := step{t.From, t.Event}
 		if _, twice := c.next[s]; twice {
-			return settings.Impossible(at, "%s in state %s leads to two states", t.Event, t.From)
+			return settings.Invalid(at, "%s in state %s leads to two states", t.Event, t.From)
 		}
 		c.next[s] = t.To
 		used[t.Event] = true
 	}
 	for i, e := range c.Events {
 		if !used[e] {
-			return settings.Impossible(fmt.Sprintf("/events/%d", i), "%q leads nowhere", e)
+			return settings.Invalid(fmt.Sprintf("/events/%d", i), "%q leads nowhere", e)
 		}
 	}
 	return nil
@@ -127,7 +127,7 @@
 	}
 	for i, s := range c.States {
 		if !reached[s] {
-			return settings.Impossible(fmt.Sprintf("/states/%d", i), "%q cannot be reached", s)
+			return settings.Invalid(fmt.Sprintf("/states/%d", i), "%q cannot be reached", s)
 		}
 	}
 	return nil
