--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads JSON with comments into typed values and says where a
-// value is wrong.
+// Package settings decodes JSON with comments into typed values and reports the
+// line and field of an error.
 //
-// Unknown fields are refused: a misspelt limit that is silently ignored is a
-// limit that is not in force.
+// Unknown fields are errors: a misspelt limit that is silently ignored would not be
+// in force.
 package settings
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/tailscale/hujson"
 )
 
-// Checker is a value that can report whether it makes sense. Check also fills in
-// defaults.
+// Checker is a value that can validate itself. Check fills in defaults and reports
+// the first invalid field.
 type Checker interface {
 	Check() error
 }
 
-// FieldError says that a field has an impossible value.
+// FieldError reports a field with an invalid value.
 type FieldError struct {
-	// Pointer is the field's RFC 6901 pointer.
+	// Pointer is the RFC 6901 JSON Pointer of the field.
 	Pointer string
 	Reason  string
 }
 
-// Error renders pointer and reason.
+// Error returns "field POINTER: REASON".
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Pointer, e.Reason) }
 
 // Invalid returns a FieldError with a formatted reason.
@@ -38,7 +38,7 @@
 	return &FieldError{Pointer: pointer, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Error is a refusal with its place in the source.
+// Error is a syntax or validation error with its position in the source.
 type Error struct {
 	Source string
 	Line   int
@@ -46,7 +46,7 @@
 	Reason string
 }
 
-// Error renders "file:line: field: reason".
+// Error returns "SOURCE:LINE: field FIELD: REASON", without the field if there is none.
 func (e *Error) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", e.Source, e.Line, e.Reason)
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("%s:%d: field %s: %s", e.Source, e.Line, e.Field, e.Reason)
 }
 
-// Load reads the file into v and checks it.
+// Load decodes the file into v and validates it.
 func Load(file string, v Checker) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return Decode(file, text, v)
 }
 
-// Decode reads JSON with comments into v and checks it. The error is an *Error
-// that names source, line and field.
+// Decode decodes JSON with comments into v and validates it. Its errors are of type
+// *Error, with source, line and field.
 func Decode(source string, text []byte, v Checker) error {
 	plain, err := standardize(text)
 	if err != nil {
@@ -73,27 +73,28 @@
 	if err := json.Unmarshal(plain, v, json.RejectUnknownMembers(true)); err != nil {
 		return semanticError(source, plain, err)
 	}
-	return placeCheck(source, text, v.Check())
+	return validationError(source, text, v.Check())
 }
 
-// standardize returns the text without comments, every byte at its place.
+// standardize returns the text with comments and trailing commas replaced by spaces, so
+// that byte offsets stay the same.
 //
-// Load pattern: programs write most objects, records of thousands of groups
-// among them, and every VM reads each. They hold no comments, and the tree of a
-// text costs more than all else of its decoding, so none is built for them.
+// Most objects are written by programs, some of them records of thousands of groups, and
+// every VM reads each one. They have no comments, and parsing a text into a syntax tree costs
+// more than the rest of decoding it, so valid JSON is returned as it is.
 func standardize(text []byte) ([]byte, error) {
 	if jsontext.Value(text).IsValid() {
 		return text, nil
 	}
-	return hujson.Standardize(ended(text))
+	return hujson.Standardize(withFinalNewline(text))
 }
 
-// ended returns a copy with a last newline: the library refuses a comment that ends
-// with the file.
-func ended(text []byte) []byte { return append(bytes.Clone(text), '\n') }
+// withFinalNewline returns a copy of the text with a newline at the end: the library rejects
+// a line comment that ends with the file.
+func withFinalNewline(text []byte) []byte { return append(bytes.Clone(text), '\n') }
 
 func syntaxError(source string, err error) error {
-	// The library's message begins with its own position, "line N".
+	// The library reports the position in the message, as "line N".
 	line := 1
 	if _, after, ok := strings.Cut(err.Error(), "line "); ok {
 		_, _ = fmt.Sscanf(after, "%d", &line)
@@ -117,7 +118,7 @@
 	return &Error{Source: source, Line: 1, Reason: err.Error()}
 }
 
-func placeCheck(source string, text []byte, err error) error {
+func validationError(source string, text []byte, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -128,10 +129,10 @@
 	return &Error{Source: source, Line: lineOf(text, fe.Pointer), Field: fe.Pointer, Reason: fe.Reason}
 }
 
-// lineOf finds the line of a pointer. A field that is missing has the line of
-// the closest parent that is there.
+// lineOf returns the line of the field that the pointer names. For a missing field, it is
+// the line of the closest parent that is present.
 func lineOf(text []byte, pointer string) int {
-	tree, err := hujson.Parse(ended(text))
+	tree, err := hujson.Parse(withFinalNewline(text))
 	if err != nil {
 		return 1
 	}
