--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,9 +1,9 @@
-// Package ring joins two goroutines by a bounded queue.
+// Package ring provides a bounded queue between goroutines.
 //
-// Every duty of a daemon runs in a goroutine of its own and receives its work
-// through a ring. A ring has a length, a policy for when it is full and a depth
-// that the daemon exports as a metric, so that a duty that falls behind shows
-// before callers notice it.
+// Every task of a daemon runs in its own goroutine and receives its input through a
+// ring. A ring has a length, a policy for when it is full, and a depth that the daemon
+// exports as a metric, so that a task that falls behind is visible before callers
+// are affected.
 package ring
 
 import (
@@ -14,19 +14,19 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// ErrFull reports that a ring with policy Refuse had no room.
+// ErrFull is returned by Push if a ring with policy Refuse is full.
 var ErrFull = errors.New("ring is full")
 
-// Policy says what Push does when the ring is full.
+// Policy determines what Push does when the ring is full.
 type Policy int
 
 const (
-	// Wait blocks the producer until there is room or its context ends.
+	// Wait blocks the producer until there is room or its context is done.
 	Wait Policy = iota
 	// Refuse returns ErrFull at once.
 	Refuse
-	// DropOldest discards the entry that has waited longest. It suits state
-	// of which only the newest value matters.
+	// DropOldest discards the oldest entry. It is meant for state of which only
+	// the newest value matters.
 	DropOldest
 )
 
@@ -38,8 +38,8 @@
 	dropped metrics.Counter
 }
 
-// New returns a ring of the given length and registers its depth as
-// ring.NAME.depth and its losses as ring.NAME.dropped.
+// New returns a ring of the given length. It registers the metrics ring.NAME.depth, the
+// number of queued entries, and ring.NAME.dropped, the number of entries refused or discarded.
 func New[T any](name string, length int, policy Policy, registry metrics.Registry) *Ring[T] {
 	r := &Ring[T]{name: name, policy: policy, entries: make(chan T, length)}
 	r.dropped = metrics.GetOrRegisterCounter("ring."+name+".dropped", registry)
@@ -61,14 +61,14 @@
 		r.dropped.Inc(1)
 		return fmt.Errorf("ring %s: %w", r.name, ErrFull)
 	case DropOldest:
-		r.pushOver(entry)
+		r.pushDroppingOldest(entry)
 		return nil
 	default:
 		return r.pushWaiting(ctx, entry)
 	}
 }
 
-func (r *Ring[T]) pushOver(entry T) {
+func (r *Ring[T]) pushDroppingOldest(entry T) {
 	for {
 		select {
 		case r.entries <- entry:
@@ -92,8 +92,8 @@
 	}
 }
 
-// Entries is the consumer's end.
+// Entries returns the channel that the consumer receives from.
 func (r *Ring[T]) Entries() <-chan T { return r.entries }
 
-// Depth returns how many entries wait.
+// Depth returns the number of queued entries.
 func (r *Ring[T]) Depth() int { return len(r.entries) }
