--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,8 +1,8 @@
-// Package journal keeps the last decisions of a process that changed
-// something: a move, a takeover, a refusal policy, a quarantine.
+// Package journal keeps the latest decisions of a process that changed its state: a
+// move, a takeover, a refusal policy, a quarantine.
 //
-// VMs have no disk, so the journal is bounded and in memory; hqctl explain
-// merges the journals of all VMs into one account.
+// VMs have no disk, so the journal is bounded and in memory. hqctl explain merges the
+// journals of all VMs into one history.
 package journal
 
 import (
@@ -13,42 +13,42 @@
 	"time"
 )
 
-// Entry is one decision with its cause.
+// Entry records one decision and its cause.
 type Entry struct {
 	// At is the wall time of the decision.
 	At time.Time `json:"at"`
-	// Seq orders the entries of one process.
+	// Seq is the number of the entry among all entries of its process.
 	Seq uint64 `json:"seq"`
-	// VM and Process name the decider.
+	// VM and Process name the process that took the decision.
 	VM      string `json:"vm"`
 	Process string `json:"process"`
-	// Step is what was being done, e.g. "grant" or "admission".
+	// Step names the activity that the decision belongs to, such as "grant" or "admission".
 	Step string `json:"step"`
-	// Subjects are what the decision is about: a key, group, customer, target,
-	// service or request id.
+	// Subjects names what the decision is about: keys, groups, customers, targets,
+	// services or request IDs.
 	Subjects []string `json:"subjects"`
-	// Text is one plain sentence, cause included.
+	// Text describes the decision and its cause in one sentence.
 	Text string `json:"text"`
 }
 
-// Group is the subject that names a group of a service.
+// Group returns the subject for a group of a service.
 func Group(service string, id uint64) string { return fmt.Sprintf("%s/%d", service, id) }
 
-// Version is the subject that names one version of an object.
+// Version returns the subject for one version of an object.
 func Version(name string, version uint64) string { return fmt.Sprintf("%s@%d", name, version) }
 
-// maxSteps bounds how many steps have a list of their own; more share one.
+// maxSteps bounds the number of steps with a list of their own. All further steps share one list.
 const maxSteps = 32
 
-// otherSteps is the list that is shared.
+// otherSteps is the name of the shared list.
 const otherSteps = ""
 
-// Journal is a bounded list of entries for each step, the oldest overwritten
-// first. It is safe for concurrent use.
+// Journal keeps a bounded list of entries for each step; a new entry overwrites the
+// oldest one. It is safe for concurrent use.
 //
-// Load pattern: changes of configuration come a thousand times as often as
-// moves of keys. In one list they would push out the entry that explains a move
-// within the hour.
+// Each step has its own list because configuration changes are a thousand times as
+// frequent as moves of keys. In a single list they would overwrite the entry that
+// explains a move within an hour.
 type Journal struct {
 	vm, process string
 	length      int
@@ -58,24 +58,24 @@
 	seq   uint64
 }
 
-// list is the entries of one step.
+// list holds the entries of one step in a circular buffer; next is the index of the oldest.
 type list struct {
 	entries []Entry
 	next    int
 }
 
-// New returns a journal of at most length entries for each step.
+// New returns a journal that keeps at most length entries for each step.
 func New(vm, process string, length int) *Journal {
 	return &Journal{vm: vm, process: process, length: length, lists: make(map[string]*list)}
 }
 
-// Add records a decision about the subjects.
+// Add adds an entry for a decision about the subjects.
 func (j *Journal) Add(step, text string, subjects ...string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.seq++
 	e := Entry{At: time.Now().UTC(), Seq: j.seq, VM: j.vm, Process: j.process, Step: step, Subjects: subjects, Text: text}
-	l := j.listOf(step)
+	l := j.listFor(step)
 	if len(l.entries) < j.length {
 		l.entries = append(l.entries, e)
 		return
@@ -84,8 +84,8 @@
 	l.next = (l.next + 1) % len(l.entries)
 }
 
-// listOf needs j.mu.
-func (j *Journal) listOf(step string) *list {
+// listFor returns the list that holds the step's entries. The caller must hold j.mu.
+func (j *Journal) listFor(step string) *list {
 	if l := j.lists[step]; l != nil {
 		return l
 	}
@@ -98,7 +98,7 @@
 	return j.lists[step]
 }
 
-// Entries returns a copy of the journal, oldest first.
+// Entries returns a copy of all entries, oldest first.
 func (j *Journal) Entries() []Entry {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/journal/slope_test.go
+++ b/internal/journal/slope_test.go
@@ -7,6 +7,8 @@
 	"hemlockquay/internal/capacity"
 )
 
+// BenchmarkSlopeEntries measures adding an entry to a full journal, and the memory that the journal
+// takes, by its length.
 func BenchmarkSlopeEntries(b *testing.B) {
 	for _, n := range []int{256, 1024, 4096} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
