--- a/internal/statechart/statechart.go
+++ b/internal/statechart/statechart.go
@@ -1,9 +1,9 @@
-// Package statechart interprets state charts that stand in files.
+// Package statechart interprets state charts that are defined in files.
 //
-// A chart lists states, events and transitions. It is checked before use: every
-// state must be reachable, every transition must name declared states and
-// events. The code asks the chart what follows from an event, so the file and
-// the behaviour cannot drift apart.
+// A chart lists states, events and transitions. It is validated before use: every
+// state must be reachable, and every transition must name declared states and
+// events. Programs look up the next state in the chart, so their behaviour cannot
+// differ from the file.
 package statechart
 
 import (
@@ -13,25 +13,25 @@
 	"hemlockquay/internal/settings"
 )
 
-// State and Event are names that a chart declares.
+// State and Event are names of states and events that a chart declares.
 type (
 	State string
 	Event string
 )
 
-// ErrNoTransition reports an event that the chart does not allow in a state.
+// ErrNoTransition reports that the chart has no transition for an event in a state.
 var ErrNoTransition = errors.New("no such transition")
 
-// Transition says that Event leads from From to To.
+// Transition leads from state From to state To on Event.
 type Transition struct {
 	From  State `json:"from"`
 	Event Event `json:"event"`
 	To    State `json:"to"`
-	// Why says which situation the transition answers.
+	// Why describes the situation that the transition is for.
 	Why string `json:"why,omitempty"`
 }
 
-// Chart is a checked state chart. It is immutable and may be shared.
+// Chart is a validated state chart. It is immutable and may be shared.
 type Chart struct {
 	Name        string       `json:"name"`
 	Initial     State        `json:"initial"`
@@ -40,15 +40,15 @@
 	Events      []Event      `json:"events"`
 	Transitions []Transition `json:"transitions"`
 
-	next map[step]State
+	next map[transitionKey]State
 }
 
-type step struct {
+type transitionKey struct {
 	state State
 	event Event
 }
 
-// Parse reads and checks a chart; source names it in errors.
+// Parse decodes and validates a chart. Errors give source as the name of the file.
 func Parse(source string, text []byte) (*Chart, error) {
 	var c Chart
 	if err := settings.Decode(source, text, &c); err != nil {
@@ -59,36 +59,36 @@
 
 // Check implements settings.Checker.
 func (c *Chart) Check() error {
-	states, err := declared("/states", c.States)
+	states, err := uniqueNames("/states", c.States)
 	if err != nil {
 		return err
 	}
-	events, err := declared("/events", c.Events)
+	events, err := uniqueNames("/events", c.Events)
 	if err != nil {
 		return err
 	}
 	if !states[c.Initial] {
 		return settings.Invalid("/initial", "%q is not a declared state", c.Initial)
 	}
-	if err := c.index(states, events); err != nil {
+	if err := c.indexTransitions(states, events); err != nil {
 		return err
 	}
-	return c.checkReach()
+	return c.checkReachable()
 }
 
-func declared[T ~string](at string, names []T) (map[T]bool, error) {
+func uniqueNames[T ~string](at string, names []T) (map[T]bool, error) {
 	seen := make(map[T]bool, len(names))
 	for i, n := range names {
 		if n == "" || seen[n] {
-			return nil, settings.Invalid(fmt.Sprintf("%s/%d", at, i), "%q is empty or stands twice", n)
+			return nil, settings.Invalid(fmt.Sprintf("%s/%d", at, i), "name %q is empty or declared twice", n)
 		}
 		seen[n] = true
 	}
 	return seen, nil
 }
 
-func (c *Chart) index(states map[State]bool, events map[Event]bool) error {
-	c.next = make(map[step]State, len(c.Transitions))
+func (c *Chart) indexTransitions(states map[State]bool, events map[Event]bool) error {
+	c.next = make(map[transitionKey]State, len(c.Transitions))
 	used := make(map[Event]bool, len(events))
 	for i, t := range c.Transitions {
 		at := fmt.Sprintf("/transitions/%d", i)
@@ -100,22 +100,22 @@
 		case !events[t.Event]:
 			return settings.Invalid(at+"/event", "%q is not a declared event", t.Event)
 		}
-		s := step{t.From, t.Event}
+		s := transitionKey{t.From, t.Event}
 		if _, twice := c.next[s]; twice {
-			return settings.Invalid(at, "%s in state %s leads to two states", t.Event, t.From)
+			return settings.Invalid(at, "a second transition for event %q in state %q", t.Event, t.From)
 		}
 		c.next[s] = t.To
 		used[t.Event] = true
 	}
 	for i, e := range c.Events {
 		if !used[e] {
-			return settings.Invalid(fmt.Sprintf("/events/%d", i), "%q leads nowhere", e)
+			return settings.Invalid(fmt.Sprintf("/events/%d", i), "event %q has no transition", e)
 		}
 	}
 	return nil
 }
 
-func (c *Chart) checkReach() error {
+func (c *Chart) checkReachable() error {
 	reached := map[State]bool{c.Initial: true}
 	for grown := true; grown; {
 		grown = false
@@ -127,18 +127,18 @@
 	}
 	for i, s := range c.States {
 		if !reached[s] {
-			return settings.Invalid(fmt.Sprintf("/states/%d", i), "%q cannot be reached", s)
+			return settings.Invalid(fmt.Sprintf("/states/%d", i), "state %q cannot be reached from the initial state", s)
 		}
 	}
 	return nil
 }
 
-// Next returns the state that follows. The state is unchanged where the chart
-// has no such transition, and the error is ErrNoTransition.
+// Next returns the state that follows s on e. If the chart has no such transition, it
+// returns s and an error that wraps ErrNoTransition.
 func (c *Chart) Next(s State, e Event) (State, error) {
-	to, ok := c.next[step{s, e}]
+	to, ok := c.next[transitionKey{s, e}]
 	if !ok {
-		return s, fmt.Errorf("chart %s: %s in state %s: %w", c.Name, e, s, ErrNoTransition)
+		return s, fmt.Errorf("chart %s: event %q in state %q: %w", c.Name, e, s, ErrNoTransition)
 	}
 	return to, nil
 }
@@ -166,7 +166,8 @@
 // State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Fire moves the machine on, or leaves it and returns ErrNoTransition.
+// Fire takes the transition for e. If there is none, the state stays the same and the error
+// wraps ErrNoTransition.
 func (m *Machine) Fire(e Event) error {
 	from := m.state
 	to, err := m.chart.Next(from, e)
@@ -177,8 +178,8 @@
 	return err
 }
 
-// Watch has f called at the end of every Fire that moved the machine on, in the
-// caller's goroutine and without Why. The fault matrix breaks something there.
+// Watch sets the function that Fire calls after each transition, in the goroutine of its
+// caller and with Why left empty. The fault matrix tests inject faults there.
 func (m *Machine) Watch(f func(Transition)) { m.watch = f }
 
 // Done reports whether the machine is in a final state.
