--- a/charts/charts.go
+++ b/charts/charts.go
@@ -1,4 +1,4 @@
-// Package charts embeds the state charts that the programs interpret.
+// Package charts embeds the definitions of the state charts that the programs interpret.
 package charts
 
 import (
@@ -11,7 +11,7 @@
 //go:embed *.jsonc
 var files embed.FS
 
-// Load returns the chart in NAME.jsonc, checked.
+// Load returns the validated chart in NAME.jsonc.
 func Load(name string) (*statechart.Chart, error) {
 	file := name + ".jsonc"
 	text, err := files.ReadFile(file)
@@ -21,7 +21,7 @@
 	return statechart.Parse("charts/"+file, text)
 }
 
-// MustLoad is Load for charts that the program cannot start without.
+// MustLoad is like Load but panics on errors. It is for charts that the program cannot run without.
 func MustLoad(name string) *statechart.Chart {
 	c, err := Load(name)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return c
 }
 
-// Names lists the embedded charts.
+// Names returns the names of all embedded charts.
 func Names() []string {
 	entries, err := files.ReadDir(".")
 	if err != nil {
