--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -1,4 +1,5 @@
-// Package packed encodes large values that VMs send to each other as compressed MessagePack.
+// Package packed encodes large values that VMs send to each other, as MessagePack compressed
+// with DEFLATE.
 package packed
 
 import (
@@ -12,20 +13,21 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxBytes bounds a decoded value, so that a damaged message cannot use up the memory.
+// maxBytes bounds the decompressed size of a value, so that a corrupted message cannot exhaust
+// the memory.
 const maxBytes = 32 << 20
 
-// ErrTooLarge is the error of a value that is larger than any that is sent.
+// ErrTooLarge is returned by Decode for a value of more than maxBytes, larger than any that is sent.
 var ErrTooLarge = errors.New("packed value too large")
 
-// writers reuses the compressor's state, which is larger than most values.
+// writers pools compressors, whose state is larger than most values.
 var writers = sync.Pool{New: func() any {
-	// BestSpeed is a valid level, which is the only possible error.
+	// NewWriter fails only for an invalid level, and BestSpeed is valid.
 	w, _ := flate.NewWriter(nil, flate.BestSpeed)
 	return w
 }}
 
-// Encode returns the packed value.
+// Encode returns v in packed form.
 func Encode(v any) ([]byte, error) {
 	var out bytes.Buffer
 	w, _ := writers.Get().(*flate.Writer)
@@ -40,7 +42,7 @@
 	return out.Bytes(), nil
 }
 
-// Decode reads a packed value into v.
+// Decode decodes the packed value data into v.
 func Decode(data []byte, v any) error {
 	limited := &io.LimitedReader{R: flate.NewReader(bytes.NewReader(data)), N: maxBytes}
 	err := msgpack.NewDecoder(limited).Decode(v)
--- a/internal/packed/packed_test.go
+++ b/internal/packed/packed_test.go
@@ -29,7 +29,7 @@
 	require.Error(t, Decode(nil, &out))
 }
 
-// Guards against a small message that unpacks to more than the VM's memory.
+// Guards against a small message that decompresses to more than the memory of the VM.
 func TestValueThatUnpacksToTooMuchIsRefused(t *testing.T) {
 	data, err := Encode(bytes.Repeat([]byte{1}, maxBytes+1))
 	require.NoError(t, err)
