--- a/internal/keyspace/keyspace.go
+++ b/internal/keyspace/keyspace.go
@@ -1,4 +1,4 @@
-// Package keyspace maps keys to a 64-bit space and the space to slices.
+// Package keyspace hashes keys to points of a 64-bit space and divides the space into slices.
 package keyspace
 
 import (
@@ -10,23 +10,23 @@
 // Point is a position in the 64-bit space.
 type Point uint64
 
-// Of returns the point of a key.
+// Of returns the point of a key, its 64-bit xxHash.
 func Of(key string) Point { return Point(xxhash.Sum64String(key)) }
 
-// Slice is a range of points, both ends included.
+// Slice is the range of points from First to Last, both included.
 type Slice struct {
 	First Point `json:"first"`
 	Last  Point `json:"last"`
 }
 
-// Contains reports whether the point lies in the slice.
+// Contains reports whether the slice contains the point.
 func (s Slice) Contains(p Point) bool { return s.First <= p && p <= s.Last }
 
-// String renders the slice as hexadecimal bounds.
+// String returns the bounds of the slice in hexadecimal.
 func (s Slice) String() string { return fmt.Sprintf("%016x-%016x", uint64(s.First), uint64(s.Last)) }
 
-// Split cuts the slice at its middle. A slice of one point cannot be split;
-// ok is false then.
+// Split divides the slice into two halves. A slice of one point cannot be divided; ok is
+// then false.
 func (s Slice) Split() (low, high Slice, ok bool) {
 	if s.First >= s.Last {
 		return s, Slice{}, false
@@ -35,7 +35,8 @@
 	return Slice{First: s.First, Last: middle}, Slice{First: middle + 1, Last: s.Last}, true
 }
 
-// Divide cuts the whole space into n slices of equal size, n at least 1.
+// Divide divides the whole space into n slices of about equal size; n must be at least 1. The last slice
+// is smaller than the others where n does not divide the space evenly.
 func Divide(n int) []Slice {
 	step := ^uint64(0)/uint64(n) + 1
 	if n == 1 {
