--- a/internal/hopbyhop/hopbyhop.go
+++ b/internal/hopbyhop/hopbyhop.go
@@ -1,6 +1,6 @@
-// Package hopbyhop drops the headers that concern one connection only (RFC 9110, section
-// 7.6.1). A proxy that passed them on would let either end speak for the connection of the
-// other.
+// Package hopbyhop removes hop-by-hop headers, which apply to a single connection (RFC 9110,
+// section 7.6.1). If a proxy forwarded them, the client could control the connection between
+// the proxy and the server, and the server the one between the proxy and the client.
 package hopbyhop
 
 import (
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// headers in canonical form.
+// headers are the hop-by-hop headers in canonical form.
 var headers = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Drop deletes the headers that concern one connection, and those that Connection names.
-// The lists of values stay as they are.
+// Drop deletes the hop-by-hop headers, and those that the header Connection names, from h.
+// It does not modify the value slices of h, which other maps may share.
 func Drop(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
