--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,28 +1,28 @@
-// Package fixedseed makes property tests draw the same values on every run.
+// Package fixedseed makes property tests generate the same values on every run.
 //
-// The library seeds itself from the clock: a rare fault would then fail one run
-// in a hundred, and a verdict that changes by itself proves nothing about a
-// change. Every test package that uses the library imports this one. A wider
-// search is a run with the test flag -rapid.seed, which still overrides it.
+// By default, rapid takes its seed from the clock. A rare fault would then fail one run in
+// a hundred, and a result that varies without a change proves nothing about a change.
+// Every test package that uses rapid imports this one. The test flag -rapid.seed still
+// overrides the seed, to search other values.
 package fixedseed
 
 import (
 	"flag"
 	"fmt"
 
-	// Registers the flags that init sets.
+	// Imported for the test flags that it registers and init sets.
 	_ "pgregory.net/rapid"
 )
 
-// seed is the one under which a slot was first seen idle beside waiting work.
+// seed is the one that first exposed the fault of an idle slot beside queued requests.
 const seed = "1"
 
 func init() {
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(fmt.Errorf("fix the seed of property tests: %w", err))
+		panic(fmt.Errorf("set flag rapid.seed: %w", err))
 	}
-	// A failure is reproduced by the seed; no file is left in the tree.
+	// The seed reproduces a failure, so no failure file is written into the source tree.
 	if err := flag.Set("rapid.nofailfile", "true"); err != nil {
-		panic(fmt.Errorf("fix the seed of property tests: %w", err))
+		panic(fmt.Errorf("set flag rapid.nofailfile: %w", err))
 	}
 }
--- a/internal/fixedseed/fixedseed_test.go
+++ b/internal/fixedseed/fixedseed_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A change is blamed for a failure that it did not cause: a property test in a
-// package without the fixed seed drew other values than the run before.
+// Guards against failures that a change did not cause: in a package without the fixed seed, a
+// property test generates other values on every run.
 func TestEveryPropertyTestHasAFixedSeed(t *testing.T) {
 	uses, fixed := make(map[string]bool), make(map[string]bool)
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
