--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command holds what the command lines of all programs have in common:
-// the version, exit codes and the frame of subcommands.
+// Package command provides what the command lines of all programs have in common:
+// the version, exit codes and the parsing of subcommands.
 package command
 
 import (
@@ -11,32 +11,32 @@
 	"hemlockquay/internal/settings"
 )
 
-// Version is the release that --version prints.
+// Version is the release version that --version prints.
 var Version = "0.1.0"
 
-// Exit codes of all programs; hqctl has more.
+// Exit codes of all programs; hqctl has further ones.
 const (
 	OK = 0
-	// Failure: what was asked for did not succeed.
+	// Failure means that the command failed.
 	Failure = 1
-	// Usage: wrong command line, or settings that cannot be.
+	// Usage means that the command line or the settings are invalid, or that a file does not exist.
 	Usage = 2
 )
 
-// VersionFlag is the option --version of a program.
+// VersionFlag is the option --version; its function runs when the option is parsed.
 type VersionFlag struct {
 	Version func() error `long:"version" description:"print the version and exit"`
 }
 
-// NewVersionFlag returns the option for the program. The version takes the way of
-// the help text: the parser prints it on standard output and ends with OK.
+// NewVersionFlag returns the option for the program. The version is returned as an ErrHelp
+// error, like the help text: the parser prints it on standard output, and the exit code is OK.
 func NewVersionFlag(program string) VersionFlag {
 	return VersionFlag{func() error {
 		return &flags.Error{Type: flags.ErrHelp, Message: program + " " + Version}
 	}}
 }
 
-// Code returns the exit code of an error.
+// Code returns the exit code for an error.
 func Code(err error) int {
 	var usage *flags.Error
 	var bad *settings.Error
@@ -49,14 +49,14 @@
 	return Failure
 }
 
-// Command is a subcommand: Run is a struct of flags with an Execute method.
+// Command is a subcommand. Run is a struct of flags with an Execute method.
 type Command struct {
 	Name, Short, Long string
 	Run               flags.Commander
 }
 
-// Run carries out the command line of a program with subcommands and returns the
-// exit code. Errors are printed on standard error.
+// Run parses the command line of a program with subcommands, executes the subcommand and
+// returns the exit code. Errors are printed on standard error.
 func Run(program string, args []string, commands ...Command) int {
 	global := NewVersionFlag(program)
 	p := flags.NewNamedParser(program, flags.Default)
