--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws series by second.
+// Package chart draws line charts of time series with one value a second.
 package chart
 
 import (
@@ -10,31 +10,31 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a chart.
+// Size of a chart image.
 const (
 	width  = 18 * vg.Centimeter
 	height = 9 * vg.Centimeter
 )
 
-// Line is one series, with a value for each second.
+// Line is one time series, with a value for each second.
 type Line struct {
 	Name   string
 	Values []float64
 }
 
-// Chart is series over the same seconds.
+// Chart is a line chart of time series that begin at the same second.
 type Chart struct {
 	Title string
-	// Unit is that of the values.
+	// Unit is the unit of the values.
 	Unit  string
 	Lines []Line
-	// Marks says that each value is marked on its line.
+	// Marks draws a marker at each value.
 	Marks bool
-	// LegendTop says that the legend stands at the top.
+	// LegendTop puts the legend at the top.
 	LegendTop bool
 }
 
-// Save draws the chart into a file whose ending names the format.
+// Save writes the chart to a file, in the image format of its extension.
 func (c *Chart) Save(file string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = c.Title, "s", c.Unit
@@ -53,10 +53,10 @@
 		add = plotutil.AddLinePoints
 	}
 	if err := add(p, lines...); err != nil {
-		return fmt.Errorf("plot %s: %w", file, err)
+		return fmt.Errorf("draw chart %s: %w", file, err)
 	}
 	if err := p.Save(width, height, file); err != nil {
-		return fmt.Errorf("plot %s: %w", file, err)
+		return fmt.Errorf("save chart %s: %w", file, err)
 	}
 	return nil
 }
