--- a/cmd/hq-gateway/main.go
+++ b/cmd/hq-gateway/main.go
@@ -1,4 +1,4 @@
-// Command hq-gateway is the daemon of an entry VM on the users' platform.
+// Command hq-gateway runs the daemon of an entry VM on the users' platform; see package gateway.
 package main
 
 import (
--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -1,5 +1,5 @@
-// Command hq-load offers load to entries and reports what callers received; see
-// package loadgen.
+// Command hq-load generates load on entries or gateways and reports what callers received;
+// see package loadgen.
 package main
 
 import (
@@ -18,8 +18,8 @@
 )
 
 var (
-	errUnsound    = errors.New("a promise to callers was broken")
-	errIncomplete = errors.New("not every request was answered")
+	errUnsound    = errors.New("a guarantee to callers was violated; see the report")
+	errIncomplete = errors.New("some requests were not answered; see the report")
 )
 
 type runCommand struct {
@@ -28,7 +28,7 @@
 	Check    bool          `long:"check" description:"check the experiment and exit"`
 	Duration time.Duration `long:"duration" description:"overrides the experiment's duration"`
 	JSON     string        `long:"json" value-name:"FILE" description:"also write the report as JSON"`
-	Plots    string        `long:"plots" value-name:"DIR" description:"also draw the course as SVG files"`
+	Plots    string        `long:"plots" value-name:"DIR" description:"also draw charts over time as SVG files"`
 	Complete bool          `long:"complete" description:"exit 0 only if every request was answered"`
 }
 
@@ -138,8 +138,8 @@
 
 func main() {
 	os.Exit(command.Run("hq-load", os.Args[1:],
-		command.Command{Name: "run", Short: "Offer load", Long: "Offer an experiment's load and report what callers received.", Run: new(runCommand)},
-		command.Command{Name: "path", Short: "Offer load to gateways", Long: "Offer load to gateways as a platform's balancer does and report what callers received.", Run: new(pathCommand)},
+		command.Command{Name: "run", Short: "Generate load", Long: "Generate the load of an experiment and report what callers received.", Run: new(runCommand)},
+		command.Command{Name: "path", Short: "Generate load on gateways", Long: "Generate load on gateways as the platform's load balancer does, and report what callers received.", Run: new(pathCommand)},
 		command.Command{Name: "compare", Short: "Compare two reports", Long: "Print the figures of two JSON reports side by side.", Run: new(compareCommand)},
 	))
 }
--- a/cmd/hq-soak/main.go
+++ b/cmd/hq-soak/main.go
@@ -1,4 +1,4 @@
-// Command hq-soak plays faults on hq-gateway as real processes; see package soak.
+// Command hq-soak injects faults into hq-gateway running as real processes; see package soak.
 package main
 
 import (
@@ -19,10 +19,10 @@
 
 type options struct {
 	command.VersionFlag
-	Seed     uint64        `long:"seed" default:"1" description:"draws the schedule and the load's keys"`
-	Profile  string        `long:"profile" default:"mixed" choice:"mixed" choice:"stops" description:"mixed: faults of all kinds; stops: graceful shutdowns beside slow targets"`
+	Seed     uint64        `long:"seed" default:"1" description:"seed of the schedule and of the load's keys"`
+	Profile  string        `long:"profile" default:"mixed" choice:"mixed" choice:"stops" description:"mixed: faults of all kinds; stops: graceful shutdowns with slow targets"`
 	Span     time.Duration `long:"span" default:"20s" description:"how long faults last; the run takes some seconds more"`
-	Schedule string        `long:"schedule" value-name:"FILE" description:"play this schedule, as --print writes it, instead of the seed's"`
+	Schedule string        `long:"schedule" value-name:"FILE" description:"run this schedule, as --print writes it, instead of the seed's"`
 	Print    bool          `long:"print" description:"print the schedule and exit"`
 	Dir      string        `long:"dir" description:"for settings and logs of the processes; default out/soak/SEED"`
 	Gateway  string        `long:"gateway" value-name:"PATH" default:"bin/hq-gateway" description:"the program to test"`
@@ -33,7 +33,7 @@
 func run(args []string) error {
 	opts := options{VersionFlag: command.NewVersionFlag("hq-soak")}
 	p := flags.NewNamedParser("hq-soak", flags.Default)
-	p.LongDescription = "Runs three gateways as processes of this computer, before a store and targets that are played, under faults drawn from a seed. Exits 0 if every promise was kept, 1 otherwise."
+	p.LongDescription = "Runs three gateways as processes on this machine, with a simulated store and simulated targets, under random faults from a seed. Exits 0 if no guarantee to callers was violated, 1 otherwise."
 	if _, err := p.AddGroup("Options", "", &opts); err != nil {
 		panic(err)
 	}
--- a/cmd/hq-standin/main.go
+++ b/cmd/hq-standin/main.go
@@ -1,5 +1,5 @@
-// Command hq-standin plays the outside systems for demos and experiments: the
-// platform's object store and the target servers; see packages standin and fleet.
+// Command hq-standin simulates external systems for demos and experiments: the platform's
+// object store and the target servers; see packages standin and fleet.
 package main
 
 import (
@@ -37,7 +37,7 @@
 }
 
 type planCommand struct {
-	Deployments []string `long:"deployment" value-name:"FILE" required:"true" description:"a deployment; may be repeated"`
+	Deployments []string `long:"deployment" value-name:"FILE" required:"true" description:"deployment, JSON with comments; may be repeated"`
 	VMs         int      `long:"vms" default:"3" description:"number of VMs"`
 	Dir         string   `long:"dir" required:"true" description:"where to write the files"`
 }
@@ -72,8 +72,8 @@
 
 func main() {
 	os.Exit(command.Run("hq-standin", os.Args[1:],
-		command.Command{Name: "run", Short: "Play the outside systems", Long: "Play the object store and the targets until SIGTERM.", Run: new(runCommand)},
-		command.Command{Name: "plan", Short: "Plan a run on one machine", Long: "Write settings, objects and a load for a run on free loopback ports.", Run: new(planCommand)},
-		command.Command{Name: "platform", Short: "Play the platform for gateways", Long: "Play the platform's store and targets for gateways on one machine until SIGTERM.", Run: new(platformCommand)},
+		command.Command{Name: "run", Short: "Simulate external systems", Long: "Simulate the object store and the targets until SIGTERM.", Run: new(runCommand)},
+		command.Command{Name: "plan", Short: "Prepare a run on one machine", Long: "Write settings, objects and a load for a run on free loopback ports.", Run: new(planCommand)},
+		command.Command{Name: "platform", Short: "Simulate the platform for gateways", Long: "Simulate the platform's store and targets for gateways on one machine until SIGTERM.", Run: new(platformCommand)},
 	))
 }
--- a/cmd/hqctl/main.go
+++ b/cmd/hqctl/main.go
@@ -1,4 +1,4 @@
-// Command hqctl is the operators' tool; see packages ctl and cli.
+// Command hqctl is the command-line tool for operators; see packages ctl and cli.
 package main
 
 import (
