--- a/cmd/hq-soak/main.go
+++ b/cmd/hq-soak/main.go
@@ -28,7 +28,7 @@
 	Gateway  string        `long:"gateway" value-name:"PATH" default:"bin/hq-gateway" description:"the program to test"`
 }
 
-func main() { os.Exit(command.Code(run(os.Args[1:]))) }
+func main() { os.Exit(command.ExitCode(run(os.Args[1:]))) }
 
 func run(args []string) error {
 	opts := options{VersionFlag: command.NewVersionFlag("hq-soak")}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -36,8 +36,8 @@
 	}}
 }
 
-// Code returns the exit code for an error.
-func Code(err error) int {
+// ExitCode returns the exit code for an error.
+func ExitCode(err error) int {
 	var usage *flags.Error
 	var bad *settings.Error
 	switch {
@@ -69,5 +69,5 @@
 		}
 	}
 	_, err := p.ParseArgs(args)
-	return Code(err)
+	return ExitCode(err)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -113,7 +113,7 @@
 		panic(err)
 	}
 	if _, err := p.ParseArgs(args); err != nil {
-		return command.Code(err)
+		return command.ExitCode(err)
 	}
 	if err := settings.Load(opts.Config, s); err != nil {
 		fmt.Fprintln(os.Stderr, err)
