--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -53,7 +53,7 @@
 		}
 		switch typed := decoded.(type) {
 		case *model.Assignment:
-			out = append(out, groupsAt(typed, keyspace.Of(subject))...)
+			out = append(out, groupsAt(typed, keyspace.PointOf(subject))...)
 		case *model.Contract:
 			if typed.Customer == subject {
 				return nil
--- a/internal/decide/placement/simulation_test.go
+++ b/internal/decide/placement/simulation_test.go
@@ -121,7 +121,7 @@
 	t := &traffic{rand: rand.New(rand.NewPCG(seed, 1)), meter: loadmeter.New()}
 	var sum float64
 	for i := range keys {
-		t.points = append(t.points, keyspace.Of(fmt.Sprintf("key-%d-%d", seed, i)))
+		t.points = append(t.points, keyspace.PointOf(fmt.Sprintf("key-%d-%d", seed, i)))
 		t.share = append(t.share, math.Pow(float64(i+1), -zipfExponent))
 		sum += t.share[i]
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -238,7 +238,7 @@
 	if !s.Keyed {
 		return queueID{Service: s.Name}, nil
 	}
-	grant := v.Owner(s.Name, keyspace.Of(r.Key))
+	grant := v.Owner(s.Name, keyspace.PointOf(r.Key))
 	if grant == nil {
 		return queueID{}, problem.Refuse(problem.NoOwner, "queue", d.Settings.VM, "the key has no owner now").After(time.Second)
 	}
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -34,7 +34,7 @@
 	if q.id.Target == "" {
 		return false
 	}
-	grant := v.Owner(q.id.Service, keyspace.Of(j.request.Key))
+	grant := v.Owner(q.id.Service, keyspace.PointOf(j.request.Key))
 	return grant != nil && grant.Target.Name != q.id.Target
 }
 
@@ -48,7 +48,7 @@
 // would then last until some other group changes.
 func (q *queue) parkUnlessNew(j *job, now time.Time) {
 	v := q.feed.Current()
-	grant := v.Owner(q.id.Service, keyspace.Of(j.request.Key))
+	grant := v.Owner(q.id.Service, keyspace.PointOf(j.request.Key))
 	switch {
 	case q.ownedElsewhere(v, j):
 		q.end(j, q.notOwner())
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -101,7 +101,7 @@
 	}
 	var grant *wire.Grant
 	if q.pool.service.Keyed {
-		grant = v.Owner(q.id.Service, keyspace.Of(j.request.Key))
+		grant = v.Owner(q.id.Service, keyspace.PointOf(j.request.Key))
 		if grant == nil {
 			q.park(j, now)
 			return
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -162,7 +162,7 @@
 	if !s.Keyed {
 		return s.Name, "", nil
 	}
-	grant := v.Owner(s.Name, keyspace.Of(req.request.Key))
+	grant := v.Owner(s.Name, keyspace.PointOf(req.request.Key))
 	if grant == nil {
 		return "", "", problem.Refuse(problem.NoOwner, "choose", f.vm, "the key has no owner now").After(time.Second)
 	}
--- a/internal/keyspace/keyspace.go
+++ b/internal/keyspace/keyspace.go
@@ -10,8 +10,8 @@
 // Point is a position in the 64-bit space.
 type Point uint64
 
-// Of returns the point of a key, its 64-bit xxHash.
-func Of(key string) Point { return Point(xxhash.Sum64String(key)) }
+// PointOf returns the point of a key, its 64-bit xxHash.
+func PointOf(key string) Point { return Point(xxhash.Sum64String(key)) }
 
 // Slice is the range of points from First to Last, both included.
 type Slice struct {
--- a/internal/standin/serving.go
+++ b/internal/standin/serving.go
@@ -138,7 +138,7 @@
 func (s *Server) enter(life *targetLife, id string, r *http.Request) target.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	point := keyspace.Of(r.Header.Get(target.HeaderKey))
+	point := keyspace.PointOf(r.Header.Get(target.HeaderKey))
 	if s.faults.Leaving {
 		return target.RefusedLeaving
 	}
--- a/internal/view/slope_test.go
+++ b/internal/view/slope_test.go
@@ -81,7 +81,7 @@
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
 			v := Build(nil, nil, grantsOf(record(n)))
 			for b.Loop() {
-				if v.Owner("shelf", keyspace.Of("key")) == nil {
+				if v.Owner("shelf", keyspace.PointOf("key")) == nil {
 					b.Fatal("no owner")
 				}
 			}
