--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -25,7 +25,7 @@
 
 // agent is the state and the goroutines of the process.
 type agent struct {
-	*daemon.Kit[*Settings]
+	*daemon.Deps[*Settings]
 	incarnation string
 	started     int64
 	writes      atomic.Uint64
@@ -46,7 +46,7 @@
 	tasks         sync.WaitGroup
 }
 
-func start(k *daemon.Kit[*Settings]) error {
+func start(k *daemon.Deps[*Settings]) error {
 	a, err := newAgent(k, objectapi.New(k.Settings.Store))
 	if err != nil {
 		return err
@@ -55,14 +55,14 @@
 	return nil
 }
 
-func newAgent(k *daemon.Kit[*Settings], store platform.Store) (*agent, error) {
+func newAgent(k *daemon.Deps[*Settings], store platform.Store) (*agent, error) {
 	server, err := peer.Listen(k.Settings.Listen)
 	if err != nil {
 		return nil, err
 	}
 	started := time.Now().UnixNano()
 	a := &agent{
-		Kit:         k,
+		Deps:        k,
 		incarnation: fmt.Sprintf("%s-%d", k.Settings.VM, started),
 		started:     started,
 		store:       store,
@@ -75,7 +75,7 @@
 	if err := server.Register("Agent", a.relay); err != nil {
 		return nil, err
 	}
-	k.Life.Section("agent", a.dump)
+	k.Lifecycle.AddDumpSection("agent", a.dump)
 	return a, nil
 }
 
@@ -83,7 +83,7 @@
 func (a *agent) initComponents() {
 	s := a.Settings
 	a.relay = newRelay(a.incarnation)
-	self := wire.Member{VM: s.VM, DataCentre: s.DataCentre, Incarnation: a.incarnation, AgentAddr: a.server.Addr(), AdminAddr: a.Life.AdminAddr()}
+	self := wire.Member{VM: s.VM, DataCentre: s.DataCentre, Incarnation: a.incarnation, AgentAddr: a.server.Addr(), AdminAddr: a.Lifecycle.AdminAddr()}
 	a.members = newMembers(self, boottime.System{}, s.Silence.D(), a.relay.refreshMembers)
 	a.members.grantsChanged = a.relay.refresh
 	a.grantsChanged = make(chan struct{}, 1)
@@ -164,17 +164,17 @@
 func (a *agent) awaitReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, ready := a.config.heldRevision(); ready && a.members.settled() && a.relay.grantsSeeded.Load() {
-			a.Life.Ready()
+			a.Lifecycle.Ready()
 			return
 		}
-		a.Life.NotReadyBecause(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers has one",
+		a.Lifecycle.SetNotReadyReason(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers has one",
 			a.Settings.Store, len(a.members.peerAddrs())))
 		pause.For(ctx, a.Settings.Heartbeat.D())
 	}
 }
 
 func (a *agent) stop(context.Context) error {
-	a.Life.BeginDrain()
+	a.Lifecycle.BeginDrain()
 	a.members.updateSelf(func(m *wire.Member) { m.Leaving = true })
 	a.awaitDaemons()
 	a.cancel()
@@ -183,7 +183,7 @@
 	a.peers.Close()
 	a.commander.Close()
 	a.assigner.targetHealth.close()
-	a.Life.Drained()
+	a.Lifecycle.Drained()
 	return nil
 }
 
@@ -211,6 +211,6 @@
 	objects, granted := a.config.list(), a.grants.list()
 	return dump{
 		a.incarnation, revision, totals{len(objects), len(granted)},
-		daemon.Cut(objects), a.members.live(), a.config.problems(), daemon.Cut(granted), a.relay.liveDaemons(),
+		daemon.TruncateForDump(objects), a.members.live(), a.config.problems(), daemon.TruncateForDump(granted), a.relay.liveDaemons(),
 	}
 }
--- a/internal/agent/settings.go
+++ b/internal/agent/settings.go
@@ -89,27 +89,27 @@
 	orDefault(&s.ReleaseLimit, defaultReleaseLimit)
 	switch {
 	case !strings.HasPrefix(s.Store, "http://") && !strings.HasPrefix(s.Store, "https://"):
-		return settings.Impossible("/store", "%q is not an http or https URL", s.Store)
+		return settings.Invalid("/store", "%q is not an http or https URL", s.Store)
 	case s.StoreTimeout <= 0:
-		return settings.Impossible("/storeTimeout", "%v must be greater than 0", s.StoreTimeout)
+		return settings.Invalid("/storeTimeout", "%v must be greater than 0", s.StoreTimeout)
 	case s.Heartbeat <= 0:
-		return settings.Impossible("/heartbeat", "%v must be greater than 0", s.Heartbeat)
+		return settings.Invalid("/heartbeat", "%v must be greater than 0", s.Heartbeat)
 	case s.GrantEvery <= 0:
-		return settings.Impossible("/grantEvery", "%v must be greater than 0", s.GrantEvery)
+		return settings.Invalid("/grantEvery", "%v must be greater than 0", s.GrantEvery)
 	case s.Silence < 2*s.Heartbeat:
-		return settings.Impossible("/silence", "%v is shorter than two heartbeats (%v each): one lost message would mark a VM as lost", s.Silence, s.Heartbeat)
+		return settings.Invalid("/silence", "%v is shorter than two heartbeats (%v each): one lost message would mark a VM as lost", s.Silence, s.Heartbeat)
 	case s.GrantLife < 2*s.GrantEvery:
-		return settings.Impossible("/grantLife", "%v is shorter than two renewals (%v each): one lost message would let a grant expire", s.GrantLife, s.GrantEvery)
+		return settings.Invalid("/grantLife", "%v is shorter than two renewals (%v each): one lost message would let a grant expire", s.GrantLife, s.GrantEvery)
 	case s.TakeoverSilence < 2*s.Heartbeat:
-		return settings.Impossible("/takeoverSilence", "%v is shorter than two heartbeats (%v each)", s.TakeoverSilence, s.Heartbeat)
+		return settings.Invalid("/takeoverSilence", "%v is shorter than two heartbeats (%v each)", s.TakeoverSilence, s.Heartbeat)
 	case s.Authority < 2*s.GrantEvery:
-		return settings.Impossible("/authority", "%v is shorter than two renewals (%v each): one lost message would end the authority", s.Authority, s.GrantEvery)
+		return settings.Invalid("/authority", "%v is shorter than two renewals (%v each): one lost message would end the authority", s.Authority, s.GrantEvery)
 	case s.ClockMargin < 0:
-		return settings.Impossible("/clockMargin", "%v is negative", s.ClockMargin)
+		return settings.Invalid("/clockMargin", "%v is negative", s.ClockMargin)
 	case s.TakeoverPatience < 0:
-		return settings.Impossible("/takeoverPatience", "%v is negative", s.TakeoverPatience)
+		return settings.Invalid("/takeoverPatience", "%v is negative", s.TakeoverPatience)
 	case s.ReleaseLimit < 0:
-		return settings.Impossible("/releaseLimit", "%v is negative", s.ReleaseLimit)
+		return settings.Invalid("/releaseLimit", "%v is negative", s.ReleaseLimit)
 	}
 	for i, addr := range s.Peers {
 		if err := daemon.CheckAddr(fmt.Sprintf("/peers/%d", i), addr); err != nil {
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -54,7 +54,7 @@
 		}
 		switch typed := decoded.(type) {
 		case *model.Assignment:
-			out = append(out, groupAtPoint(typed, keyspace.Of(subject))...)
+			out = append(out, groupAtPoint(typed, keyspace.PointOf(subject))...)
 		case *model.Contract:
 			if typed.Customer == subject {
 				return nil
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -17,14 +17,14 @@
 	"hemlockquay/internal/settings"
 )
 
-// headerTimeout bounds how long a client may take to send its headers.
+// headerTimeout bounds how long a client may take to send the request headers.
 const headerTimeout = 5 * time.Second
 
-// CheckAddr reports an address that is not IP:PORT.
+// CheckAddr returns an error if the address is not IP:PORT.
 func CheckAddr(pointer, addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil || net.ParseIP(host) == nil {
-		return settings.Impossible(pointer, "%q is not IP:PORT", addr)
+		return settings.Invalid(pointer, "%q is not IP:PORT", addr)
 	}
 	return nil
 }
@@ -34,20 +34,20 @@
 
 	LC       fx.Lifecycle
 	Base     *Base
-	Life     *Life
+	Life     *Lifecycle
 	Log      *log.Logger
 	Registry metrics.Registry
 	Journal  *journal.Journal
 }
 
-// startAdmin serves /healthz, /readyz, /metrics, /metrics.txt, /dump, /journal
-// and /drain.
+// startAdmin starts the admin server, which serves /healthz, /readyz, /metrics,
+// /metrics.txt, /dump, /journal, /debug/pprof and /drain.
 func startAdmin(p adminParams) error {
 	listener, err := net.Listen("tcp", p.Base.Admin)
 	if err != nil {
-		return fmt.Errorf("listen for admin: %w", err)
+		return fmt.Errorf("start admin server: %w", err)
 	}
-	p.Life.Section(ringsSection, func() any { return rings(p.Registry) })
+	p.Life.AddDumpSection(ringsSection, func() any { return ringStates(p.Registry) })
 	p.Life.admin = listener.Addr().String()
 	server := &http.Server{Handler: adminHandler(p), ReadHeaderTimeout: headerTimeout}
 	p.LC.Append(fx.Hook{
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// show answers in JSON: one line for programs, indented where the query says
-// "pretty".
-func show(c *gin.Context, v any) {
+// writeJSON responds with v as JSON, on one line, or indented if the query has the
+// parameter "pretty".
+func writeJSON(c *gin.Context, v any) {
 	if _, pretty := c.GetQuery("pretty"); pretty {
 		c.IndentedJSON(http.StatusOK, v)
 		return
@@ -81,10 +81,10 @@
 		}
 		c.String(http.StatusOK, "ready\n")
 	})
-	e.GET("/metrics", func(c *gin.Context) { show(c, figures(p.Registry)) })
-	e.GET("/metrics.txt", func(c *gin.Context) { c.String(http.StatusOK, "%s", figuresText(p.Registry)) })
-	e.GET("/dump", func(c *gin.Context) { show(c, p.Life.Dump()) })
-	e.GET("/journal", func(c *gin.Context) { show(c, p.Journal.Entries()) })
+	e.GET("/metrics", func(c *gin.Context) { writeJSON(c, metricValues(p.Registry)) })
+	e.GET("/metrics.txt", func(c *gin.Context) { c.String(http.StatusOK, "%s", metricsText(p.Registry)) })
+	e.GET("/dump", func(c *gin.Context) { writeJSON(c, p.Life.Dump()) })
+	e.GET("/journal", func(c *gin.Context) { writeJSON(c, p.Journal.Entries()) })
 	e.GET("/debug/pprof/profile", gin.WrapF(pprof.Profile))
 	e.GET("/debug/pprof/heap", gin.WrapH(pprof.Handler("heap")))
 	e.GET("/debug/pprof/goroutine", gin.WrapH(pprof.Handler("goroutine")))
--- a/internal/daemon/logwriter.go
+++ b/internal/daemon/logwriter.go
@@ -13,20 +13,20 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// logLines bounds the lines that wait for the reader of the log: a second of a
-// full rate of requests, about a megabyte.
-const logLines = 4096
+// maxQueuedLines bounds the queue of unwritten log lines. It holds one second of lines at
+// the full request rate, about a megabyte.
+const maxQueuedLines = 4096
 
-// requestRoom is the part of them that lines on requests may fill: the rest is kept
-// for changes of what the process believes, which are few and explain the others.
-const requestRoom = logLines * 3 / 4
+// maxRequestLines is the queue length from which lines on single requests are dropped. The
+// rest of the queue is reserved for lines on state changes, which are few and explain the others.
+const maxRequestLines = maxQueuedLines * 3 / 4
 
-// requestMark is in the lines on single requests.
-var requestMark = []byte(`"step":"request"`)
+// requestMarker is the part of a log line that marks it as one on a single request.
+var requestMarker = []byte(`"step":"request"`)
 
-// logWriter hands lines to a goroutine that writes them.
-// A full queue drops the line and counts it, so that requests never wait for the reader of the
-// output. Lines on requests are dropped first.
+// logWriter writes log lines from a queue, in a goroutine of its own.
+// A line that finds the queue full is dropped and counted, so that requests never wait for the
+// process that reads the output. Lines on single requests are dropped first.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
@@ -36,14 +36,14 @@
 }
 
 func newLogWriter(out io.Writer) *logWriter {
-	w := &logWriter{out: out, lines: make(chan []byte, logLines), dropped: metrics.NewCounter(), done: make(chan struct{})}
+	w := &logWriter{out: out, lines: make(chan []byte, maxQueuedLines), dropped: metrics.NewCounter(), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
 // Write implements io.Writer. It never blocks and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
-	if len(w.lines) >= requestRoom && bytes.Contains(line, requestMark) {
+	if len(w.lines) >= maxRequestLines && bytes.Contains(line, requestMarker) {
 		w.dropped.Inc(1)
 		return len(line), nil
 	}
@@ -57,10 +57,10 @@
 
 func (w *logWriter) run() {
 	defer close(w.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range w.lines {
-		if n := w.dropped.Count(); n > told && len(w.lines) == 0 {
-			told = n
+		if n := w.dropped.Count(); n > reported && len(w.lines) == 0 {
+			reported = n
 			line = append(line, fmt.Sprintf("{\"level\":\"warn\",\"step\":\"log\",\"dropped\":%d,\"message\":\"log lines dropped since the start\"}\n", n)...)
 		}
 		if _, err := w.out.Write(line); err != nil {
@@ -69,24 +69,24 @@
 	}
 }
 
-// flushMost bounds the writing of what waits at the end, well below the margin within
-// which a process must end.
-const flushMost = time.Second
+// flushTimeout bounds the writing of queued lines at exit. It is well below the time that a
+// process has to end.
+const flushTimeout = time.Second
 
-var errNotFlushed = errors.New("log not written to its end: nobody reads it")
+var errNotFlushed = errors.New("queued log lines were not written in time: standard output is not being read")
 
-// Close writes what waits and ends.
-// It does not wait for a reader that has ended.
+// Close writes the queued lines and stops the goroutine.
+// It returns errNotFlushed if the output does not accept them within flushTimeout.
 func (w *logWriter) Close() error {
 	w.once.Do(func() { close(w.lines) })
 	select {
 	case <-w.done:
 		return nil
-	case <-time.After(flushMost):
+	case <-time.After(flushTimeout):
 		return errNotFlushed
 	}
 }
 
-// survive keeps the process alive when the reader of its output is gone.
-// Without it the next line to the closed pipe would end the process by SIGPIPE.
-func survive() { signal.Ignore(syscall.SIGPIPE) }
+// ignoreSIGPIPE keeps the process running when the reader of its standard output exits.
+// Otherwise the next write to the closed pipe would end the process by SIGPIPE.
+func ignoreSIGPIPE() { signal.Ignore(syscall.SIGPIPE) }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 
 // dispatcher owns the queues and serves the calls of entries and other dispatchers.
 type dispatcher struct {
-	*daemon.Kit[*Settings]
+	*daemon.Deps[*Settings]
 	server *peer.Server
 	feed   *feed.Feed
 	sender *target.Sender
@@ -54,7 +54,7 @@
 	loops          sync.WaitGroup
 }
 
-func start(k *daemon.Kit[*Settings]) error {
+func start(k *daemon.Deps[*Settings]) error {
 	server, err := peer.Listen(k.Settings.Listen)
 	if err != nil {
 		return err
@@ -63,9 +63,9 @@
 	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: server.Addr(), Loads: loads.hottest}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &dispatcher{
-		Kit:            k,
+		Deps:           k,
 		server:         server,
-		feed:           feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry),
+		feed:           feed.New(k.LC, endpoint, k.Lifecycle, k.Log, k.Registry),
 		sender:         target.NewSender(k.Settings.TargetConnections),
 		prober:         target.NewProber(),
 		loads:          loads,
@@ -74,7 +74,7 @@
 		queues:         make(map[queueID]*queue),
 		queueByRequest: make(map[string]*queue),
 	}
-	d.quarantine = newCrashWatcher(k.Settings.VM, d.feed, k.Life.Require(casesNotFetched), k.Journal, k.Log, k.Registry)
+	d.quarantine = newCrashWatcher(k.Settings.VM, d.feed, k.Lifecycle.Require(casesNotFetched), k.Journal, k.Log, k.Registry)
 	d.deps = &queueDeps{
 		vm: k.Settings.VM, limit: k.Settings.QueueLength, fifo: k.Settings.Order == OrderFIFO,
 		feed: d.feed, sender: d.sender, prober: d.prober, quarantine: d.quarantine,
@@ -84,9 +84,9 @@
 	if err := server.Register("Dispatch", &rpcReceiver{deduplicator: d.dedup, crashes: d.quarantine, d: d}); err != nil {
 		return err
 	}
-	k.Life.Section("dispatch", d.dump)
-	k.Life.Section("intents", d.dedup.dump)
-	k.Life.Section("quarantine", d.quarantine.dump)
+	k.Lifecycle.AddDumpSection("dispatch", d.dump)
+	k.Lifecycle.AddDumpSection("intents", d.dedup.dump)
+	k.Lifecycle.AddDumpSection("quarantine", d.quarantine.dump)
 	k.LC.Append(fx.Hook{OnStart: d.start, OnStop: d.stop})
 	return nil
 }
@@ -106,8 +106,8 @@
 // After that, requests that are not sent are refused as not run at once, so that entries
 // send them to another dispatcher, and those that were sent are awaited.
 func (d *dispatcher) stop(ctx context.Context) error {
-	d.Life.BeginDrain()
-	d.Life.Lead(ctx)
+	d.Lifecycle.BeginDrain()
+	d.Lifecycle.WaitLeaveLead(ctx)
 	d.mu.Lock()
 	d.draining = true
 	queues := slices.Collect(maps.Values(d.queues))
@@ -124,7 +124,7 @@
 	d.quarantine.peers.Close()
 	d.sender.Close()
 	d.prober.Close()
-	d.Life.Drained()
+	d.Lifecycle.Drained()
 	return nil
 }
 
@@ -239,7 +239,7 @@
 	if !s.Keyed {
 		return queueID{Service: s.Name}, nil
 	}
-	grant := v.Owner(s.Name, keyspace.Of(r.Key))
+	grant := v.Owner(s.Name, keyspace.PointOf(r.Key))
 	if grant == nil {
 		return queueID{}, problem.Refuse(problem.NoOwner, "queue", d.Settings.VM, "the key has no owner now").WithRetryAfter(time.Second)
 	}
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -34,7 +34,7 @@
 	if q.id.Target == "" {
 		return false
 	}
-	grant := v.Owner(q.id.Service, keyspace.Of(j.request.Key))
+	grant := v.Owner(q.id.Service, keyspace.PointOf(j.request.Key))
 	return grant != nil && grant.Target.Name != q.id.Target
 }
 
@@ -49,7 +49,7 @@
 // the next view would then last until the owner of some other group changes.
 func (q *queue) parkUnlessRegranted(j *job, now time.Time) {
 	v := q.feed.Current()
-	grant := v.Owner(q.id.Service, keyspace.Of(j.request.Key))
+	grant := v.Owner(q.id.Service, keyspace.PointOf(j.request.Key))
 	switch {
 	case q.ownedElsewhere(v, j):
 		q.fail(j, q.notOwnerProblem())
--- a/internal/dispatch/sending.go
+++ b/internal/dispatch/sending.go
@@ -102,7 +102,7 @@
 	}
 	var grant *wire.Grant
 	if q.pool.service.Keyed {
-		grant = v.Owner(q.id.Service, keyspace.Of(j.request.Key))
+		grant = v.Owner(q.id.Service, keyspace.PointOf(j.request.Key))
 		if grant == nil {
 			q.park(j, now)
 			return
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -33,7 +33,7 @@
 
 // entry is the daemon: the HTTP server for callers and the components behind it.
 type entry struct {
-	*daemon.Kit[*Settings]
+	*daemon.Deps[*Settings]
 	parser      *requestParser
 	feed        *feed.Feed
 	forwarder   *forwarder
@@ -57,7 +57,7 @@
 // set, net/http would use Settings.ReadTimeout instead.
 const idleTimeout = 3 * time.Minute
 
-func newEntry(k *daemon.Kit[*Settings], clock boottime.Clock) (*entry, error) {
+func newEntry(k *daemon.Deps[*Settings], clock boottime.Clock) (*entry, error) {
 	listener, err := net.Listen("tcp", k.Settings.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen for callers: %w", err)
@@ -67,9 +67,9 @@
 		return nil, err
 	}
 	endpoint := feed.Endpoint{Agent: k.Settings.Agent, Process: processName, Data: peers.Addr()}
-	f := feed.New(k.LC, endpoint, k.Life, k.Log, k.Registry)
+	f := feed.New(k.LC, endpoint, k.Lifecycle, k.Log, k.Registry)
 	e := &entry{
-		Kit:         k,
+		Deps:        k,
 		parser:      &requestParser{vm: k.Settings.VM},
 		feed:        f,
 		forwarder:   &forwarder{vm: k.Settings.VM, feed: f, client: pooledClient{peer.NewRequestPool(k.Settings.PeerConnections)}},
@@ -80,13 +80,13 @@
 		listener:    listener,
 	}
 	e.admitter = newAdmitter(k.Settings.VM, e.incarnation, k.Settings.ReadTimeout.D(), clock, k.Journal, k.Registry)
-	e.exchanger = newShareExchanger(k.Settings.VM, e.admitter, f, k.Life.Require(baseNotConfirmed), k.Log, k.Registry)
+	e.exchanger = newShareExchanger(k.Settings.VM, e.admitter, f, k.Lifecycle.Require(baseNotConfirmed), k.Log, k.Registry)
 	e.peerServer = peers
 	if err := peers.Register("Entry", &shareService{e.admitter}); err != nil {
 		return nil, err
 	}
-	k.Life.Section("entry", e.dump)
-	k.Life.Section("limits", e.admitter.dump)
+	k.Lifecycle.AddDumpSection("entry", e.dump)
+	k.Lifecycle.AddDumpSection("limits", e.admitter.dump)
 	e.server = &http.Server{
 		Handler:           e.handler(),
 		ReadHeaderTimeout: k.Settings.ReadTimeout.D(),
@@ -114,15 +114,15 @@
 // stop shuts the entry down gracefully. It serves new requests until the load balancer has been
 // notified. After that it refuses new requests as not run and completes those in flight.
 func (e *entry) stop(ctx context.Context) error {
-	e.Life.BeginDrain()
-	e.Life.Lead(ctx)
+	e.Lifecycle.BeginDrain()
+	e.Lifecycle.WaitLeaveLead(ctx)
 	err := e.server.Shutdown(ctx)
 	e.cancel()
 	e.wg.Wait()
 	e.exchanger.pool.Close()
 	e.peerServer.Close()
 	e.forwarder.client.Close()
-	e.Life.Drained()
+	e.Lifecycle.Drained()
 	if err != nil {
 		return fmt.Errorf("shut down the HTTP server for callers: %w", err)
 	}
@@ -144,7 +144,7 @@
 		e.writeRefusal(c, problem.Refuse(problem.Leaving, stepParse, e.Settings.VM, reason).WithRetryAfter(time.Second))
 		return
 	}
-	if ready, reason := e.Life.IsReady(); !ready && !e.Life.Serving() {
+	if ready, reason := e.Lifecycle.IsReady(); !ready && !e.Lifecycle.Serving() {
 		e.writeRefusal(c, problem.Refuse(problem.NotReady, stepParse, e.Settings.VM, reason).WithRetryAfter(time.Second))
 		return
 	}
@@ -182,12 +182,12 @@
 // its next request to another entry.
 func (e *entry) drainReason(c *gin.Context) string {
 	select {
-	case <-e.Life.Draining():
+	case <-e.Lifecycle.Draining():
 	default:
 		return ""
 	}
 	c.Header("Connection", "close")
-	if e.Life.Serving() {
+	if e.Lifecycle.Serving() {
 		return ""
 	}
 	return "the entry is leaving"
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -164,7 +164,7 @@
 	if !s.Keyed {
 		return s.Name, "", nil
 	}
-	grant := v.Owner(s.Name, keyspace.Of(req.wireRequest.Key))
+	grant := v.Owner(s.Name, keyspace.PointOf(req.wireRequest.Key))
 	if grant == nil {
 		return "", "", problem.Refuse(problem.NoOwner, "choose", f.vm, "the key has no owner now").WithRetryAfter(time.Second)
 	}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -92,7 +92,7 @@
 	t        testing.TB
 	addr     string
 	agent    string
-	life     *daemon.Life
+	life     *daemon.Lifecycle
 	app      *fxtest.App
 	dispatch *fakeDispatcher
 }
@@ -145,7 +145,7 @@
 	l := &testEntry{t: t, agent: s.Agent}
 	clock := new(atomicClock)
 	var e *entry
-	l.app = fxtest.New(t, daemon.Parts(processName, s, discardLogger),
+	l.app = fxtest.New(t, daemon.BaseModule(processName, s, discardLogger),
 		fx.Provide(func() boottime.Clock { return clock }, newEntry), fx.Populate(&e, &l.life))
 	l.app.RequireStart()
 	l.addr = e.listener.Addr().String()
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -58,7 +58,7 @@
 // Feed holds the current view. Its exported methods are safe for concurrent use.
 type Feed struct {
 	endpoint      Endpoint
-	life          *daemon.Life
+	life          *daemon.Lifecycle
 	log           *log.Logger
 	client        *peer.Client
 	current       atomic.Pointer[view.View]
@@ -81,7 +81,7 @@
 }
 
 // New returns a feed that runs for the lifetime of the application.
-func New(lc fx.Lifecycle, e Endpoint, life *daemon.Life, logger *log.Logger, registry metrics.Registry) *Feed {
+func New(lc fx.Lifecycle, e Endpoint, life *daemon.Lifecycle, logger *log.Logger, registry metrics.Registry) *Feed {
 	f := &Feed{
 		endpoint:        e,
 		life:            life,
@@ -96,7 +96,7 @@
 		olderReplies:    metrics.GetOrRegisterCounter("config.refused.older", registry),
 	}
 	f.current.Store(view.Build(nil, nil, nil))
-	life.Section("view", func() any { return f.dump() })
+	life.AddDumpSection("view", func() any { return f.dump() })
 	lc.Append(fx.Hook{OnStart: f.start, OnStop: f.stop})
 	return f
 }
@@ -134,7 +134,7 @@
 	defer f.done.Done()
 	for ctx.Err() == nil {
 		if err := f.pull(ctx); err != nil {
-			f.life.NotReadyBecause("agent " + f.endpoint.Agent + ": " + err.Error())
+			f.life.SetNotReadyReason("agent " + f.endpoint.Agent + ": " + err.Error())
 			f.log.Debug().Err(err).Str("step", "pull").Str("peer", f.endpoint.Agent).Msg("pull from the agent failed")
 			pause.For(ctx, retryDelay)
 		}
@@ -151,12 +151,12 @@
 		return err
 	}
 	if !reply.Ready {
-		f.life.NotReadyBecause("agent " + f.endpoint.Agent + " holds no configuration yet or has not heard its peers")
+		f.life.SetNotReadyReason("agent " + f.endpoint.Agent + " holds no configuration yet or has not heard its peers")
 		pause.For(ctx, notReadyDelay)
 		return nil
 	}
 	f.apply(v, &reply)
-	f.life.SetLongest(f.Current().LongestDeadline())
+	f.life.RaiseMaxDeadline(f.Current().LongestDeadline())
 	f.life.Ready()
 	return nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,7 +37,7 @@
 	clock      boottime.Clock
 	log        *log.Logger
 	registry   metrics.Registry
-	life       *daemon.Life
+	life       *daemon.Lifecycle
 	self       mesh.Member
 	state      *routingState
 	mesh       *mesh.Mesh
@@ -93,12 +93,12 @@
 	)
 }
 
-func start(kit *daemon.Kit[*Settings], a Adapter) error {
+func start(kit *daemon.Deps[*Settings], a Adapter) error {
 	debug.SetGCPercent(kit.Settings.GCPercent)
 	g := newGateway(kit.Settings, a, boottime.System{}, kit.Log, kit.Registry)
-	g.life = kit.Life
+	g.life = kit.Lifecycle
 	g.receiveSIGHUP()
-	kit.Life.Section("view", g.dump)
+	kit.Lifecycle.AddDumpSection("view", g.dump)
 	kit.LC.Append(fx.Hook{OnStart: g.start, OnStop: g.stop})
 	return nil
 }
--- a/internal/model/decode.go
+++ b/internal/model/decode.go
@@ -61,13 +61,13 @@
 	for i, g := range a.Groups {
 		switch {
 		case g.ID >= a.NextGroup:
-			return settings.Impossible(groupField(i, "id"), "%d is not below nextGroup (%d)", g.ID, a.NextGroup)
+			return settings.Invalid(groupField(i, "id"), "%d is not below nextGroup (%d)", g.ID, a.NextGroup)
 		case ids[g.ID]:
-			return settings.Impossible(groupField(i, "id"), "duplicate group ID %d", g.ID)
+			return settings.Invalid(groupField(i, "id"), "duplicate group ID %d", g.ID)
 		case len(g.Slices) == 0:
-			return settings.Impossible(groupField(i, "slices"), "the group has no slices")
+			return settings.Invalid(groupField(i, "slices"), "the group has no slices")
 		case g.Owner.Name == "" || g.Owner.Name == g.Standby.Name || g.Owner.Name == g.Witness.Name:
-			return settings.Impossible(groupField(i, "owner"), "%q is empty or also the standby or witness", g.Owner.Name)
+			return settings.Invalid(groupField(i, "owner"), "%q is empty or also the standby or witness", g.Owner.Name)
 		}
 		ids[g.ID] = true
 	}
@@ -82,7 +82,7 @@
 // Check returns an error for the first invalid value.
 func (v *VMStatus) Check() error {
 	if strings.TrimSpace(v.Name) == "" {
-		return settings.Impossible("/name", "empty")
+		return settings.Invalid("/name", "empty")
 	}
 	return nil
 }
