--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -8,8 +8,8 @@
 	"hemlockquay/internal/platform"
 )
 
-// World is everything that the stand-in plays.
-type World struct {
+// Environment is everything that the stand-in plays.
+type Environment struct {
 	Store   *Store
 	Ledger  *Ledger
 	Targets []*Server
@@ -33,7 +33,7 @@
 }
 
 // AdminHandler returns the interface for faults and the ledger.
-func (w *World) AdminHandler() http.Handler {
+func (w *Environment) AdminHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
 	e.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "alive\n") })
@@ -73,7 +73,7 @@
 	}
 }
 
-func (w *World) withTarget(do func(*gin.Context, *Server)) gin.HandlerFunc {
+func (w *Environment) withTarget(do func(*gin.Context, *Server)) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		for _, t := range w.Targets {
 			if t.Config().Name == c.Param("name") {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (w *World) states() []TargetState {
+func (w *Environment) states() []TargetState {
 	out := make([]TargetState, 0, len(w.Targets))
 	for _, t := range w.Targets {
 		t.mu.Lock()
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -33,7 +33,7 @@
 
 // Run plays the outside systems until the context ends.
 func Run(ctx context.Context, s *Settings) error {
-	w := &World{Store: NewStore(), Ledger: NewLedger()}
+	w := &Environment{Store: NewStore(), Ledger: NewLedger()}
 	w.Store.Memory().SetVMs(s.VMs)
 	for _, c := range s.Targets {
 		t, err := NewServer(c, w.Ledger)
