--- a/internal/platform/conformance/conformance_test.go
+++ b/internal/platform/conformance/conformance_test.go
@@ -25,7 +25,7 @@
 	t.Cleanup(server.Close)
 	return Store{
 		Store:        objectapi.New(server.URL),
-		SetVMs:       world.Memory().SetVMs,
+		SetVMs:       world.Backend().SetVMs,
 		LoseAnswers:  func(n int) { world.SetFaults(standin.StoreFaults{LoseAnswers: n}) },
 		LoseRequests: func(n int) { world.SetFaults(standin.StoreFaults{LoseRequests: n}) },
 		Bookmarks:    true,
--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -42,7 +42,7 @@
 		c.JSON(http.StatusOK, gin.H{"faults": w.Store.Faults(), "calls": w.Store.Calls()})
 	})
 	e.PUT("/store/faults", bind(func(f StoreFaults) any { w.Store.SetFaults(f); return f }))
-	e.PUT("/vms", bind(func(vms []platform.VM) any { w.Store.Memory().SetVMs(vms); return vms }))
+	e.PUT("/vms", bind(func(vms []platform.VM) any { w.Store.Backend().SetVMs(vms); return vms }))
 	e.POST("/ledger/runs", bind(func(q RunsQuery) any { return RunsReply{Runs: w.Ledger.Runs(q.IDs)} }))
 	e.DELETE("/ledger", func(c *gin.Context) { w.Ledger.Forget(); c.Status(http.StatusNoContent) })
 	e.PUT("/targets/:name/faults", w.withTarget(func(c *gin.Context, t *Server) {
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -34,7 +34,7 @@
 // Run plays the outside systems until the context ends.
 func Run(ctx context.Context, s *Settings) error {
 	w := &Environment{Store: NewStore(), Ledger: NewLedger()}
-	w.Store.Memory().SetVMs(s.VMs)
+	w.Store.Backend().SetVMs(s.VMs)
 	for _, c := range s.Targets {
 		t, err := NewServer(c, w.Ledger)
 		if err != nil {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -48,8 +48,8 @@
 // NewStore returns a store without objects.
 func NewStore() *Store { return &Store{mem: memstore.New(), broken: make(chan struct{})} }
 
-// Memory returns the objects behind the protocol.
-func (s *Store) Memory() *memstore.Store { return s.mem }
+// Backend returns the objects behind the protocol.
+func (s *Store) Backend() *memstore.Store { return s.mem }
 
 // SetFaults puts the faults in force; watches break when the store goes down.
 func (s *Store) SetFaults(f StoreFaults) {
