--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -173,7 +173,7 @@
 	if t.workload.IdempotencyKeys == 0 {
 		id = c.id
 	}
-	o.whole = bytes.Equal(answer, standin.Answer(id, t.workload.AnswerBytes, body))
+	o.whole = bytes.Equal(answer, standin.AnswerBody(id, t.workload.AnswerBytes, body))
 	t.note(o)
 }
 
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -45,10 +45,10 @@
 	l.runs = make(map[string][]string)
 }
 
-// Answer is the body that a stand-in target returns for a request: a line that
+// AnswerBody is the body that a stand-in target returns for a request: a line that
 // names the request and the sum of its body, then filler made from the id. A
 // caller can check that the answer is whole and its own.
-func Answer(id string, size int, body []byte) []byte {
+func AnswerBody(id string, size int, body []byte) []byte {
 	head := fmt.Appendf(nil, "%s %016x\n", id, wire.Sum(body))
 	if size <= len(head) {
 		return head
--- a/internal/standin/serving.go
+++ b/internal/standin/serving.go
@@ -208,7 +208,7 @@
 	if f.Broken == BrokenHuge {
 		size = hugeAnswer
 	}
-	answer := Answer(id, size, body)
+	answer := AnswerBody(id, size, body)
 	if f.Broken == BrokenShort {
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)+1))
 	}
