--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -37,14 +37,14 @@
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
 	e.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "alive\n") })
-	e.GET("/targets", func(c *gin.Context) { c.JSON(http.StatusOK, w.states()) })
+	e.GET("/targets", func(c *gin.Context) { c.JSON(http.StatusOK, w.targetStates()) })
 	e.GET("/store", func(c *gin.Context) {
 		c.JSON(http.StatusOK, gin.H{"faults": w.Store.Faults(), "calls": w.Store.Calls()})
 	})
 	e.PUT("/store/faults", bind(func(f StoreFaults) any { w.Store.SetFaults(f); return f }))
 	e.PUT("/vms", bind(func(vms []platform.VM) any { w.Store.Backend().SetVMs(vms); return vms }))
 	e.POST("/ledger/runs", bind(func(q RunsQuery) any { return RunsReply{Runs: w.Ledger.Runs(q.IDs)} }))
-	e.DELETE("/ledger", func(c *gin.Context) { w.Ledger.Forget(); c.Status(http.StatusNoContent) })
+	e.DELETE("/ledger", func(c *gin.Context) { w.Ledger.Clear(); c.Status(http.StatusNoContent) })
 	e.PUT("/targets/:name/faults", w.withTarget(func(c *gin.Context, t *Server) {
 		bind(func(f TargetFaults) any { t.SetFaults(f); return f })(c)
 	}))
@@ -85,11 +85,11 @@
 	}
 }
 
-func (w *Environment) states() []TargetState {
+func (w *Environment) targetStates() []TargetState {
 	out := make([]TargetState, 0, len(w.Targets))
 	for _, t := range w.Targets {
 		t.mu.Lock()
-		out = append(out, TargetState{Config: t.config, Faults: t.faults, Up: t.life != nil})
+		out = append(out, TargetState{Config: t.config, Faults: t.faults, Up: t.process != nil})
 		t.mu.Unlock()
 	}
 	return out
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -7,26 +7,26 @@
 
 // TargetFaults are the faults of one target.
 type TargetFaults struct {
-	// Factor multiplies service times; 0 counts as 1.
-	Factor float64 `json:"factor"`
+	// ServiceTimeFactor multiplies service times; 0 counts as 1.
+	ServiceTimeFactor float64 `json:"factor"`
 	// Frozen holds every request and order until it is lifted.
 	Frozen bool `json:"frozen"`
 	// Leaving makes the target drain.
 	Leaving bool `json:"leaving"`
 	// FailPercent of requests lose their answer after they ran.
 	FailPercent float64 `json:"failPercent"`
-	// LieHealthy and LieIdle make the hint endpoints lie.
-	LieHealthy bool `json:"lieHealthy"`
-	LieIdle    bool `json:"lieIdle"`
-	// Broken is a kind of broken answer; see the Broken constants.
-	Broken string `json:"broken"`
+	// ReportHealthy and ReportIdle make the hint endpoints lie.
+	ReportHealthy bool `json:"lieHealthy"`
+	ReportIdle    bool `json:"lieIdle"`
+	// AnswerFault is a kind of broken answer; see the AnswerFault constants.
+	AnswerFault string `json:"broken"`
 }
 
 // Kinds of broken answers.
 const (
-	BrokenShort = "short" // fewer bytes than announced
-	BrokenHuge  = "huge"  // far more than any limit
-	BrokenEmpty = "empty" // the connection closes without an answer
+	AnswerTruncated = "short" // fewer bytes than announced
+	AnswerOversized = "huge"  // far more than any limit
+	AnswerMissing   = "empty" // the connection closes without an answer
 )
 
 // SetFaults puts the faults in force.
@@ -34,29 +34,29 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Frozen && !f.Frozen {
-		close(s.thawed)
-		s.thawed = make(chan struct{})
+		close(s.unfrozen)
+		s.unfrozen = make(chan struct{})
 	}
 	s.faults = f
 }
 
-func (s *Server) current() (TargetFaults, <-chan struct{}) {
+func (s *Server) currentFaults() (TargetFaults, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults, s.thawed
+	return s.faults, s.unfrozen
 }
 
-// stall holds a call while the target is frozen. It returns false if the life
+// waitWhileFrozen holds a call while the target is frozen. It returns false if the life
 // ended or the caller left.
-func (s *Server) stall(ctx context.Context, life *targetLife) bool {
+func (s *Server) waitWhileFrozen(ctx context.Context, process *targetProcess) bool {
 	for {
-		f, thawed := s.current()
+		f, unfrozen := s.currentFaults()
 		if !f.Frozen {
 			return true
 		}
 		select {
-		case <-thawed:
-		case <-life.ended:
+		case <-unfrozen:
+		case <-process.stopped:
 			return false
 		case <-ctx.Done():
 			return false
@@ -64,10 +64,10 @@
 	}
 }
 
-// crashFor is how long a crashed target is away.
-const crashFor = 500 * time.Millisecond
+// crashDowntime is how long a crashed target is away.
+const crashDowntime = 500 * time.Millisecond
 
 func (s *Server) crash() {
 	s.Kill()
-	time.AfterFunc(crashFor, func() { _ = s.Restart() })
+	time.AfterFunc(crashDowntime, func() { _ = s.Restart() })
 }
--- a/internal/standin/fence.go
+++ b/internal/standin/fence.go
@@ -24,13 +24,13 @@
 }
 
 type groupState struct {
-	fence    wire.Rank
-	before   wire.Rank
-	seq      uint64
-	slices   []keyspace.Slice
-	released []keyspace.Slice
-	held     int64
-	heldRank wire.Rank
+	fence     wire.Rank
+	previous  wire.Rank
+	seq       uint64
+	slices    []keyspace.Slice
+	released  []keyspace.Slice
+	heldUntil int64
+	heldRank  wire.Rank
 }
 
 // NewFences returns the memory of a target that has just started.
@@ -54,32 +54,32 @@
 	return report
 }
 
-func (f *Fences) applyGroup(o *target.GroupOrder, now int64, named bool, running func(string, []keyspace.Slice) int) target.GroupReport {
+func (f *Fences) applyGroup(o *target.GroupOrder, now int64, hasIncarnation bool, running func(string, []keyspace.Slice) int) target.GroupReport {
 	key := groupKey{o.Service, o.Group}
 	g := f.groups[key]
 	if g == nil {
 		g = &groupState{}
 		f.groups[key] = g
 	}
-	confirmed := g.takes(o)
+	confirmed := g.isCurrent(o)
 	if confirmed {
 		if o.Rank != g.fence {
-			g.before = g.fence
+			g.previous = g.fence
 		}
 		g.fence, g.seq = o.Rank, o.Seq
-		f.grant(g, o, now, named)
+		f.applyGrant(g, o, now, hasIncarnation)
 	}
 	r := target.GroupReport{Service: o.Service, Group: o.Group, Confirmed: confirmed}
-	if confirmed && named && len(o.Release) > 0 {
+	if confirmed && hasIncarnation && len(o.Release) > 0 {
 		r.Running = running(o.Service, o.Release)
-		g.giveUp(o.Release, r.Running)
+		g.endIfReleased(o.Release, r.Running)
 	}
-	r.Fence, r.Before, r.Held, r.HeldRank = g.fence, g.before, g.held, g.heldRank
+	r.Fence, r.Before, r.Held, r.HeldRank = g.fence, g.previous, g.heldUntil, g.heldRank
 	return r
 }
 
-// giveUp ends the grant once all of its slices are released and idle.
-func (g *groupState) giveUp(release []keyspace.Slice, running int) {
+// endIfReleased ends the grant once all of its slices are released and idle.
+func (g *groupState) endIfReleased(release []keyspace.Slice, running int) {
 	g.released = release
 	if running > 0 {
 		return
@@ -89,28 +89,28 @@
 			return
 		}
 	}
-	g.held = 0
+	g.heldUntil = 0
 }
 
-// takes reports whether the order is the newest so far.
+// isCurrent reports whether the order is the newest so far.
 //
 // Failure: a renewal is delayed in the network and arrives after the order that
 // released the slices, and would undo the release while the other half of the
 // pair is granted. It shows as two owners after a planned move. The rank is the
 // same in both, so only the sequence number shows which is older.
-func (g *groupState) takes(o *target.GroupOrder) bool {
+func (g *groupState) isCurrent(o *target.GroupOrder) bool {
 	c := o.Rank.Compare(g.fence)
 	return c > 0 || c == 0 && o.Seq >= g.seq
 }
 
-// grant puts a grant in force. An order without incarnation only fences: it may
+// applyGrant puts a grant in force. An order without incarnation only fences: it may
 // be for another life.
-func (f *Fences) grant(g *groupState, o *target.GroupOrder, now int64, named bool) {
-	if o.Until <= now || !named {
+func (f *Fences) applyGrant(g *groupState, o *target.GroupOrder, now int64, hasIncarnation bool) {
+	if o.Until <= now || !hasIncarnation {
 		return
 	}
 	g.slices, g.released = o.Slices, o.Release
-	g.held, g.heldRank = o.Until, o.Rank
+	g.heldUntil, g.heldRank = o.Until, o.Rank
 }
 
 // Admit reports whether a request that names the group and rank may run now. The
@@ -121,7 +121,7 @@
 		return target.RefusedIncarnation
 	}
 	g := f.groups[groupKey{service, group}]
-	if g == nil || now >= g.held || rank.Compare(g.heldRank) > 0 || !covers(g.slices, p) {
+	if g == nil || now >= g.heldUntil || rank.Compare(g.heldRank) > 0 || !covers(g.slices, p) {
 		return target.RefusedFence
 	}
 	if covers(g.released, p) {
@@ -133,7 +133,7 @@
 // Serves reports whether any grant in force covers the point.
 func (f *Fences) Serves(service string, p keyspace.Point, now int64) bool {
 	for key, g := range f.groups {
-		if key.service == service && now < g.held && covers(g.slices, p) && !covers(g.released, p) {
+		if key.service == service && now < g.heldUntil && covers(g.slices, p) && !covers(g.released, p) {
 			return true
 		}
 	}
--- a/internal/standin/fence_test.go
+++ b/internal/standin/fence_test.go
@@ -31,8 +31,8 @@
 	require.False(t, f.Serves("s", 5, 100))
 }
 
-// TestReleaseCutsNothingOff: the grant stays until the last request has ended.
-func TestReleaseCutsNothingOff(t *testing.T) {
+// TestReleaseKeepsTheGrantWhileRequestsRun: the grant stays until the last request has ended.
+func TestReleaseKeepsTheGrantWhileRequestsRun(t *testing.T) {
 	f := NewFences("t.1")
 	all := []keyspace.Slice{{First: 0, Last: 9}}
 	running := 1
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -18,7 +18,7 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{runs: make(map[string][]string)} }
 
-func (l *Ledger) ran(id, target string) {
+func (l *Ledger) record(id, target string) {
 	if id == "" {
 		return
 	}
@@ -38,8 +38,8 @@
 	return out
 }
 
-// Forget empties the ledger.
-func (l *Ledger) Forget() {
+// Clear empties the ledger.
+func (l *Ledger) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = make(map[string][]string)
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -43,7 +43,7 @@
 		defer t.Kill()
 		w.Targets = append(w.Targets, t)
 	}
-	ended := make(chan error, 2)
+	serveErrors := make(chan error, 2)
 	for addr, handler := range map[string]http.Handler{s.Store: w.Store.Handler(), s.Admin: w.AdminHandler()} {
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -51,12 +51,12 @@
 		}
 		server := &http.Server{Handler: handler}
 		defer server.Close()
-		go func() { ended <- server.Serve(listener) }()
+		go func() { serveErrors <- server.Serve(listener) }()
 	}
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-ended:
+	case err := <-serveErrors:
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -29,33 +29,33 @@
 	config TargetConfig
 	ledger *Ledger
 
-	mu      sync.Mutex
-	life    *targetLife
-	lives   int
-	faults  TargetFaults
-	thawed  chan struct{}
-	random  *rand.Rand
-	started time.Time
+	mu       sync.Mutex
+	process  *targetProcess
+	starts   int
+	faults   TargetFaults
+	unfrozen chan struct{}
+	random   *rand.Rand
+	started  time.Time
 }
 
-// targetLife is one incarnation: its memory is lost with it.
-type targetLife struct {
+// targetProcess is one incarnation: its memory is lost with it.
+type targetProcess struct {
 	incarnation string
 	fences      *Fences
 	running     map[string]keyspace.Point
 	listener    net.Listener
 	http        *http.Server
-	ended       chan struct{}
+	stopped     chan struct{}
 }
 
 // NewServer starts a target on its address; ":0" picks a free port.
 func NewServer(config TargetConfig, ledger *Ledger) (*Server, error) {
 	s := &Server{
-		config:  config,
-		ledger:  ledger,
-		thawed:  make(chan struct{}),
-		random:  rand.New(rand.NewPCG(config.Seed, 0)),
-		started: time.Now(),
+		config:   config,
+		ledger:   ledger,
+		unfrozen: make(chan struct{}),
+		random:   rand.New(rand.NewPCG(config.Seed, 0)),
+		started:  time.Now(),
 	}
 	if err := s.Restart(); err != nil {
 		return nil, err
@@ -79,33 +79,33 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lives++
-	incarnation := fmt.Sprintf("%s-%d", s.config.Name, s.lives)
+	s.starts++
+	incarnation := fmt.Sprintf("%s-%d", s.config.Name, s.starts)
 	s.config.Addr = listener.Addr().String()
-	life := &targetLife{
+	process := &targetProcess{
 		incarnation: incarnation,
 		fences:      NewFences(incarnation),
 		running:     make(map[string]keyspace.Point),
 		listener:    listener,
-		ended:       make(chan struct{}),
+		stopped:     make(chan struct{}),
 	}
-	life.http = &http.Server{Handler: s.handler(life)}
-	s.life = life
-	go func() { _ = life.http.Serve(listener) }()
+	process.http = &http.Server{Handler: s.handler(process)}
+	s.process = process
+	go func() { _ = process.http.Serve(listener) }()
 	return nil
 }
 
 // Kill ends the current life at once: connections break, memory is lost.
 func (s *Server) Kill() {
 	s.mu.Lock()
-	life := s.life
-	s.life = nil
+	process := s.process
+	s.process = nil
 	s.mu.Unlock()
-	if life == nil {
+	if process == nil {
 		return
 	}
-	close(life.ended)
-	life.http.Close()
+	close(process.stopped)
+	process.http.Close()
 }
 
 // clock is the target's own clock, nanoseconds; it goes on over restarts.
--- a/internal/standin/serving.go
+++ b/internal/standin/serving.go
@@ -28,16 +28,16 @@
 	HeaderServedBy = "X-Served-By"
 )
 
-func (s *Server) handler(life *targetLife) http.Handler {
+func (s *Server) handler(process *targetProcess) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+target.OrdersPath, func(w http.ResponseWriter, r *http.Request) { s.orders(life, w, r) })
-	mux.HandleFunc("GET "+target.HealthPath, func(w http.ResponseWriter, r *http.Request) { s.health(life, w, r) })
-	mux.HandleFunc("GET "+target.LoadPath, func(w http.ResponseWriter, r *http.Request) { s.load(life, w, r) })
-	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { s.serve(life, w, r) })
+	mux.HandleFunc("POST "+target.OrdersPath, func(w http.ResponseWriter, r *http.Request) { s.serveOrders(process, w, r) })
+	mux.HandleFunc("GET "+target.HealthPath, func(w http.ResponseWriter, r *http.Request) { s.serveHealth(process, w, r) })
+	mux.HandleFunc("GET "+target.LoadPath, func(w http.ResponseWriter, r *http.Request) { s.serveLoad(process, w, r) })
+	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) { s.serveRequest(process, w, r) })
 	return mux
 }
 
-func (s *Server) orders(life *targetLife, w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveOrders(process *targetProcess, w http.ResponseWriter, r *http.Request) {
 	var order target.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -45,17 +45,17 @@
 	}
 	// A frozen process finishes what it received once it goes on: the order is
 	// applied late, whether or not the sender still waits.
-	if !s.stall(context.WithoutCancel(r.Context()), life) {
+	if !s.waitWhileFrozen(context.WithoutCancel(r.Context()), process) {
 		return
 	}
 	s.mu.Lock()
-	report := life.fences.Apply(&order, s.clock(), life.runningOn)
+	report := process.fences.Apply(&order, s.clock(), process.countRunning)
 	report.Leaving = s.faults.Leaving
 	s.mu.Unlock()
 	writeJSON(w, report)
 }
 
-func (l *targetLife) runningOn(_ string, slices []keyspace.Slice) int {
+func (l *targetProcess) countRunning(_ string, slices []keyspace.Slice) int {
 	n := 0
 	for _, p := range l.running {
 		if covers(slices, p) {
@@ -78,23 +78,23 @@
 	Running int `json:"running"`
 }
 
-func (s *Server) health(life *targetLife, w http.ResponseWriter, r *http.Request) {
-	f, _ := s.current()
-	if !f.LieHealthy && !s.stall(r.Context(), life) {
+func (s *Server) serveHealth(process *targetProcess, w http.ResponseWriter, r *http.Request) {
+	f, _ := s.currentFaults()
+	if !f.ReportHealthy && !s.waitWhileFrozen(r.Context(), process) {
 		return
 	}
-	writeJSON(w, Health{Incarnation: life.incarnation, Healthy: true, Leaving: f.Leaving})
+	writeJSON(w, Health{Incarnation: process.incarnation, Healthy: true, Leaving: f.Leaving})
 }
 
-func (s *Server) load(life *targetLife, w http.ResponseWriter, r *http.Request) {
-	f, _ := s.current()
-	if !f.LieIdle && !s.stall(r.Context(), life) {
+func (s *Server) serveLoad(process *targetProcess, w http.ResponseWriter, r *http.Request) {
+	f, _ := s.currentFaults()
+	if !f.ReportIdle && !s.waitWhileFrozen(r.Context(), process) {
 		return
 	}
 	s.mu.Lock()
-	running := len(life.running)
+	running := len(process.running)
 	s.mu.Unlock()
-	if f.LieIdle {
+	if f.ReportIdle {
 		running = 0
 	}
 	writeJSON(w, Load{Slots: s.config.Slots, Running: running})
@@ -105,37 +105,37 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (s *Server) serve(life *targetLife, w http.ResponseWriter, r *http.Request) {
+func (s *Server) serveRequest(process *targetProcess, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	if !s.stall(r.Context(), life) {
+	if !s.waitWhileFrozen(r.Context(), process) {
 		panic(http.ErrAbortHandler)
 	}
 	id := r.Header.Get(target.HeaderRequestID)
-	refusal := s.enter(life, id, r)
+	refusal := s.admit(process, id, r)
 	if refusal != "" {
 		w.Header().Set(problem.Header, string(problem.RanNo))
 		w.Header().Set(target.HeaderRefused, string(refusal))
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave(life, id)
-	s.ledger.ran(r.Header.Get(HeaderLoadID), s.config.Name)
+	defer s.finish(process, id)
+	s.ledger.record(r.Header.Get(HeaderLoadID), s.config.Name)
 	if r.Header.Get(HeaderLoadCrash) == "1" {
 		go s.crash()
-		<-life.ended
+		<-process.stopped
 		panic(http.ErrAbortHandler)
 	}
-	if !s.work(r, life) {
+	if !s.awaitServiceTime(r, process) {
 		panic(http.ErrAbortHandler)
 	}
 	s.reply(w, r, body)
 }
 
-// enter takes a slot or says why not.
-func (s *Server) enter(life *targetLife, id string, r *http.Request) target.Refusal {
+// admit takes a slot or says why not.
+func (s *Server) admit(process *targetProcess, id string, r *http.Request) target.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	point := keyspace.Of(r.Header.Get(target.HeaderKey))
@@ -148,36 +148,36 @@
 		if err != nil {
 			return target.RefusedFence
 		}
-		if refusal := life.fences.Admit(s.config.Service, group, rank, r.Header.Get(target.HeaderIncarnation), point, s.clock()); refusal != "" {
+		if refusal := process.fences.Admit(s.config.Service, group, rank, r.Header.Get(target.HeaderIncarnation), point, s.clock()); refusal != "" {
 			return refusal
 		}
 	}
-	if len(life.running) >= s.config.Slots {
+	if len(process.running) >= s.config.Slots {
 		return target.RefusedShed
 	}
-	life.running[id] = point
+	process.running[id] = point
 	return ""
 }
 
-func (s *Server) leave(life *targetLife, id string) {
+func (s *Server) finish(process *targetProcess, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(life.running, id)
+	delete(process.running, id)
 }
 
-// work takes the service time. It returns false if the life ended meanwhile.
-func (s *Server) work(r *http.Request, life *targetLife) bool {
+// awaitServiceTime takes the service time. It returns false if the life ended meanwhile.
+func (s *Server) awaitServiceTime(r *http.Request, process *targetProcess) bool {
 	timer := time.NewTimer(s.serviceTime(r))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-life.ended:
+	case <-process.stopped:
 		return false
 	case <-r.Context().Done():
 		// Cancelled: the caller went away, the slot is free again.
 		return false
 	}
-	return s.stall(r.Context(), life)
+	return s.waitWhileFrozen(r.Context(), process)
 }
 
 func (s *Server) serviceTime(r *http.Request) time.Duration {
@@ -187,35 +187,35 @@
 	if us, err := strconv.ParseFloat(r.Header.Get(HeaderLoadWork), 64); err == nil {
 		work = us
 	}
-	if s.faults.Factor > 0 {
-		work *= s.faults.Factor
+	if s.faults.ServiceTimeFactor > 0 {
+		work *= s.faults.ServiceTimeFactor
 	}
 	return time.Duration(work * float64(time.Microsecond))
 }
 
-// hugeAnswer is above every body limit that a service may set, bytes.
-const hugeAnswer = 65 << 20
+// oversizedAnswerBytes is above every body limit that a service may set, bytes.
+const oversizedAnswerBytes = 65 << 20
 
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, body []byte) {
-	f, _ := s.current()
+	f, _ := s.currentFaults()
 	id := r.Header.Get(HeaderLoadID)
 	size, _ := strconv.Atoi(r.Header.Get(HeaderLoadSize))
-	if f.FailPercent > 0 && s.chance() < f.FailPercent/100 || f.Broken == BrokenEmpty {
+	if f.FailPercent > 0 && s.randomFloat() < f.FailPercent/100 || f.AnswerFault == AnswerMissing {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(HeaderServedBy, s.config.Name)
 	w.Header().Set(HeaderLoadID, id)
-	if f.Broken == BrokenHuge {
-		size = hugeAnswer
+	if f.AnswerFault == AnswerOversized {
+		size = oversizedAnswerBytes
 	}
 	answer := AnswerBody(id, size, body)
-	if f.Broken == BrokenShort {
+	if f.AnswerFault == AnswerTruncated {
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)+1))
 	}
 	_, _ = w.Write(answer)
 }
 
-func (s *Server) chance() float64 {
+func (s *Server) randomFloat() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.Float64()
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -17,8 +17,8 @@
 	"hemlockquay/internal/platform/objectapi"
 )
 
-// bookmarkEvery is how often a quiet watch shows that it lives.
-const bookmarkEvery = time.Second
+// bookmarkInterval is how often a quiet watch shows that it lives.
+const bookmarkInterval = time.Second
 
 // StoreFaults are the faults of the store.
 type StoreFaults struct {
@@ -39,14 +39,14 @@
 type Store struct {
 	mem *memstore.Store
 
-	mu     sync.Mutex
-	faults StoreFaults
-	broken chan struct{}
-	calls  uint64
+	mu       sync.Mutex
+	faults   StoreFaults
+	wentDown chan struct{}
+	calls    uint64
 }
 
 // NewStore returns a store without objects.
-func NewStore() *Store { return &Store{mem: memstore.New(), broken: make(chan struct{})} }
+func NewStore() *Store { return &Store{mem: memstore.New(), wentDown: make(chan struct{})} }
 
 // Backend returns the objects behind the protocol.
 func (s *Store) Backend() *memstore.Store { return s.mem }
@@ -57,8 +57,8 @@
 	defer s.mu.Unlock()
 	s.faults = f
 	if f.Down {
-		close(s.broken)
-		s.broken = make(chan struct{})
+		close(s.wentDown)
+		s.wentDown = make(chan struct{})
 	}
 }
 
@@ -80,7 +80,7 @@
 func (s *Store) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
-	e.Use(s.disturb)
+	e.Use(s.injectFaults)
 	e.GET(objectapi.ObjectsPath, s.listOrWatch)
 	e.POST(objectapi.ObjectsPath, s.put)
 	e.GET(objectapi.ObjectsPath+"/:name", s.get)
@@ -90,8 +90,8 @@
 	return e
 }
 
-// disturb applies the faults before and after a call.
-func (s *Store) disturb(c *gin.Context) {
+// injectFaults applies the faults before and after a call.
+func (s *Store) injectFaults(c *gin.Context) {
 	s.mu.Lock()
 	s.calls++
 	f := s.faults
@@ -107,30 +107,30 @@
 	s.mu.Unlock()
 	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
 	if f.Down || loseRequest {
-		hangUp(c)
+		closeConnection(c)
 		return
 	}
 	if loseAnswer {
-		recorder := &discard{ResponseWriter: c.Writer}
-		c.Writer = recorder
+		writer := &discardingWriter{ResponseWriter: c.Writer}
+		c.Writer = writer
 		c.Next()
-		c.Writer = recorder.ResponseWriter
-		hangUp(c)
+		c.Writer = writer.ResponseWriter
+		closeConnection(c)
 		return
 	}
 	c.Next()
 }
 
-// discard runs a handler without sending its answer.
-type discard struct{ gin.ResponseWriter }
+// discardingWriter runs a handler without sending its answer.
+type discardingWriter struct{ gin.ResponseWriter }
 
-func (d *discard) Write(b []byte) (int, error)       { return len(b), nil }
-func (d *discard) WriteString(t string) (int, error) { return len(t), nil }
-func (d *discard) WriteHeader(int)                   {}
-func (d *discard) WriteHeaderNow()                   {}
+func (d *discardingWriter) Write(b []byte) (int, error)       { return len(b), nil }
+func (d *discardingWriter) WriteString(t string) (int, error) { return len(t), nil }
+func (d *discardingWriter) WriteHeader(int)                   {}
+func (d *discardingWriter) WriteHeaderNow()                   {}
 
-// hangUp closes the connection without an answer.
-func hangUp(c *gin.Context) {
+// closeConnection closes the connection without an answer.
+func closeConnection(c *gin.Context) {
 	c.Abort()
 	conn, _, err := c.Writer.Hijack()
 	if err == nil {
@@ -160,7 +160,7 @@
 		return
 	}
 	o, err := s.mem.Get(c, id)
-	s.answer(c, o, err)
+	s.respond(c, o, err)
 }
 
 func (s *Store) put(c *gin.Context) {
@@ -175,7 +175,7 @@
 		return
 	}
 	o, err = s.mem.Put(c, o)
-	s.answer(c, o, err)
+	s.respond(c, o, err)
 }
 
 func (s *Store) delete(c *gin.Context) {
@@ -190,10 +190,10 @@
 		return
 	}
 	o := platform.Object{Kind: id.Kind, Name: id.Name, Version: version}
-	s.answer(c, o, s.mem.Delete(c, o))
+	s.respond(c, o, s.mem.Delete(c, o))
 }
 
-func (s *Store) answer(c *gin.Context, o platform.Object, err error) {
+func (s *Store) respond(c *gin.Context, o platform.Object, err error) {
 	switch {
 	case err == nil:
 		c.JSON(http.StatusOK, objectapi.ToItem(o))
@@ -221,5 +221,5 @@
 		c.JSON(http.StatusGone, gin.H{"message": err.Error()})
 		return
 	}
-	s.stream(c, from)
+	s.streamEvents(c, from)
 }
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -13,41 +13,41 @@
 	"hemlockquay/internal/platform/objectapi"
 )
 
-// stream sends events until the caller or the store goes away.
-func (s *Store) stream(c *gin.Context, from uint64) {
+// streamEvents sends events until the caller or the store goes away.
+func (s *Store) streamEvents(c *gin.Context, from uint64) {
 	ctx, cancel := context.WithCancel(c.Request.Context())
 	defer cancel()
 	s.mu.Lock()
-	broken := s.broken
+	wentDown := s.wentDown
 	s.mu.Unlock()
-	w := &eventWriter{lines: json.NewEncoder(c.Writer), flush: c.Writer.Flush, revision: from}
+	w := &eventWriter{encoder: json.NewEncoder(c.Writer), flush: c.Writer.Flush, revision: from}
 	c.Status(http.StatusOK)
 	c.Writer.WriteHeaderNow()
 	c.Writer.Flush()
 	var bookmarks sync.WaitGroup
-	bookmarks.Go(func() { s.bookmark(ctx, cancel, broken, w) })
+	bookmarks.Go(func() { s.sendBookmarks(ctx, cancel, wentDown, w) })
 	_ = s.mem.Watch(ctx, from, func(e platform.Event) error {
 		if s.Faults().SilentWatch {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		return w.event(e)
+		return w.sendEvent(e)
 	})
 	cancel()
 	bookmarks.Wait()
 }
 
-func (s *Store) bookmark(ctx context.Context, cancel context.CancelFunc, broken <-chan struct{}, w *eventWriter) {
-	tick := time.NewTicker(bookmarkEvery)
+func (s *Store) sendBookmarks(ctx context.Context, cancel context.CancelFunc, wentDown <-chan struct{}, w *eventWriter) {
+	tick := time.NewTicker(bookmarkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if !s.Faults().SilentWatch && w.bookmark() != nil {
+			if !s.Faults().SilentWatch && w.sendBookmark() != nil {
 				cancel()
 				return
 			}
-		case <-broken:
+		case <-wentDown:
 			cancel()
 			return
 		case <-ctx.Done():
@@ -58,12 +58,12 @@
 
 type eventWriter struct {
 	mu       sync.Mutex
-	lines    *json.Encoder
+	encoder  *json.Encoder
 	flush    func()
 	revision uint64
 }
 
-func (w *eventWriter) event(e platform.Event) error {
+func (w *eventWriter) sendEvent(e platform.Event) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	line := objectapi.WatchEvent{Type: objectapi.Modified, Object: objectapi.ToItem(e.Object)}
@@ -75,7 +75,7 @@
 	return w.send(line)
 }
 
-func (w *eventWriter) bookmark() error {
+func (w *eventWriter) sendBookmark() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	line := objectapi.WatchEvent{Type: objectapi.Bookmark}
@@ -84,7 +84,7 @@
 }
 
 func (w *eventWriter) send(line objectapi.WatchEvent) error {
-	if err := w.lines.Encode(line); err != nil {
+	if err := w.encoder.Encode(line); err != nil {
 		return err
 	}
 	w.flush()
