--- a/internal/standin/admin.go
+++ b/internal/standin/admin.go
@@ -8,19 +8,19 @@
 	"hemlockquay/internal/platform"
 )
 
-// Environment is everything that the stand-in plays.
+// Environment holds the simulated systems of one process.
 type Environment struct {
 	Store   *Store
 	Ledger  *Ledger
 	Targets []*Server
 }
 
-// RunsQuery asks how often requests ran.
+// RunsQuery is the body of POST /ledger/runs. It asks how often requests ran.
 type RunsQuery struct {
 	IDs []string `json:"ids"`
 }
 
-// RunsReply answers RunsQuery in the order of its ids.
+// RunsReply is the response to a RunsQuery, in the order of its IDs.
 type RunsReply struct {
 	Runs []int `json:"runs"`
 }
@@ -32,7 +32,7 @@
 	Up     bool         `json:"up"`
 }
 
-// AdminHandler returns the interface for faults and the ledger.
+// AdminHandler returns the HTTP interface that injects faults and reads the ledger.
 func (w *Environment) AdminHandler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// TargetFaults are the faults of one target.
+// TargetFaults are the faults injected into one target.
 type TargetFaults struct {
 	// ServiceTimeFactor multiplies service times; 0 counts as 1.
 	ServiceTimeFactor float64 `json:"factor"`
-	// Frozen holds every request and order until it is lifted.
+	// Frozen blocks every request and order until it is set to false.
 	Frozen bool `json:"frozen"`
-	// Leaving makes the target drain.
+	// Leaving makes the target announce that it is leaving and refuse new requests.
 	Leaving bool `json:"leaving"`
-	// FailPercent of requests lose their answer after they ran.
+	// FailPercent is the percentage of requests whose connection is closed without a response after they ran.
 	FailPercent float64 `json:"failPercent"`
-	// ReportHealthy and ReportIdle make the hint endpoints lie.
+	// ReportHealthy makes the health endpoint answer while the target is frozen; ReportIdle makes the load
+	// endpoint do so, and report no running requests.
 	ReportHealthy bool `json:"lieHealthy"`
 	ReportIdle    bool `json:"lieIdle"`
-	// AnswerFault is a kind of broken answer; see the AnswerFault constants.
+	// AnswerFault is the defect of every response: one of the constants below, or "" for none.
 	AnswerFault string `json:"broken"`
 }
 
-// Kinds of broken answers.
+// Values of TargetFaults.AnswerFault.
 const (
-	AnswerTruncated = "short" // fewer bytes than announced
-	AnswerOversized = "huge"  // far more than any limit
-	AnswerMissing   = "empty" // the connection closes without an answer
+	AnswerTruncated = "short" // the body has fewer bytes than Content-Length
+	AnswerOversized = "huge"  // the body exceeds every body limit
+	AnswerMissing   = "empty" // the connection is closed without a response
 )
 
-// SetFaults puts the faults in force.
+// SetFaults replaces the faults of the target.
 func (s *Server) SetFaults(f TargetFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,8 +47,8 @@
 	return s.faults, s.unfrozen
 }
 
-// waitWhileFrozen holds a call while the target is frozen. It returns false if the life
-// ended or the caller left.
+// waitWhileFrozen blocks while the target is frozen. It returns false if the process
+// was killed or the context was cancelled meanwhile.
 func (s *Server) waitWhileFrozen(ctx context.Context, process *targetProcess) bool {
 	for {
 		f, unfrozen := s.currentFaults()
@@ -64,7 +65,7 @@
 	}
 }
 
-// crashDowntime is how long a crashed target is away.
+// crashDowntime is the time between a crash and the restart.
 const crashDowntime = 500 * time.Millisecond
 
 func (s *Server) crash() {
--- a/internal/standin/fence.go
+++ b/internal/standin/fence.go
@@ -8,11 +8,11 @@
 	"hemlockquay/internal/wire"
 )
 
-// Fences is what a target keeps about the grants of its groups. It has no clock
-// of its own and is not safe for concurrent use.
+// Fences is the in-memory state of a target about the grants of its groups. Callers
+// pass the time in. It is not safe for concurrent use.
 //
-// Invariant: the fence of a group never falls within one incarnation, and a
-// grant is accepted only at the fence.
+// Invariant: the fence of a group never decreases within one incarnation, and a grant
+// is accepted only if its rank equals the fence.
 type Fences struct {
 	incarnation string
 	groups      map[groupKey]*groupState
@@ -33,17 +33,17 @@
 	heldRank  wire.Rank
 }
 
-// NewFences returns the memory of a target that has just started.
+// NewFences returns the state of a target that has just started.
 func NewFences(incarnation string) *Fences {
 	return &Fences{incarnation: incarnation, groups: make(map[groupKey]*groupState)}
 }
 
-// Apply carries out an order at the target's time now, nanoseconds. running
-// counts the requests in flight on slices.
+// Apply executes an order. now is the target's clock in nanoseconds; running counts the
+// requests in flight on slices.
 func (f *Fences) Apply(o *target.Order, now int64, running func(service string, slices []keyspace.Slice) int) *target.Report {
 	report := &target.Report{Incarnation: f.incarnation, Clock: now}
 	if o.Incarnation != "" && o.Incarnation != f.incarnation {
-		// The order is for an earlier life, whose memory of fences is lost.
+		// The order is for another incarnation. The fences of an earlier one are lost.
 		report.Refused = true
 		return report
 	}
@@ -78,7 +78,8 @@
 	return r
 }
 
-// endIfReleased ends the grant once all of its slices are released and idle.
+// endIfReleased records the released slices and ends the grant once all of its slices
+// are released and no request runs on them.
 func (g *groupState) endIfReleased(release []keyspace.Slice, running int) {
 	g.released = release
 	if running > 0 {
@@ -92,19 +93,19 @@
 	g.heldUntil = 0
 }
 
-// isCurrent reports whether the order is the newest so far.
+// isCurrent reports whether the order is at least as new as all that were accepted before.
 //
 // Failure: a renewal is delayed in the network and arrives after the order that
-// released the slices, and would undo the release while the other half of the
-// pair is granted. It shows as two owners after a planned move. The rank is the
-// same in both, so only the sequence number shows which is older.
+// released the slices. If it were accepted, it would undo the release while the standby
+// is granted the slices, and a planned move would leave two owners. Both orders have the
+// same rank, so only the sequence number shows which is older.
 func (g *groupState) isCurrent(o *target.GroupOrder) bool {
 	c := o.Rank.Compare(g.fence)
 	return c > 0 || c == 0 && o.Seq >= g.seq
 }
 
-// applyGrant puts a grant in force. An order without incarnation only fences: it may
-// be for another life.
+// applyGrant records the grant of an order. An order without an incarnation only raises
+// the fence, because it may be meant for another incarnation.
 func (f *Fences) applyGrant(g *groupState, o *target.GroupOrder, now int64, hasIncarnation bool) {
 	if o.Until <= now || !hasIncarnation {
 		return
@@ -113,9 +114,9 @@
 	g.heldUntil, g.heldRank = o.Until, o.Rank
 }
 
-// Admit reports whether a request that names the group and rank may run now. The
-// refusal is "" if so. A lower rank than the held one is admitted: the target
-// owns the key now, and dispatchers learn of a new rank a moment later.
+// Admit checks whether a request for the group and rank may run now, and returns "" if
+// so. A rank below that of the grant is admitted: the target owns the key, and
+// dispatchers learn of a new rank a moment later.
 func (f *Fences) Admit(service string, group uint64, rank wire.Rank, incarnation string, p keyspace.Point, now int64) target.Refusal {
 	if incarnation != f.incarnation {
 		return target.RefusedIncarnation
@@ -130,7 +131,7 @@
 	return ""
 }
 
-// Serves reports whether any grant in force covers the point.
+// Serves reports whether an unexpired grant covers the point and has not released it.
 func (f *Fences) Serves(service string, p keyspace.Point, now int64) bool {
 	for key, g := range f.groups {
 		if key.service == service && now < g.heldUntil && covers(g.slices, p) && !covers(g.released, p) {
--- a/internal/standin/fence_test.go
+++ b/internal/standin/fence_test.go
@@ -10,10 +10,9 @@
 	"hemlockquay/internal/wire"
 )
 
-// TestLateRenewalDoesNotUndoRelease: after a planned move a user would see two
-// targets answer for a key. A renewal is sent, then the release; the release
-// arrives first, the target gives the group up and the standby is granted; then
-// the renewal arrives. Both carry the same rank: the sequence number decides.
+// Two targets answer for one key after a planned move: a renewal is sent before the
+// release but arrives after it, when the standby already has the grant. Both orders have
+// the same rank, so the sequence number must decide.
 func TestLateRenewalDoesNotUndoRelease(t *testing.T) {
 	f := NewFences("t.1")
 	all := []keyspace.Slice{{First: 0, Last: 9}, {First: 10, Last: 19}}
@@ -31,7 +30,8 @@
 	require.False(t, f.Serves("s", 5, 100))
 }
 
-// TestReleaseKeepsTheGrantWhileRequestsRun: the grant stays until the last request has ended.
+// A release must not end the grant while requests run on its slices. It must refuse new
+// requests meanwhile.
 func TestReleaseKeepsTheGrantWhileRequestsRun(t *testing.T) {
 	f := NewFences("t.1")
 	all := []keyspace.Slice{{First: 0, Last: 9}}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -8,14 +8,14 @@
 	"hemlockquay/internal/wire"
 )
 
-// Ledger records which targets ran which request, so that the load tool can
-// check the promises about running.
+// Ledger records which targets ran which request, so that the load generator can check
+// how often each request ran.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string][]string
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns a ledger without records.
 func NewLedger() *Ledger { return &Ledger{runs: make(map[string][]string)} }
 
 func (l *Ledger) record(id, target string) {
@@ -38,16 +38,16 @@
 	return out
 }
 
-// Clear empties the ledger.
+// Clear removes all records.
 func (l *Ledger) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = make(map[string][]string)
 }
 
-// AnswerBody is the body that a stand-in target returns for a request: a line that
-// names the request and the sum of its body, then filler made from the id. A
-// caller can check that the answer is whole and its own.
+// AnswerBody returns the response body of a simulated target: a line with the request ID
+// and the checksum of the request body, then padding made from the ID. The caller can
+// check that the response is complete and belongs to its request.
 func AnswerBody(id string, size int, body []byte) []byte {
 	head := fmt.Appendf(nil, "%s %016x\n", id, wire.Sum(body))
 	if size <= len(head) {
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -11,15 +11,15 @@
 	"hemlockquay/internal/platform"
 )
 
-// Settings describe a stand-in process.
+// Settings are the settings of hq-standin.
 type Settings struct {
-	// Store is the IP:PORT of the object store.
+	// Store is the IP:PORT at which the object store listens.
 	Store string `json:"store"`
-	// Admin is the IP:PORT for faults and the ledger.
+	// Admin is the IP:PORT at which the admin interface for faults and the ledger listens.
 	Admin string `json:"admin"`
-	// Targets are the target servers.
+	// Targets are the simulated targets.
 	Targets []TargetConfig `json:"targets"`
-	// VMs is the platform's list.
+	// VMs is the initial list of VMs that the store returns.
 	VMs []platform.VM `json:"vms"`
 }
 
@@ -31,7 +31,7 @@
 	return daemon.CheckAddr("/admin", s.Admin)
 }
 
-// Run plays the outside systems until the context ends.
+// Run serves the object store, the targets and the admin interface until the context ends.
 func Run(ctx context.Context, s *Settings) error {
 	w := &Environment{Store: NewStore(), Ledger: NewLedger()}
 	w.Store.Backend().SetVMs(s.VMs)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,20 +11,20 @@
 	"hemlockquay/internal/keyspace"
 )
 
-// TargetConfig describes one stand-in target.
+// TargetConfig is the configuration of one simulated target.
 type TargetConfig struct {
 	Service string `json:"service"`
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
 	Slots   int    `json:"slots"`
 	Keyed   bool   `json:"keyed"`
-	// MeanWorkUS is the mean service time, microseconds.
+	// MeanWorkUS is the mean service time in microseconds.
 	MeanWorkUS int `json:"meanWorkUs"`
-	// Seed makes service times repeatable.
+	// Seed seeds the random service times and failures.
 	Seed uint64 `json:"seed"`
 }
 
-// Server is one stand-in target. Kill and Restart change its incarnation.
+// Server is one simulated target. Each Restart starts a new incarnation.
 type Server struct {
 	config TargetConfig
 	ledger *Ledger
@@ -38,7 +38,7 @@
 	started  time.Time
 }
 
-// targetProcess is one incarnation: its memory is lost with it.
+// targetProcess is the state of one incarnation. It is lost when the target is killed.
 type targetProcess struct {
 	incarnation string
 	fences      *Fences
@@ -63,14 +63,14 @@
 	return s, nil
 }
 
-// Config returns the target's description, its real address included.
+// Config returns the target's configuration with the address at which it listens.
 func (s *Server) Config() TargetConfig {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config
 }
 
-// Restart begins a new life without memory. A running target is killed first.
+// Restart starts a new incarnation with empty state. A running one is killed first.
 func (s *Server) Restart() error {
 	s.Kill()
 	listener, err := net.Listen("tcp", s.Config().Addr)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Kill ends the current life at once: connections break, memory is lost.
+// Kill ends the current incarnation at once: its connections are closed and its state is lost.
 func (s *Server) Kill() {
 	s.mu.Lock()
 	process := s.process
@@ -108,5 +108,5 @@
 	process.http.Close()
 }
 
-// clock is the target's own clock, nanoseconds; it goes on over restarts.
+// clock returns the target's own time in nanoseconds. Restarts do not reset it.
 func (s *Server) clock() int64 { return int64(time.Since(s.started)) + 1 }
--- a/internal/standin/serving.go
+++ b/internal/standin/serving.go
@@ -13,18 +13,18 @@
 	"hemlockquay/internal/target"
 )
 
-// Headers by which a caller instructs a stand-in target.
+// Headers between the load generator and a simulated target.
 const (
-	// HeaderLoadID names the caller's request in the ledger and the answer.
+	// HeaderLoadID is the request's ID in the ledger. The response repeats it.
 	HeaderLoadID = "X-Load-Id"
-	// HeaderLoadSize is the size of the answer's body, bytes.
+	// HeaderLoadSize is the size of the response body in bytes.
 	HeaderLoadSize = "X-Load-Size"
-	// HeaderLoadWork is the service time, microseconds; else the target's mean
-	// with an exponential distribution.
+	// HeaderLoadWork is the service time in microseconds. Without it the service time is
+	// exponentially distributed with the target's mean.
 	HeaderLoadWork = "X-Load-Work-Us"
 	// HeaderLoadCrash set to "1" kills the target that runs the request.
 	HeaderLoadCrash = "X-Load-Crash"
-	// HeaderServedBy names the target in the answer.
+	// HeaderServedBy is the name of the target in its response.
 	HeaderServedBy = "X-Served-By"
 )
 
@@ -43,7 +43,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	// A frozen process finishes what it received once it goes on: the order is
+	// A frozen process handles what it has received once it resumes, so the order is
 	// applied late, whether or not the sender still waits.
 	if !s.waitWhileFrozen(context.WithoutCancel(r.Context()), process) {
 		return
@@ -65,14 +65,14 @@
 	return n
 }
 
-// Health is the answer of the health endpoint.
+// Health is the response of the health endpoint.
 type Health struct {
 	Incarnation string `json:"incarnation"`
 	Healthy     bool   `json:"healthy"`
 	Leaving     bool   `json:"leaving"`
 }
 
-// Load is the answer of the load endpoint.
+// Load is the response of the load endpoint.
 type Load struct {
 	Slots   int `json:"slots"`
 	Running int `json:"running"`
@@ -134,7 +134,7 @@
 	s.reply(w, r, body)
 }
 
-// admit takes a slot or says why not.
+// admit takes a slot for the request, or returns why the request is refused.
 func (s *Server) admit(process *targetProcess, id string, r *http.Request) target.Refusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +165,8 @@
 	delete(process.running, id)
 }
 
-// awaitServiceTime takes the service time. It returns false if the life ended meanwhile.
+// awaitServiceTime waits for the service time of the request. It returns false if the
+// process was killed or the caller disconnected meanwhile.
 func (s *Server) awaitServiceTime(r *http.Request, process *targetProcess) bool {
 	timer := time.NewTimer(s.serviceTime(r))
 	defer timer.Stop()
@@ -174,7 +175,7 @@
 	case <-process.stopped:
 		return false
 	case <-r.Context().Done():
-		// Cancelled: the caller went away, the slot is free again.
+		// The caller disconnected; returning frees the slot.
 		return false
 	}
 	return s.waitWhileFrozen(r.Context(), process)
@@ -193,7 +194,7 @@
 	return time.Duration(work * float64(time.Microsecond))
 }
 
-// oversizedAnswerBytes is above every body limit that a service may set, bytes.
+// oversizedAnswerBytes exceeds every body limit that a service may set.
 const oversizedAnswerBytes = 65 << 20
 
 func (s *Server) reply(w http.ResponseWriter, r *http.Request, body []byte) {
--- a/internal/standin/slope_test.go
+++ b/internal/standin/slope_test.go
@@ -10,8 +10,8 @@
 	"hemlockquay/internal/wire"
 )
 
-// BenchmarkSlopeFences is what a renewal of n groups costs a target, without
-// the codec.
+// BenchmarkSlopeFences measures the cost of a renewal of n groups at a target, without
+// encoding and decoding.
 func BenchmarkSlopeFences(b *testing.B) {
 	for _, n := range []int{4, 16, 64, 256} {
 		b.Run(fmt.Sprintf("n=%d", n), func(b *testing.B) {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,6 +1,6 @@
-// Package standin plays the outside systems: the platform's object store and
-// the target servers, with faults on command. It stands in for them in demos,
-// experiments and tests, and is no part of the product's data path.
+// Package standin simulates the external systems: the platform's object store and the
+// target servers, with fault injection. Demos, experiments and tests use it in place of
+// the real systems; it is not part of the production data path.
 package standin
 
 import (
@@ -17,25 +17,25 @@
 	"hemlockquay/internal/platform/objectapi"
 )
 
-// bookmarkInterval is how often a quiet watch shows that it lives.
+// bookmarkInterval is the interval at which a watch sends bookmarks, which show the
+// client that an idle watch is still alive.
 const bookmarkInterval = time.Second
 
-// StoreFaults are the faults of the store.
+// StoreFaults are the faults injected into the store.
 type StoreFaults struct {
-	// Down refuses every call and breaks watches.
+	// Down closes the connection of every call without a response, and ends watches.
 	Down bool `json:"down"`
-	// SlowMS delays every call, milliseconds.
+	// SlowMS is the delay of every call in milliseconds.
 	SlowMS int `json:"slowMs"`
-	// LoseAnswers drops the answer of that many next writes after they took
-	// effect.
+	// LoseAnswers is the number of next writes that take effect but get no response.
 	LoseAnswers int `json:"loseAnswers"`
-	// SilentWatch keeps watches open without events.
+	// SilentWatch keeps watches open without sending events or bookmarks.
 	SilentWatch bool `json:"silentWatch"`
-	// LoseRequests drops that many next writes before they take effect.
+	// LoseRequests is the number of next writes that are dropped before they take effect.
 	LoseRequests int `json:"loseRequests"`
 }
 
-// Store serves a memstore by the protocol of package objectapi.
+// Store serves a memstore over the protocol of package objectapi.
 type Store struct {
 	mem *memstore.Store
 
@@ -48,10 +48,10 @@
 // NewStore returns a store without objects.
 func NewStore() *Store { return &Store{mem: memstore.New(), wentDown: make(chan struct{})} }
 
-// Backend returns the objects behind the protocol.
+// Backend returns the object store behind the protocol.
 func (s *Store) Backend() *memstore.Store { return s.mem }
 
-// SetFaults puts the faults in force; watches break when the store goes down.
+// SetFaults replaces the faults of the store. StoreFaults.Down ends the open watches.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,21 +62,21 @@
 	}
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns how many calls came since the start.
+// Calls returns the number of calls since the start.
 func (s *Store) Calls() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP interface of the store.
 func (s *Store) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
@@ -90,7 +90,7 @@
 	return e
 }
 
-// injectFaults applies the faults before and after a call.
+// injectFaults applies the current faults to a call.
 func (s *Store) injectFaults(c *gin.Context) {
 	s.mu.Lock()
 	s.calls++
@@ -121,7 +121,7 @@
 	c.Next()
 }
 
-// discardingWriter runs a handler without sending its answer.
+// discardingWriter lets a handler run without sending its response.
 type discardingWriter struct{ gin.ResponseWriter }
 
 func (d *discardingWriter) Write(b []byte) (int, error)       { return len(b), nil }
@@ -129,7 +129,7 @@
 func (d *discardingWriter) WriteHeader(int)                   {}
 func (d *discardingWriter) WriteHeaderNow()                   {}
 
-// closeConnection closes the connection without an answer.
+// closeConnection closes the connection of a call without a response.
 func closeConnection(c *gin.Context) {
 	c.Abort()
 	conn, _, err := c.Writer.Hijack()
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -13,7 +13,7 @@
 	"hemlockquay/internal/platform/objectapi"
 )
 
-// streamEvents sends events until the caller or the store goes away.
+// streamEvents sends events until the client disconnects or the store goes down.
 func (s *Store) streamEvents(c *gin.Context, from uint64) {
 	ctx, cancel := context.WithCancel(c.Request.Context())
 	defer cancel()
