--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -37,8 +37,8 @@
 
 // The faults.
 const (
-	// Works: none.
-	Works Fault = iota
+	// NoFault: none.
+	NoFault Fault = iota
 	// Busy: 503, nothing was done.
 	Busy
 	// Limited: 429, nothing was done.
@@ -176,7 +176,7 @@
 		queue = &s.writeFaults
 	}
 	if len(*queue) == 0 {
-		return Works
+		return NoFault
 	}
 	f := (*queue)[0]
 	*queue = (*queue)[1:]
