--- a/internal/standin/fleet/calls.go
+++ b/internal/standin/fleet/calls.go
@@ -12,7 +12,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch s.nextFault(r.Method != http.MethodGet) {
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Limited:
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -39,8 +39,8 @@
 const (
 	// NoFault: none.
 	NoFault Fault = iota
-	// Busy: 503, nothing was done.
-	Busy
+	// Unavailable: 503, nothing was done.
+	Unavailable
 	// Limited: 429, nothing was done.
 	Limited
 	// Resets: the connection is closed before anything was done.
