--- a/internal/standin/fleet/calls.go
+++ b/internal/standin/fleet/calls.go
@@ -15,7 +15,7 @@
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Limited:
+	case RateLimited:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case Resets:
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -41,8 +41,8 @@
 	NoFault Fault = iota
 	// Unavailable: 503, nothing was done.
 	Unavailable
-	// Limited: 429, nothing was done.
-	Limited
+	// RateLimited: 429, nothing was done.
+	RateLimited
 	// Resets: the connection is closed before anything was done.
 	Resets
 	// LosesAnswer: the call is done and its connection closed.
