--- a/internal/standin/fleet/calls.go
+++ b/internal/standin/fleet/calls.go
@@ -18,7 +18,7 @@
 	case RateLimited:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
-	case Resets:
+	case RequestLost:
 		panic(http.ErrAbortHandler)
 	case LosesAnswer:
 		s.serve(&discard{}, r)
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -43,8 +43,8 @@
 	Unavailable
 	// RateLimited: 429, nothing was done.
 	RateLimited
-	// Resets: the connection is closed before anything was done.
-	Resets
+	// RequestLost: the connection is closed before anything was done.
+	RequestLost
 	// LosesAnswer: the call is done and its connection closed.
 	LosesAnswer
 )
