--- a/internal/standin/fleet/calls.go
+++ b/internal/standin/fleet/calls.go
@@ -20,7 +20,7 @@
 		return
 	case RequestLost:
 		panic(http.ErrAbortHandler)
-	case LosesAnswer:
+	case ResponseLost:
 		s.serve(&discard{}, r)
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -45,8 +45,8 @@
 	RateLimited
 	// RequestLost: the connection is closed before anything was done.
 	RequestLost
-	// LosesAnswer: the call is done and its connection closed.
-	LosesAnswer
+	// ResponseLost: the call is done and its connection closed.
+	ResponseLost
 )
 
 // Store is the object store. It serves HTTP.
