--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -77,8 +77,8 @@
 	return &Store{PageSize: defaultPage, revision: 1, objects: make(map[string]map[string]*Object), changed: make(chan struct{})}
 }
 
-// Fail lets the next calls meet these faults, one each.
-func (s *Store) Fail(faults ...Fault) {
+// FailCalls lets the next calls meet these faults, one each.
+func (s *Store) FailCalls(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, faults...)
