--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -147,7 +147,7 @@
 	case Cut:
 		w.links[f.What].Heal()
 	case Lapse:
-		w.targets[f.What].List(w.store)
+		w.targets[f.What].Register(w.store)
 	case Slow:
 		w.targets[f.What].SetWork(work)
 	case Mute:
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -75,15 +75,15 @@
 	}
 	t.server = &http.Server{Handler: t}
 	go func() { _ = t.server.Serve(listener) }()
-	t.List(s)
+	t.Register(s)
 	return nil
 }
 
 // Addr returns the target's address.
 func (t *Target) Addr() string { return t.listener.Addr().String() }
 
-// List writes the target's entry.
-func (t *Target) List(s *Store) {
+// Register writes the target's entry.
+func (t *Target) Register(s *Store) {
 	t.mu.Lock()
 	t.seq++
 	state := "ready"
@@ -103,7 +103,7 @@
 	t.mu.Lock()
 	t.draining = true
 	t.mu.Unlock()
-	t.List(s)
+	t.Register(s)
 }
 
 // SetWork sets how long a request takes.
