--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -128,7 +128,7 @@
 	case Slow:
 		w.targets[f.What].SetWork(slowWork)
 	case Mute:
-		w.targets[f.What].SetMute(true)
+		w.targets[f.What].SetDropResponses(true)
 	case Stop:
 		w.vms[f.What].suspend()
 	case Kill:
@@ -151,7 +151,7 @@
 	case Slow:
 		w.targets[f.What].SetWork(work)
 	case Mute:
-		w.targets[f.What].SetMute(false)
+		w.targets[f.What].SetDropResponses(false)
 	case Stop:
 		w.vms[f.What].resume()
 	case Kill, Term:
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -113,8 +113,8 @@
 	t.work = d
 }
 
-// SetMute sets whether connections end in place of answers to requests that ran.
-func (t *Target) SetMute(mute bool) {
+// SetDropResponses sets whether connections end in place of answers to requests that ran.
+func (t *Target) SetDropResponses(mute bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.mute = mute
