--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -38,7 +38,7 @@
 }
 
 // Checker holds what targets and callers see against the promises. It is safe for
-// concurrent use, and is a fleet.Watcher.
+// concurrent use, and is a fleet.Observer.
 type Checker struct {
 	now func() time.Time
 
@@ -124,7 +124,7 @@
 	return c.figures
 }
 
-// Granted implements fleet.Watcher.
+// Granted implements fleet.Observer.
 func (c *Checker) Granted(target string, from, to uint16, fence uint64, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +173,7 @@
 	return moved
 }
 
-// Released implements fleet.Watcher.
+// Released implements fleet.Observer.
 func (c *Checker) Released(target string, from, to uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +211,7 @@
 	c.requests[id] = &request{once: once}
 }
 
-// Ran implements fleet.Watcher.
+// Ran implements fleet.Observer.
 func (c *Checker) Ran(target, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +229,7 @@
 	}
 }
 
-// Abandoned implements fleet.Watcher.
+// Abandoned implements fleet.Observer.
 func (c *Checker) Abandoned(target, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -12,7 +12,7 @@
 )
 
 // Targets report to the checker what they do.
-var _ fleet.Watcher = (*Checker)(nil)
+var _ fleet.Observer = (*Checker)(nil)
 
 // play is a checker with a clock that is set by hand.
 type play struct {
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Watcher sees what targets do, in the order in which each of them does it.
-type Watcher interface {
+// Observer sees what targets do, in the order in which each of them does it.
+type Observer interface {
 	// Granted: the target has taken a grant of the keys from..to, which lasts until then.
 	Granted(target string, from, to uint16, fence uint64, until time.Time)
 	// Released: the target has given the keys from..to back.
@@ -38,7 +38,7 @@
 	// Via returns the address that the target's entry names, given its own. Default: its own.
 	Via func(addr string) (string, error)
 	// Watcher, where there is one, sees what the target does.
-	Watcher Watcher
+	Watcher Observer
 
 	mu sync.Mutex
 	// listed is the address that the entry names.
