--- a/cmd/hq-standin/main.go
+++ b/cmd/hq-standin/main.go
@@ -67,7 +67,7 @@
 func (c *platformCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return fleet.RunLab(ctx, c.Dir, c.VMs)
+	return fleet.RunPlatform(ctx, c.Dir, c.VMs)
 }
 
 func main() {
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/lab.go
@@ -50,10 +50,10 @@
 	portsPerVM = 4
 )
 
-// RunLab plays the platform for gateways on one machine until the context ends. It
+// RunPlatform plays the platform for gateways on one machine until the context ends. It
 // writes the settings of each gateway to DIR/vm-N.jsonc and the load to
 // DIR/load.jsonc; the latter is written last, when everything answers.
-func RunLab(ctx context.Context, dir string, vms int) error {
+func RunPlatform(ctx context.Context, dir string, vms int) error {
 	store := NewStore()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
