--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -75,7 +75,7 @@
 
 func (w *world) addTargets(check *Checker) error {
 	for i, name := range targetNames() {
-		t := &fleet.Target{ID: name, Service: "pool", Zone: "a", Slots: slots, Pad: bodyBytes, Watcher: check}
+		t := &fleet.Target{ID: name, Service: "pool", Zone: "a", Slots: slots, Pad: bodyBytes, Observer: check}
 		if i < targetCount {
 			t.Service, t.Keyed = "keyed", true
 		}
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -37,8 +37,8 @@
 	Pad int
 	// Via returns the address that the target's entry names, given its own. Default: its own.
 	Via func(addr string) (string, error)
-	// Watcher, where there is one, sees what the target does.
-	Watcher Observer
+	// Observer, where there is one, sees what the target does.
+	Observer Observer
 
 	mu sync.Mutex
 	// listed is the address that the entry names.
@@ -189,8 +189,8 @@
 	for key := int(o.From); key <= int(o.To); key++ {
 		t.fences[key], t.holds[key] = o.Fence, until
 	}
-	if t.Watcher != nil {
-		t.Watcher.Granted(t.ID, o.From, o.To, o.Fence, until)
+	if t.Observer != nil {
+		t.Observer.Granted(t.ID, o.From, o.To, o.Fence, until)
 	}
 }
 
@@ -205,8 +205,8 @@
 	for key := int(o.From); key <= int(o.To); key++ {
 		t.fences[key], t.holds[key] = max(t.fences[key], o.Fence), time.Time{}
 	}
-	if t.Watcher != nil {
-		t.Watcher.Released(t.ID, o.From, o.To)
+	if t.Observer != nil {
+		t.Observer.Released(t.ID, o.From, o.To)
 	}
 	w.Header().Set("X-Handover", t.ID+"-state")
 }
@@ -229,8 +229,8 @@
 	t.mu.Lock()
 	id, work := r.Header.Get(Headers.RequestID), t.work
 	t.ran[id]++
-	if t.Watcher != nil {
-		t.Watcher.Ran(t.ID, id)
+	if t.Observer != nil {
+		t.Observer.Ran(t.ID, id)
 	}
 	t.mu.Unlock()
 	t.await(r.Context(), id, time.After(work))
@@ -251,8 +251,8 @@
 		return
 	case <-sender.Done():
 	}
-	if t.Watcher != nil {
-		t.Watcher.Abandoned(t.ID, id)
+	if t.Observer != nil {
+		t.Observer.Abandoned(t.ID, id)
 	}
 	<-done
 }
