--- a/internal/standin/fleet/calls.go
+++ b/internal/standin/fleet/calls.go
@@ -21,7 +21,7 @@
 	case RequestLost:
 		panic(http.ErrAbortHandler)
 	case ResponseLost:
-		s.serve(&discard{}, r)
+		s.serve(&discardingWriter{}, r)
 		panic(http.ErrAbortHandler)
 	}
 	s.serve(w, r)
@@ -60,7 +60,7 @@
 	return n
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func respond(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
@@ -74,7 +74,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, o)
+	respond(w, http.StatusOK, o)
 }
 
 func (s *Store) list(w http.ResponseWriter, kind, after string) {
@@ -93,7 +93,7 @@
 	for i, name := range names {
 		items[i] = *s.objects[kind][name]
 	}
-	answer(w, http.StatusOK, struct {
+	respond(w, http.StatusOK, struct {
 		Items   []Object `json:"items"`
 		HasMore bool
 		AsOf    uint64
@@ -110,32 +110,32 @@
 	if err != nil {
 		wait = 0
 	}
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		gone, events, revision, changed := from < s.kept || from > s.revision, s.since(kind, from), s.revision, s.changed
+		gone, events, revision, changed := from < s.compactedRevision || from > s.revision, s.eventsSince(kind, from), s.revision, s.changed
 		s.mu.Unlock()
 		if gone {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		if len(events) > 0 {
-			answerEvents(w, events, revision)
+			respondEvents(w, events, revision)
 			return
 		}
 		select {
 		case <-changed:
 		case <-r.Context().Done():
 			return
-		case <-over:
-			answerEvents(w, nil, revision)
+		case <-timeout:
+			respondEvents(w, nil, revision)
 			return
 		}
 	}
 }
 
-func answerEvents(w http.ResponseWriter, events []event, revision uint64) {
-	answer(w, http.StatusOK, struct {
+func respondEvents(w http.ResponseWriter, events []event, revision uint64) {
+	respond(w, http.StatusOK, struct {
 		Events []event `json:"events"`
 		AsOf   uint64
 	}{events, revision})
@@ -156,7 +156,7 @@
 	expected := max(in.Metadata.Revision, queryRevision(r))
 	switch {
 	case r.Method == http.MethodPost && old != nil:
-		answer(w, http.StatusConflict, old)
+		respond(w, http.StatusConflict, old)
 		return
 	case r.Method == http.MethodPost:
 		old = &Object{Metadata: Metadata{Name: name}}
@@ -164,7 +164,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	case expected != 0 && expected != old.Metadata.Revision:
-		answer(w, http.StatusConflict, old)
+		respond(w, http.StatusConflict, old)
 		return
 	}
 	next := *old
@@ -173,8 +173,8 @@
 	} else {
 		next.Spec, next.Metadata.Finalizers = in.Spec, in.Metadata.Finalizers
 	}
-	s.settle(kind, old, &next)
-	answer(w, http.StatusOK, next)
+	s.update(kind, old, &next)
+	respond(w, http.StatusOK, next)
 }
 
 func (s *Store) delete(w http.ResponseWriter, kind, name string, expected uint64) {
@@ -186,28 +186,28 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	case expected != 0 && expected != o.Metadata.Revision:
-		answer(w, http.StatusConflict, o)
+		respond(w, http.StatusConflict, o)
 		return
 	case len(o.Metadata.Finalizers) > 0:
 		marked := *o
 		marked.Metadata.Deleting = true
 		s.put(kind, &marked)
 	default:
-		s.drop(kind, o)
+		s.remove(kind, o)
 	}
-	answer(w, http.StatusOK, o)
+	respond(w, http.StatusOK, o)
 }
 
 // discard is an answer that nobody gets.
-type discard struct{ header http.Header }
+type discardingWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header {
+func (d *discardingWriter) Header() http.Header {
 	if d.header == nil {
 		d.header = make(http.Header)
 	}
 	return d.header
 }
 
-func (d *discard) Write(b []byte) (int, error) { return len(b), nil }
+func (d *discardingWriter) Write(b []byte) (int, error) { return len(b), nil }
 
-func (d *discard) WriteHeader(int) {}
+func (d *discardingWriter) WriteHeader(int) {}
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/platform.go
@@ -38,14 +38,14 @@
 
 const (
 	// labTargets is the number of targets of each service, labSlots of their slots.
-	labTargets = 3
-	labSlots   = 4
+	targetsPerService = 3
+	slotsPerTarget    = 4
 	// labWork is how long a target works on a request.
-	labWork = 5 * time.Millisecond
+	targetWork = 5 * time.Millisecond
 	// labGrace is the time that a gateway has to leave.
-	labGrace = 3 * time.Second
+	gatewayGrace = 3 * time.Second
 	// labRate is the requests a second of the load.
-	labRate = 200
+	requestRate = 200
 	// portsPerVM are front, ready, peers and admin.
 	portsPerVM = 4
 )
@@ -63,41 +63,41 @@
 	defer server.Close()
 	go func() { _ = server.Serve(listener) }()
 	store.Set("config", "main", Config(1, ""))
-	for _, target := range labFleet() {
-		target.SetWork(labWork)
+	for _, target := range newTargets() {
+		target.SetWork(targetWork)
 		if err := target.Start(store); err != nil {
 			return fmt.Errorf("lab: %w", err)
 		}
 		defer target.Kill()
 	}
-	if err := writeLab(dir, vms, listener.Addr().String()); err != nil {
+	if err := writeSettings(dir, vms, listener.Addr().String()); err != nil {
 		return fmt.Errorf("lab: %w", err)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-func labFleet() []*Target {
+func newTargets() []*Target {
 	var out []*Target
-	for i := range labTargets {
+	for i := range targetsPerService {
 		out = append(out,
-			&Target{ID: fmt.Sprintf("k-%d", i), Service: "keyed", Zone: "a", Keyed: true, Slots: labSlots},
-			&Target{ID: fmt.Sprintf("p-%d", i), Service: "pool", Zone: "a", Slots: labSlots})
+			&Target{ID: fmt.Sprintf("k-%d", i), Service: "keyed", Zone: "a", Keyed: true, Slots: slotsPerTarget},
+			&Target{ID: fmt.Sprintf("p-%d", i), Service: "pool", Zone: "a", Slots: slotsPerTarget})
 	}
 	return out
 }
 
-func writeLab(dir string, vms int, store string) error {
+func writeSettings(dir string, vms int, store string) error {
 	names := make([]string, vms)
 	for i := range names {
 		names[i] = fmt.Sprintf("vm-%d", i+1)
 	}
-	written, err := WriteGateways(dir, names, labGrace, func(string) (string, error) { return store, nil })
+	written, err := WriteGateways(dir, names, gatewayGrace, func(string) (string, error) { return store, nil })
 	if err != nil {
 		return err
 	}
 	load := loadgen.Path{
-		Rate: labRate, Headers: Headers,
+		Rate: requestRate, Headers: Headers,
 		Routes: []loadgen.PathRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
 	}
 	for _, s := range written {
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -54,27 +54,27 @@
 	// PageSize is how many objects a page holds.
 	PageSize int
 
-	mu       sync.Mutex
-	revision uint64
-	objects  map[string]map[string]*Object
-	history  []event
-	kept     uint64
-	changed  chan struct{}
-	faults   []Fault
+	mu                sync.Mutex
+	revision          uint64
+	objects           map[string]map[string]*Object
+	history           []event
+	compactedRevision uint64
+	changed           chan struct{}
+	faults            []Fault
 	// writeFaults are met by writes only.
 	writeFaults []Fault
 	calls       int
 }
 
 // historyMost is how many changes are kept for watches.
-const historyMost = 4096
+const maxHistory = 4096
 
 // defaultPage is the platform's page.
-const defaultPage = 500
+const defaultPageSize = 500
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{PageSize: defaultPage, revision: 1, objects: make(map[string]map[string]*Object), changed: make(chan struct{})}
+	return &Store{PageSize: defaultPageSize, revision: 1, objects: make(map[string]map[string]*Object), changed: make(chan struct{})}
 }
 
 // FailCalls lets the next calls meet these faults, one each.
@@ -97,7 +97,7 @@
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.kept = nil, s.revision
+	s.history, s.compactedRevision = nil, s.revision
 	s.notify()
 }
 
@@ -129,7 +129,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o := s.objects[kind][name]; o != nil {
-		s.drop(kind, o)
+		s.remove(kind, o)
 	}
 }
 
@@ -148,7 +148,7 @@
 	s.notify()
 }
 
-func (s *Store) drop(kind string, o *Object) {
+func (s *Store) remove(kind string, o *Object) {
 	s.revision++
 	delete(s.objects[kind], o.Metadata.Name)
 	gone := *o
@@ -159,9 +159,9 @@
 
 // notify wakes watches after a change, and forgets the oldest changes. It needs s.mu.
 func (s *Store) notify() {
-	if extra := len(s.history) - historyMost; extra > 0 {
-		s.kept = s.history[extra-1].Object.Metadata.Revision
-		s.history = slices.Delete(s.history, 0, extra)
+	if excess := len(s.history) - maxHistory; excess > 0 {
+		s.compactedRevision = s.history[excess-1].Object.Metadata.Revision
+		s.history = slices.Delete(s.history, 0, excess)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -184,7 +184,7 @@
 }
 
 // since needs s.mu.
-func (s *Store) since(kind string, from uint64) []event {
+func (s *Store) eventsSince(kind string, from uint64) []event {
 	var out []event
 	for _, e := range s.history {
 		if e.kind == kind && e.Object.Metadata.Revision > from {
@@ -195,12 +195,12 @@
 }
 
 // settle needs s.mu. A write that changes nothing makes no revision.
-func (s *Store) settle(kind string, old, next *Object) {
+func (s *Store) update(kind string, old, next *Object) {
 	same := string(old.Spec) == string(next.Spec) && string(old.Status) == string(next.Status) &&
 		slices.Equal(old.Metadata.Finalizers, next.Metadata.Finalizers)
 	switch {
 	case next.Metadata.Deleting && len(next.Metadata.Finalizers) == 0:
-		s.drop(kind, next)
+		s.remove(kind, next)
 	case !same || old.Metadata.Revision == 0:
 		s.put(kind, next)
 	}
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -42,17 +42,17 @@
 
 	mu sync.Mutex
 	// listed is the address that the entry names.
-	listed string
+	registeredAddr string
 	// work is how long a request takes.
 	work time.Duration
 	// mute reports whether connections end in place of answers.
-	mute     bool
-	born     int64
-	draining bool
-	fences   [1 << 16]uint64
-	holds    [1 << 16]time.Time
-	ran      map[string]int
-	seq      int
+	dropResponses bool
+	startedAt     int64
+	draining      bool
+	fences        [1 << 16]uint64
+	heldUntil     [1 << 16]time.Time
+	ran           map[string]int
+	seq           int
 
 	slots    chan struct{}
 	listener net.Listener
@@ -65,11 +65,11 @@
 	if err != nil {
 		return fmt.Errorf("start target %s: %w", t.ID, err)
 	}
-	t.listener, t.born, t.ran = listener, time.Now().UnixMilli(), make(map[string]int)
+	t.listener, t.startedAt, t.ran = listener, time.Now().UnixMilli(), make(map[string]int)
 	t.slots = make(chan struct{}, t.Slots)
-	t.listed = t.Addr()
+	t.registeredAddr = t.Addr()
 	if t.Via != nil {
-		if t.listed, err = t.Via(t.Addr()); err != nil {
+		if t.registeredAddr, err = t.Via(t.Addr()); err != nil {
 			return fmt.Errorf("start target %s: %w", t.ID, errors.Join(err, listener.Close()))
 		}
 	}
@@ -91,8 +91,8 @@
 		state = "draining"
 	}
 	entry := map[string]any{
-		"Service": t.Service, "Addr": t.listed, "Zone": t.Zone, "Version": "v1", "Slots": t.Slots,
-		"State": state, "WarmupLeftS": 0, "Seq": t.seq, "born": t.born,
+		"Service": t.Service, "Addr": t.registeredAddr, "Zone": t.Zone, "Version": "v1", "Slots": t.Slots,
+		"State": state, "WarmupLeftS": 0, "Seq": t.seq, "born": t.startedAt,
 	}
 	t.mu.Unlock()
 	s.Set("servers", t.ID, entry)
@@ -114,10 +114,10 @@
 }
 
 // SetDropResponses sets whether connections end in place of answers to requests that ran.
-func (t *Target) SetDropResponses(mute bool) {
+func (t *Target) SetDropResponses(dropResponses bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mute = mute
+	t.dropResponses = dropResponses
 }
 
 // Kill ends the life at once.
@@ -127,7 +127,7 @@
 func (t *Target) Holds(key uint16) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Now().Before(t.holds[key])
+	return time.Now().Before(t.heldUntil[key])
 }
 
 // Ran returns how often a request ran here.
@@ -187,7 +187,7 @@
 	}
 	until := time.Now().Add(time.Duration(o.HoldS * float64(time.Second)))
 	for key := int(o.From); key <= int(o.To); key++ {
-		t.fences[key], t.holds[key] = o.Fence, until
+		t.fences[key], t.heldUntil[key] = o.Fence, until
 	}
 	if t.Observer != nil {
 		t.Observer.Granted(t.ID, o.From, o.To, o.Fence, until)
@@ -203,7 +203,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key := int(o.From); key <= int(o.To); key++ {
-		t.fences[key], t.holds[key] = max(t.fences[key], o.Fence), time.Time{}
+		t.fences[key], t.heldUntil[key] = max(t.fences[key], o.Fence), time.Time{}
 	}
 	if t.Observer != nil {
 		t.Observer.Released(t.ID, o.From, o.To)
@@ -233,11 +233,11 @@
 		t.Observer.Ran(t.ID, id)
 	}
 	t.mu.Unlock()
-	t.await(r.Context(), id, time.After(work))
+	t.awaitWork(r.Context(), id, time.After(work))
 	t.mu.Lock()
-	mute := t.mute
+	dropResponses := t.dropResponses
 	t.mu.Unlock()
-	if mute {
+	if dropResponses {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(Headers.Stamp, t.ID)
@@ -245,7 +245,7 @@
 }
 
 // await waits for the end of the work on a request. Work goes on where its sender has left.
-func (t *Target) await(sender context.Context, id string, done <-chan time.Time) {
+func (t *Target) awaitWork(sender context.Context, id string, done <-chan time.Time) {
 	select {
 	case <-done:
 		return
@@ -259,6 +259,6 @@
 
 // Body returns the whole body of a target's answer.
 func Body(target, path string, pad int) string {
-	said := target + " " + path
-	return said + strings.Repeat(" "+said, pad/len(said)+1)[:pad]
+	text := target + " " + path
+	return text + strings.Repeat(" "+text, pad/len(text)+1)[:pad]
 }
