--- a/internal/standin/fleet/calls.go
+++ b/internal/standin/fleet/calls.go
@@ -198,7 +198,7 @@
 	respond(w, http.StatusOK, o)
 }
 
-// discard is an answer that nobody gets.
+// discardingWriter discards the response of a call.
 type discardingWriter struct{ header http.Header }
 
 func (d *discardingWriter) Header() http.Header {
--- a/internal/standin/fleet/platform.go
+++ b/internal/standin/fleet/platform.go
@@ -15,13 +15,13 @@
 	"hemlockquay/internal/standin/plan"
 )
 
-// Hosts and paths of the routes that Config has.
+// Hosts and path prefixes of the routes in Config.
 const (
 	KeyedHost, KeyedPath = "k.example", "/k/"
 	PoolHost, PoolPath   = "p.example", "/p/"
 )
 
-// Headers are the platform's names of what callers send and get.
+// Headers are the platform's names of the request and response headers.
 var Headers = loadgen.PathHeaders{RequestID: "X-Request-Id", DeadlineMs: "X-Deadline-Ms", Key: "X-Shard-Key", Stamp: "X-Server-Stamp"}
 
 const config = `{"Version":"%08x","Routes":{
@@ -30,34 +30,35 @@
 "Services":{"keyed":{"HealthPath":"/health","MaxConns":50,"Sharded":true},"pool":{"HealthPath":"/health","MaxConns":50}},
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1048576,"HeaderTimeoutS":3,"IdleTimeoutS":15}}`
 
-// Config returns a configuration with a route to a service with keys and one to a
-// service without, and more routes, each with a comma before it.
+// Config returns a configuration with one route to a keyed service and one to a service
+// without keys. more holds further routes as JSON members, each preceded by a comma.
 func Config(version int, more string) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(config, version, more))
 }
 
 const (
-	// labTargets is the number of targets of each service, labSlots of their slots.
+	// targetsPerService is the number of targets of each service, slotsPerTarget the number
+	// of slots of each target.
 	targetsPerService = 3
 	slotsPerTarget    = 4
-	// labWork is how long a target works on a request.
+	// targetWork is the service time of a request.
 	targetWork = 5 * time.Millisecond
-	// labGrace is the time that a gateway has to leave.
+	// gatewayGrace is the time that a gateway has for its graceful shutdown.
 	gatewayGrace = 3 * time.Second
-	// labRate is the requests a second of the load.
+	// requestRate is the load in requests per second.
 	requestRate = 200
-	// portsPerVM are front, ready, peers and admin.
+	// portsPerVM counts a gateway's ports: front, ready, peers and admin.
 	portsPerVM = 4
 )
 
-// RunPlatform plays the platform for gateways on one machine until the context ends. It
-// writes the settings of each gateway to DIR/vm-N.jsonc and the load to
-// DIR/load.jsonc; the latter is written last, when everything answers.
+// RunPlatform simulates the platform for gateways on one machine until the context ends.
+// It writes the settings of each gateway to DIR/vm-N.jsonc and the load to
+// DIR/load.jsonc. load.jsonc is written last, when the store and the targets are listening.
 func RunPlatform(ctx context.Context, dir string, vms int) error {
 	store := NewStore()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("lab: listen for the store: %w", err)
+		return fmt.Errorf("run platform: listen for the store: %w", err)
 	}
 	server := &http.Server{Handler: store, ReadHeaderTimeout: time.Second}
 	defer server.Close()
@@ -66,12 +67,12 @@
 	for _, target := range newTargets() {
 		target.SetWork(targetWork)
 		if err := target.Start(store); err != nil {
-			return fmt.Errorf("lab: %w", err)
+			return fmt.Errorf("run platform: %w", err)
 		}
 		defer target.Kill()
 	}
 	if err := writeSettings(dir, vms, listener.Addr().String()); err != nil {
-		return fmt.Errorf("lab: %w", err)
+		return fmt.Errorf("run platform: write settings: %w", err)
 	}
 	<-ctx.Done()
 	return nil
@@ -106,9 +107,9 @@
 	return plan.WriteJSON(filepath.Join(dir, "load.jsonc"), load)
 }
 
-// WriteGateways writes the settings of gateways on this machine at free ports, each to
-// DIR/NAME.jsonc, and returns them in order. store returns the address at which a VM has the
-// store.
+// WriteGateways assigns free loopback ports to the named gateways, writes the settings of
+// each to DIR/NAME.jsonc and returns them in the order of names. store returns the address
+// at which a VM reaches the store.
 func WriteGateways(dir string, names []string, grace time.Duration, store func(name string) (string, error)) ([]gateway.Settings, error) {
 	ports, err := plan.FreePorts(len(names)*portsPerVM, make(map[string]bool))
 	if err != nil {
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -1,6 +1,6 @@
-// Package fleet plays the users' platform for tests and demos: its object store
-// and the targets that hold keys. It was written from the platform's published
-// protocol and knows its names.
+// Package fleet simulates the users' platform for tests and demos: its object store and
+// its targets, which hold keys. It implements the platform's published protocol with the
+// names used there.
 package fleet
 
 import (
@@ -25,51 +25,52 @@
 	Status   json.RawMessage
 }
 
-// event is a change of an object.
+// event is one change of an object.
 type event struct {
 	kind    string
 	Object  Object
 	Removed bool
 }
 
-// Fault is how the store treats a call.
+// Fault is a fault that the store injects into a call.
 type Fault int
 
 // The faults.
 const (
-	// NoFault: none.
+	// NoFault handles the call normally.
 	NoFault Fault = iota
-	// Unavailable: 503, nothing was done.
+	// Unavailable responds 503; the call has no effect.
 	Unavailable
-	// RateLimited: 429, nothing was done.
+	// RateLimited responds 429; the call has no effect.
 	RateLimited
-	// RequestLost: the connection is closed before anything was done.
+	// RequestLost closes the connection; the call has no effect.
 	RequestLost
-	// ResponseLost: the call is done and its connection closed.
+	// ResponseLost closes the connection after the call has taken effect.
 	ResponseLost
 )
 
-// Store is the object store. It serves HTTP.
+// Store is the platform's object store, served over HTTP.
 type Store struct {
-	// PageSize is how many objects a page holds.
+	// PageSize is the maximum number of objects in a page of a list.
 	PageSize int
 
-	mu                sync.Mutex
-	revision          uint64
-	objects           map[string]map[string]*Object
-	history           []event
+	mu       sync.Mutex
+	revision uint64
+	objects  map[string]map[string]*Object
+	history  []event
+	// compactedRevision is the last revision that is no longer in the history.
 	compactedRevision uint64
 	changed           chan struct{}
 	faults            []Fault
-	// writeFaults are met by writes only.
+	// writeFaults are injected into writes only, before those in faults.
 	writeFaults []Fault
 	calls       int
 }
 
-// historyMost is how many changes are kept for watches.
+// maxHistory is the number of changes that are kept for watches.
 const maxHistory = 4096
 
-// defaultPage is the platform's page.
+// defaultPageSize is the platform's page size.
 const defaultPageSize = 500
 
 // NewStore returns an empty store.
@@ -77,14 +78,14 @@
 	return &Store{PageSize: defaultPageSize, revision: 1, objects: make(map[string]map[string]*Object), changed: make(chan struct{})}
 }
 
-// FailCalls lets the next calls meet these faults, one each.
+// FailCalls injects the faults into the next calls, one each.
 func (s *Store) FailCalls(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, faults...)
 }
 
-// FailWrites lets the next n writes meet a fault.
+// FailWrites injects a fault into the next n writes.
 func (s *Store) FailWrites(n int, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +94,7 @@
 	}
 }
 
-// Compact drops the history: watches from before get 410.
+// Compact drops the history. Watches from an earlier revision get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,14 +102,15 @@
 	s.notify()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Set writes an object as another writer does.
+// Set creates or replaces the spec of an object without a revision check, as another
+// writer would.
 func (s *Store) Set(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -124,7 +126,7 @@
 	s.put(kind, o)
 }
 
-// Remove removes an object whatever its finalizers are.
+// Remove removes an object regardless of its finalizers.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +135,7 @@
 	}
 }
 
-// put, drop and notify need s.mu.
+// put stores an object at a new revision. put, remove and notify require s.mu.
 func (s *Store) put(kind string, o *Object) {
 	s.revision++
 	o.Metadata.Revision = s.revision
@@ -157,7 +159,8 @@
 	s.notify()
 }
 
-// notify wakes watches after a change, and forgets the oldest changes. It needs s.mu.
+// notify wakes the watches after a change and trims the history to maxHistory. It requires
+// s.mu.
 func (s *Store) notify() {
 	if excess := len(s.history) - maxHistory; excess > 0 {
 		s.compactedRevision = s.history[excess-1].Object.Metadata.Revision
@@ -183,7 +186,7 @@
 	return f
 }
 
-// since needs s.mu.
+// eventsSince returns the changes of a kind after a revision. It requires s.mu.
 func (s *Store) eventsSince(kind string, from uint64) []event {
 	var out []event
 	for _, e := range s.history {
@@ -194,7 +197,8 @@
 	return out
 }
 
-// settle needs s.mu. A write that changes nothing makes no revision.
+// update stores the result of a write. A write that changes nothing makes no new revision,
+// and an object marked as deleted is removed with its last finalizer. It requires s.mu.
 func (s *Store) update(kind string, old, next *Object) {
 	same := string(old.Spec) == string(next.Spec) && string(old.Status) == string(next.Status) &&
 		slices.Equal(old.Metadata.Finalizers, next.Metadata.Finalizers)
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -14,38 +14,41 @@
 	"time"
 )
 
-// Observer sees what targets do, in the order in which each of them does it.
+// Observer is notified of what targets do. Each target's calls come in the order of its
+// actions.
 type Observer interface {
-	// Granted: the target has taken a grant of the keys from..to, which lasts until then.
+	// Granted: the target has accepted a grant of the keys from..to that expires at until.
 	Granted(target string, from, to uint16, fence uint64, until time.Time)
-	// Released: the target has given the keys from..to back.
+	// Released: the target has released the keys from..to.
 	Released(target string, from, to uint16)
-	// Ran: the target runs a request.
+	// Ran: the target has begun to run a request.
 	Ran(target, id string)
-	// Abandoned: the sender of a request closed its connection while the target ran it.
+	// Abandoned: the caller of a request disconnected while the target ran it.
 	Abandoned(target, id string)
 }
 
-// Target is a server that runs requests, and holds keys where it is keyed.
+// Target is a simulated server that runs requests. If Keyed, it runs only those for keys
+// that it has been granted.
 type Target struct {
 	ID      string
 	Service string
 	Zone    string
 	Keyed   bool
 	Slots   int
-	// Pad is how many bytes an answer's body has beyond what it says.
+	// Pad is the number of padding bytes in a response body; see Body.
 	Pad int
-	// Via returns the address that the target's entry names, given its own. Default: its own.
+	// Via returns the address to register for the target's own address, such as that of a
+	// proxy. Default: the target's own.
 	Via func(addr string) (string, error)
-	// Observer, where there is one, sees what the target does.
+	// Observer is notified of what the target does. It may be nil.
 	Observer Observer
 
 	mu sync.Mutex
-	// listed is the address that the entry names.
+	// registeredAddr is the address in the target's entry.
 	registeredAddr string
-	// work is how long a request takes.
+	// work is the service time of a request.
 	work time.Duration
-	// mute reports whether connections end in place of answers.
+	// dropResponses makes the target close the connection in place of a response.
 	dropResponses bool
 	startedAt     int64
 	draining      bool
@@ -59,7 +62,7 @@
 	server   *http.Server
 }
 
-// Start begins a life of the target at a free loopback port and lists it.
+// Start starts the target at a free loopback port and registers it.
 func (t *Target) Start(s *Store) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +85,7 @@
 // Addr returns the target's address.
 func (t *Target) Addr() string { return t.listener.Addr().String() }
 
-// Register writes the target's entry.
+// Register writes the target's entry to the store.
 func (t *Target) Register(s *Store) {
 	t.mu.Lock()
 	t.seq++
@@ -98,7 +101,7 @@
 	s.Set("servers", t.ID, entry)
 }
 
-// Drain says that the target leaves.
+// Drain registers the target as draining.
 func (t *Target) Drain(s *Store) {
 	t.mu.Lock()
 	t.draining = true
@@ -106,21 +109,22 @@
 	t.Register(s)
 }
 
-// SetWork sets how long a request takes.
+// SetWork sets the service time of a request.
 func (t *Target) SetWork(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.work = d
 }
 
-// SetDropResponses sets whether connections end in place of answers to requests that ran.
+// SetDropResponses sets whether the target closes the connection in place of responding to
+// a request that ran.
 func (t *Target) SetDropResponses(dropResponses bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropResponses = dropResponses
 }
 
-// Kill ends the life at once.
+// Kill stops the target at once and closes its connections.
 func (t *Target) Kill() { _ = t.server.Close() }
 
 // Holds reports whether the target holds a key now.
@@ -130,14 +134,14 @@
 	return time.Now().Before(t.heldUntil[key])
 }
 
-// Ran returns how often a request ran here.
+// Ran returns how often the target ran a request since its start.
 func (t *Target) Ran(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ran[id]
 }
 
-// Requests returns how many requests ran here.
+// Requests returns the number of distinct requests that the target ran since its start.
 func (t *Target) Requests() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -244,7 +248,8 @@
 	_, _ = io.WriteString(w, Body(t.ID, r.URL.Path, t.Pad))
 }
 
-// await waits for the end of the work on a request. Work goes on where its sender has left.
+// awaitWork waits for the end of the service time. The work goes on after the caller has
+// disconnected.
 func (t *Target) awaitWork(sender context.Context, id string, done <-chan time.Time) {
 	select {
 	case <-done:
@@ -257,7 +262,8 @@
 	<-done
 }
 
-// Body returns the whole body of a target's answer.
+// Body returns the complete body of a target's response: the target and the path, repeated
+// to fill pad further bytes.
 func Body(target, path string, pad int) string {
 	text := target + " " + path
 	return text + strings.Repeat(" "+text, pad/len(text)+1)[:pad]
