--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -17,7 +17,7 @@
 )
 
 // chunk is how much is read from a connection at a time, bytes.
-const chunk = 4 << 10
+const readBytes = 4 << 10
 
 // stateClosed is the system's state of a connection that was reset, TCP_CLOSE.
 const stateClosed = 7
@@ -34,9 +34,9 @@
 	pipes int
 	// held is how many bytes wait in all pipes, open how many of them in pipes whose sender
 	// has not ended its connection.
-	held, open int
+	held, heldOpen int
 	// holds: new connections wait for the end of the cut.
-	holds bool
+	holdNew bool
 	// resets counts the calls of Reset.
 	resets int
 	// changed wakes those who wait for something to send, or for the end of a cut.
@@ -68,10 +68,10 @@
 // Heal delivers what was held, and lets everything through again.
 func (l *Link) Heal() { l.set(false, false) }
 
-func (l *Link) set(cut, holds bool) {
+func (l *Link) set(cut, holdNew bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.holds = cut, holds
+	l.cut, l.holdNew = cut, holdNew
 	l.changed.Broadcast()
 }
 
@@ -97,7 +97,7 @@
 func (l *Link) AwaitEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && l.open > 0 {
+	for !l.closed && l.heldOpen > 0 {
 		l.changed.Wait()
 	}
 }
@@ -122,10 +122,10 @@
 }
 
 // passes waits while new connections are held, and reports whether one may pass then.
-func (l *Link) passes() bool {
+func (l *Link) awaitAdmission() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for !l.closed && l.cut && l.holds {
+	for !l.closed && l.cut && l.holdNew {
 		l.changed.Wait()
 	}
 	return !l.closed && !l.cut
@@ -133,49 +133,49 @@
 
 func (l *Link) accept() {
 	for {
-		near, err := l.listener.Accept()
+		client, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.count(1)
+		l.addPipes(1)
 		go func() {
-			defer l.count(-1)
-			l.connect(near)
+			defer l.addPipes(-1)
+			l.connect(client)
 		}()
 	}
 }
 
 // connect leads a new connection to the target.
-func (l *Link) connect(near net.Conn) {
-	if !l.passes() {
-		reset(near)
+func (l *Link) connect(client net.Conn) {
+	if !l.awaitAdmission() {
+		reset(client)
 		return
 	}
-	far, err := net.Dial("tcp", l.target)
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
 	l.mu.Lock()
 	resets := l.resets
 	l.mu.Unlock()
-	l.carry(near, far, resets)
-	l.carry(far, near, resets)
+	l.forward(client, server, resets)
+	l.forward(server, client, resets)
 }
 
 // carry forwards one direction of a connection. Reading goes on in a cut, since only a
 // read returns how the sender has ended the connection.
-func (l *Link) carry(from, to net.Conn, resets int) {
+func (l *Link) forward(from, to net.Conn, resets int) {
 	p := &pipe{link: l, from: from, resets: resets}
-	l.count(1)
+	l.addPipes(1)
 	go p.read()
 	go func() {
-		defer l.count(-1)
+		defer l.addPipes(-1)
 		p.write(to)
 	}()
 }
 
-func (l *Link) count(pipes int) {
+func (l *Link) addPipes(pipes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pipes += pipes
@@ -194,15 +194,15 @@
 
 // read holds what arrives until the sender ends the connection.
 func (p *pipe) read() {
-	buffer := make([]byte, chunk)
+	buffer := make([]byte, readBytes)
 	for {
 		n, err := p.from.Read(buffer)
 		p.link.mu.Lock()
 		p.held = append(p.held, buffer[:n]...)
 		p.link.held += n
-		p.link.open += n
+		p.link.heldOpen += n
 		if err != nil {
-			p.link.open -= len(p.held)
+			p.link.heldOpen -= len(p.held)
 			p.ended = err
 			if !errors.Is(err, io.EOF) {
 				p.take()
@@ -275,7 +275,7 @@
 	p.held = nil
 	p.link.held -= len(out)
 	if p.ended == nil {
-		p.link.open -= len(out)
+		p.link.heldOpen -= len(out)
 	}
 	return out
 }
