--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -1,9 +1,9 @@
-// Package link plays the network between two processes for tests: a proxy on the loopback
-// interface that can be cut and healed.
+// Package link simulates the network between two processes for tests: a TCP proxy on the
+// loopback interface that can be cut and healed.
 //
-// While a link is cut it holds what its ends have sent, as the machines at both ends of a
-// real one do: bytes of a connection that its sender has closed are sent again until they
-// arrive, and those of a connection that its sender has reset are dropped.
+// While a link is cut, it holds the bytes that both sides send, as the TCP stacks on a real
+// network do: the bytes of a connection that its sender has closed are retransmitted until
+// they arrive, and those of a connection that its sender has reset are dropped.
 package link
 
 import (
@@ -16,13 +16,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// chunk is how much is read from a connection at a time, bytes.
+// readBytes is the size of the read buffer in bytes.
 const readBytes = 4 << 10
 
-// stateClosed is the system's state of a connection that was reset, TCP_CLOSE.
+// stateClosed is TCP_CLOSE, the kernel's state of a connection that was reset.
 const stateClosed = 7
 
-// Link forwards connections to an address.
+// Link is a proxy that forwards TCP connections to one address.
 type Link struct {
 	target   string
 	listener net.Listener
@@ -30,20 +30,20 @@
 	mu     sync.Mutex
 	cut    bool
 	closed bool
-	// pipes counts the directions of connections that still carry something.
+	// pipes counts the pipes, and the accepted connections that are still being set up.
 	pipes int
-	// held is how many bytes wait in all pipes, open how many of them in pipes whose sender
-	// has not ended its connection.
+	// held is the number of bytes held in all pipes, heldOpen the number of those in pipes
+	// whose sender has not closed or reset its connection.
 	held, heldOpen int
-	// holds: new connections wait for the end of the cut.
+	// holdNew makes new connections wait for the end of the cut.
 	holdNew bool
 	// resets counts the calls of Reset.
 	resets int
-	// changed wakes those who wait for something to send, or for the end of a cut.
+	// changed is signalled after every change of the fields above and of the pipes.
 	changed *sync.Cond
 }
 
-// New returns a link to the target at an address of its own.
+// New returns a link to the target that listens at a free loopback address.
 func New(target string) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,17 +55,17 @@
 	return l, nil
 }
 
-// Addr returns the address that leads over the link.
+// Addr returns the address at which the link accepts connections.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Cut lets nothing through any more. New connections are reset.
+// Cut stops all traffic. New connections are reset.
 func (l *Link) Cut() { l.set(true, false) }
 
-// Hold lets nothing through any more. New connections are held too, as if each had been
-// opened right before the cut: their ends see silence.
+// Hold stops all traffic. New connections are accepted and held, as if each had been opened
+// right before the cut: the client gets no response.
 func (l *Link) Hold() { l.set(true, true) }
 
-// Heal delivers what was held, and lets everything through again.
+// Heal delivers the held bytes and resumes all traffic.
 func (l *Link) Heal() { l.set(false, false) }
 
 func (l *Link) set(cut, holdNew bool) {
@@ -75,7 +75,7 @@
 	l.changed.Broadcast()
 }
 
-// Reset resets both ends of all connections that are open, without what is held of them.
+// Reset resets both sides of all open connections and drops the bytes held for them.
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	l.changed.Broadcast()
 }
 
-// AwaitHeld waits until the cut link holds something.
+// AwaitHeld waits until the cut link holds bytes.
 func (l *Link) AwaitHeld() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,8 +92,8 @@
 	}
 }
 
-// AwaitEnded waits until the senders of all that the cut link holds have ended their
-// connections.
+// AwaitEnded waits until the senders of all bytes that the cut link holds have closed or
+// reset their connections.
 func (l *Link) AwaitEnded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,8 +102,8 @@
 	}
 }
 
-// Drain waits until no connection carries anything: both ends have ended all of them, and
-// what was held is delivered or dropped.
+// Drain waits until both sides have closed or reset all connections and all held bytes are
+// delivered or dropped.
 func (l *Link) Drain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// Close ends the link. What it holds is dropped.
+// Close closes the link and drops the held bytes.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -121,7 +121,8 @@
 	_ = l.listener.Close()
 }
 
-// passes waits while new connections are held, and reports whether one may pass then.
+// awaitAdmission waits while new connections are held, and then reports whether a new
+// connection may be forwarded.
 func (l *Link) awaitAdmission() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +146,7 @@
 	}
 }
 
-// connect leads a new connection to the target.
+// connect forwards a new connection to the target.
 func (l *Link) connect(client net.Conn) {
 	if !l.awaitAdmission() {
 		reset(client)
@@ -163,8 +164,8 @@
 	l.forward(server, client, resets)
 }
 
-// carry forwards one direction of a connection. Reading goes on in a cut, since only a
-// read returns how the sender has ended the connection.
+// forward forwards one direction of a connection. It reads during a cut as well, because
+// only a read shows whether the sender has closed or reset the connection.
 func (l *Link) forward(from, to net.Conn, resets int) {
 	p := &pipe{link: l, from: from, resets: resets}
 	l.addPipes(1)
@@ -182,17 +183,19 @@
 	l.changed.Broadcast()
 }
 
-// pipe is one direction of a connection, with the bytes that it holds.
+// pipe is one direction of a connection with its held bytes. The link's lock guards held
+// and ended.
 type pipe struct {
 	link *Link
 	from net.Conn
-	// resets is how often connections had been reset when this one was opened.
+	// resets is the value of Link.resets when the connection was opened.
 	resets int
 	held   []byte
 	ended  error
 }
 
-// read holds what arrives until the sender ends the connection.
+// read appends what arrives to the held bytes until the sender closes or resets the
+// connection.
 func (p *pipe) read() {
 	buffer := make([]byte, readBytes)
 	for {
@@ -216,8 +219,8 @@
 	}
 }
 
-// write delivers what is held while the link is whole, and then ends the connection as
-// its sender has.
+// write delivers the held bytes while the link is not cut, and then closes or resets the
+// connection as its sender did.
 func (p *pipe) write(to net.Conn) {
 	for {
 		held, ended := p.next()
@@ -237,7 +240,8 @@
 	}
 }
 
-// next waits for bytes to deliver, or for the end of the connection.
+// next waits for bytes to deliver or for the end of the connection, and returns the bytes
+// and the error with which the connection ended.
 func (p *pipe) next() ([]byte, error) {
 	l := p.link
 	l.mu.Lock()
@@ -254,10 +258,10 @@
 	return p.take(), p.ended
 }
 
-// isReset asks the system whether the other end has reset a connection.
+// isReset asks the kernel whether the peer has reset a connection.
 //
-// Failure: a sender resets its connection, and the link heals right after. The read that
-// reports the reset has not returned yet, and what was held is delivered all the same.
+// Failure: a sender resets its connection, and the link is healed right after. The read that
+// reports the reset has not returned yet, and the held bytes would still be delivered.
 func isReset(c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -269,7 +273,7 @@
 	return errors.Join(err, failed) != nil || info.State == stateClosed
 }
 
-// take empties the pipe; the link's lock is held.
+// take returns the held bytes and empties the pipe. It requires the link's lock.
 func (p *pipe) take() []byte {
 	out := p.held
 	p.held = nil
@@ -280,7 +284,7 @@
 	return out
 }
 
-// reset ends a connection at once, without what it still holds.
+// reset resets a connection and drops its unsent bytes.
 func reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// server takes one connection after the other and passes on the first byte of each, and
-// then the rest.
+// server accepts one connection after the other and reports the first byte of each in
+// begun and the rest in arrived.
 func server(t *testing.T) (addr string, begun, arrived chan string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -23,7 +23,7 @@
 				close(arrived)
 				return
 			}
-			// A connection may be reset; what arrived before counts.
+			// The connection may be reset. The bytes that arrived before are reported.
 			first := make([]byte, 1)
 			n, _ := c.Read(first)
 			begun <- string(first[:n])
@@ -43,8 +43,8 @@
 	end(c.(*net.TCPConn))
 }
 
-// A connection is opened in a cut. What its sender closed arrives after the cut; what its
-// sender reset does not.
+// A connection is opened during a cut. If its sender closes it, the bytes arrive after the
+// cut; if its sender resets it, they do not.
 func TestHeldConnectionsEndAsTheirSendersEndedThem(t *testing.T) {
 	addr, begun, arrived := server(t)
 	l, err := New(addr)
@@ -60,8 +60,8 @@
 	require.Empty(t, <-begun+<-arrived)
 }
 
-// A device on the way forgets its connections. Both ends learn it, and nothing that was held
-// arrives.
+// A middlebox loses the state of its connections. Both sides see a reset, and no held bytes
+// arrive.
 func TestResetEndsBothEnds(t *testing.T) {
 	addr, begun, arrived := server(t)
 	l, err := New(addr)
--- a/internal/standin/link/linktest/linktest.go
+++ b/internal/standin/link/linktest/linktest.go
@@ -1,4 +1,4 @@
-// Package linktest puts servers behind links for tests.
+// Package linktest starts links and HTTP servers behind them for tests.
 package linktest
 
 import (
@@ -11,7 +11,7 @@
 	"hemlockquay/internal/standin/link"
 )
 
-// Serve serves HTTP behind a link, both of which end with the test.
+// Serve starts an HTTP server and a link to it. Both are closed at the end of the test.
 func Serve(t *testing.T, h http.Handler) *link.Link {
 	t.Helper()
 	server := httptest.NewServer(h)
@@ -19,7 +19,7 @@
 	return To(t, server.Listener.Addr().String())
 }
 
-// To returns a link to an address, which ends with the test.
+// To returns a link to an address. The link is closed at the end of the test.
 func To(t *testing.T, addr string) *link.Link {
 	t.Helper()
 	l, err := link.New(addr)
