--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -39,7 +39,8 @@
 	holdNew bool
 	// resets counts the calls of Reset.
 	resets int
-	// changed is signalled after every change of the fields above and of the pipes.
+	// changed wakes the waiting goroutines when bytes arrive, a connection ends, or the link
+	// is cut, healed, reset or closed.
 	changed *sync.Cond
 }
 
