--- a/internal/standin/plan/operations_test.go
+++ b/internal/standin/plan/operations_test.go
@@ -33,7 +33,7 @@
 }
 
 // rows returns the page's rows for a settings type, from its fields' comments.
-func rows(t *testing.T, file, name, program string) []string {
+func settingsRows(t *testing.T, file, name, program string) []string {
 	t.Helper()
 	tree, err := parser.ParseFile(token.NewFileSet(), filepath.Join("../..", file), nil, parser.ParseComments)
 	require.NoError(t, err)
@@ -64,7 +64,7 @@
 	require.NoError(t, err)
 	var want []string
 	for _, s := range settingsOf {
-		want = append(want, rows(t, s.file, s.name, s.program)...)
+		want = append(want, settingsRows(t, s.file, s.name, s.program)...)
 	}
 	require.Greater(t, len(want), 20)
 	require.Equal(t, strings.Join(want, "\n"), strings.Join(settingRow.FindAllString(string(page), -1), "\n"))
--- a/internal/standin/plan/plan.go
+++ b/internal/standin/plan/plan.go
@@ -26,10 +26,10 @@
 
 // Deployment describes what one user runs.
 type Deployment struct {
-	Name        string    `json:"name"`
-	DataCentres []string  `json:"dataCentres"`
-	Services    []Service `json:"services"`
-	Customers   []Caller  `json:"customers"`
+	Name        string     `json:"name"`
+	DataCentres []string   `json:"dataCentres"`
+	Services    []Service  `json:"services"`
+	Customers   []Customer `json:"customers"`
 }
 
 // Service is a service and its stand-in targets.
@@ -41,8 +41,8 @@
 	MeanWorkUS int `json:"meanWorkUs"`
 }
 
-// Caller is a customer: its contract and the load it offers.
-type Caller struct {
+// Customer is a customer: its contract and the load it offers.
+type Customer struct {
 	Customer string             `json:"customer"`
 	Token    string             `json:"token"`
 	Services []model.Allowance  `json:"services"`
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Result is where the run's parts listen.
-type Result struct {
+// Endpoints is where the run's parts listen.
+type Endpoints struct {
 	Store   string
 	Admin   string
 	Entries []string
@@ -77,21 +77,21 @@
 type planner struct {
 	dir string
 	// taken are the addresses that this plan has given out.
-	taken   map[string]bool
-	result  Result
-	load    loadgen.Experiment
-	standin standin.Settings
+	used      map[string]bool
+	endpoints Endpoints
+	load      loadgen.Experiment
+	standin   standin.Settings
 }
 
 // Write plans the deployments on vms VMs and writes all files below dir.
-func Write(dir string, vms int, deployments []Deployment) (*Result, error) {
-	p := &planner{dir: dir, taken: make(map[string]bool)}
+func Write(dir string, vms int, deployments []Deployment) (*Endpoints, error) {
+	p := &planner{dir: dir, used: make(map[string]bool)}
 	ports, err := p.freePorts(2)
 	if err != nil {
 		return nil, err
 	}
 	p.standin.Store, p.standin.Admin = ports[0], ports[1]
-	p.result.Store, p.result.Admin = "http://"+ports[0], "http://"+ports[1]
+	p.endpoints.Store, p.endpoints.Admin = "http://"+ports[0], "http://"+ports[1]
 	var dcs []string
 	for _, d := range deployments {
 		dcs = append(dcs, d.DataCentres...)
@@ -104,11 +104,11 @@
 			return nil, err
 		}
 	}
-	p.load.Entries, p.load.Standin = p.result.Entries, p.result.Admin
+	p.load.Entries, p.load.Standin = p.endpoints.Entries, p.endpoints.Admin
 	if err := p.write("standin.jsonc", &p.standin); err != nil {
 		return nil, err
 	}
-	return &p.result, p.write("load.jsonc", &p.load)
+	return &p.endpoints, p.write("load.jsonc", &p.load)
 }
 
 // portsPerVM: agent, dispatch, entry, and an admin port for each.
@@ -123,7 +123,7 @@
 		ports := all[i*portsPerVM : (i+1)*portsPerVM]
 		name := fmt.Sprintf("vm%d", i+1)
 		base := daemon.Base{VM: name, DataCentre: dcs[i%len(dcs)]}
-		a := agent.Settings{Base: base, Listen: ports[0], Store: p.result.Store}
+		a := agent.Settings{Base: base, Listen: ports[0], Store: p.endpoints.Store}
 		for j := range n {
 			if j != i {
 				a.Peers = append(a.Peers, all[j*portsPerVM])
@@ -138,9 +138,9 @@
 			}
 		}
 		p.standin.VMs = append(p.standin.VMs, platform.VM{Name: name, DataCentre: base.DataCentre, AgentAddr: ports[0], State: platform.VMLive})
-		p.result.Entries = append(p.result.Entries, "http://"+ports[2])
+		p.endpoints.Entries = append(p.endpoints.Entries, "http://"+ports[2])
 		p.load.Admins = append(p.load.Admins, ports[5])
-		p.result.Agents = append(p.result.Agents, ports[3])
+		p.endpoints.Agents = append(p.endpoints.Agents, ports[3])
 	}
 	return nil
 }
@@ -212,30 +212,30 @@
 	firstPort = 10_000
 	lastPort  = 32_000
 	// maxDraws bounds the search for free ports.
-	maxDraws = 10_000
+	maxAttempts = 10_000
 )
 
 // freePorts returns n addresses. None is returned twice in one plan.
-func (p *planner) freePorts(n int) ([]string, error) { return FreePorts(n, p.taken) }
+func (p *planner) freePorts(n int) ([]string, error) { return FreePorts(n, p.used) }
 
 // FreePorts returns n loopback addresses that were free a moment ago, and notes them
 // in taken, whose addresses it leaves out.
-func FreePorts(n int, taken map[string]bool) ([]string, error) {
+func FreePorts(n int, used map[string]bool) ([]string, error) {
 	addrs := make([]string, 0, n)
-	for draws := 0; len(addrs) < n; draws++ {
+	for attempts := 0; len(addrs) < n; attempts++ {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.N(lastPort-firstPort))
-		if taken[addr] {
+		if used[addr] {
 			continue
 		}
 		l, err := net.Listen("tcp", addr)
-		if err != nil && draws >= maxDraws {
+		if err != nil && attempts >= maxAttempts {
 			return nil, fmt.Errorf("find a free port: %w", err)
 		}
 		if err != nil {
 			continue
 		}
 		l.Close()
-		taken[addr] = true
+		used[addr] = true
 		addrs = append(addrs, addr)
 	}
 	return addrs, nil
