--- a/internal/standin/plan/operations_test.go
+++ b/internal/standin/plan/operations_test.go
@@ -16,13 +16,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// metricName finds the literal names of metrics in the code.
+// metricName matches the literal names of metrics in the code.
 var metricName = regexp.MustCompile(`(?:GetOrRegister\w+\("|\t")([a-z]+\.[a-z.]*)"(?:,|\+|: +func\(\) int64|\))`)
 
-// settingRow finds the page's rows of settings.
+// settingRow matches a row of a settings table in OPERATIONS.md.
 var settingRow = regexp.MustCompile("(?m)^\\| (all|hq-\\w+) \\| `\\w+` \\| .* \\|$")
 
-// settingsOf lists the programs' settings types: file, type and program.
+// settingsOf lists the settings types with their files and programs.
 var settingsOf = []struct{ file, name, program string }{
 	{"daemon/daemon.go", "Base", "all"},
 	{"agent/settings.go", "Settings", "hq-agent"},
@@ -32,7 +32,8 @@
 	{"gateway/settings.go", "Repeats", "hq-gateway"},
 }
 
-// rows returns the page's rows for a settings type, from its fields' comments.
+// settingsRows returns the rows that OPERATIONS.md must have for a settings type, built from
+// the comments of its fields.
 func settingsRows(t *testing.T, file, name, program string) []string {
 	t.Helper()
 	tree, err := parser.ParseFile(token.NewFileSet(), filepath.Join("../..", file), nil, parser.ParseComments)
@@ -57,8 +58,8 @@
 	return out
 }
 
-// The operators' page names a default that the program no longer has, or lacks a
-// setting: whoever reads it at night acts on the wrong figure.
+// OPERATIONS.md names a default that the program no longer has, or lacks a setting: an
+// operator acts on a wrong value during an incident.
 func TestOperationsShowsTheSettingsAsTheyAre(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -70,7 +71,7 @@
 	require.Equal(t, strings.Join(want, "\n"), strings.Join(settingRow.FindAllString(string(page), -1), "\n"))
 }
 
-// The page lacks a metric that an alarm shows.
+// OPERATIONS.md lacks a metric that an alarm shows.
 func TestOperationsNamesEveryMetric(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	require.NoError(t, err)
--- a/internal/standin/plan/plan.go
+++ b/internal/standin/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan turns descriptions of deployments into everything that a run on
-// one machine needs: settings of the daemons and the stand-in, objects for the
-// store and a load, all on free loopback ports.
+// Package plan writes the files that a run on one machine needs from descriptions of
+// deployments: the settings of the daemons and of hq-standin, the objects for the store
+// and a load, all on free loopback ports.
 package plan
 
 import (
@@ -24,7 +24,7 @@
 	"hemlockquay/internal/standin"
 )
 
-// Deployment describes what one user runs.
+// Deployment describes the deployment of one user.
 type Deployment struct {
 	Name        string     `json:"name"`
 	DataCentres []string   `json:"dataCentres"`
@@ -32,16 +32,16 @@
 	Customers   []Customer `json:"customers"`
 }
 
-// Service is a service and its stand-in targets.
+// Service is a service with its simulated targets.
 type Service struct {
 	model.Service `json:",inline"`
-	// Servers is how many targets it has, spread over the data centres.
+	// Servers is the number of targets, spread over the data centres.
 	Servers int `json:"servers"`
-	// MeanWorkUS is a target's mean service time, microseconds.
+	// MeanWorkUS is the mean service time of a target in microseconds.
 	MeanWorkUS int `json:"meanWorkUs"`
 }
 
-// Customer is a customer: its contract and the load it offers.
+// Customer is a customer with its contract and the load that it generates.
 type Customer struct {
 	Customer string             `json:"customer"`
 	Token    string             `json:"token"`
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Endpoints is where the run's parts listen.
+// Endpoints are the addresses of a run's processes.
 type Endpoints struct {
 	Store   string
 	Admin   string
@@ -73,17 +73,17 @@
 	Agents  []string
 }
 
-// planner collects what is written.
+// planner collects the contents of the files.
 type planner struct {
 	dir string
-	// taken are the addresses that this plan has given out.
+	// used are the addresses that this plan has assigned.
 	used      map[string]bool
 	endpoints Endpoints
 	load      loadgen.Experiment
 	standin   standin.Settings
 }
 
-// Write plans the deployments on vms VMs and writes all files below dir.
+// Write plans the deployments on the given number of VMs and writes all files below dir.
 func Write(dir string, vms int, deployments []Deployment) (*Endpoints, error) {
 	p := &planner{dir: dir, used: make(map[string]bool)}
 	ports, err := p.freePorts(2)
@@ -111,7 +111,8 @@
 	return &p.endpoints, p.write("load.jsonc", &p.load)
 }
 
-// portsPerVM: agent, dispatch, entry, and an admin port for each.
+// portsPerVM counts the ports of the agent, dispatch and entry daemons and an admin port
+// for each.
 const portsPerVM = 6
 
 func (p *planner) planVMs(n int, dcs []string) error {
@@ -187,8 +188,7 @@
 
 func (p *planner) write(file string, v any) error { return WriteJSON(filepath.Join(p.dir, file), v) }
 
-// WriteJSON writes a value as JSON that people read to a file, with the folder that it
-// needs.
+// WriteJSON writes a value to a file as indented JSON and creates the file's directory.
 func WriteJSON(file string, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
@@ -203,23 +203,23 @@
 	return nil
 }
 
-// Ports are drawn below the range from which systems take the ports of outgoing
-// connections (32768 and up by default).
+// Ports are chosen below the ephemeral range, from which the system takes the ports of
+// outgoing connections (32768 and up by default).
 //
-// Failure: a planned port lies in that range, and before its daemon starts an
-// outgoing connection of another takes it. The daemon cannot listen.
+// Failure: a planned port lies in that range, and an outgoing connection of another process
+// takes it before its daemon starts. The daemon cannot listen.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
-	// maxDraws bounds the search for free ports.
+	// maxAttempts bounds the search for free ports.
 	maxAttempts = 10_000
 )
 
-// freePorts returns n addresses. None is returned twice in one plan.
+// freePorts returns n free addresses. No address is returned twice in one plan.
 func (p *planner) freePorts(n int) ([]string, error) { return FreePorts(n, p.used) }
 
-// FreePorts returns n loopback addresses that were free a moment ago, and notes them
-// in taken, whose addresses it leaves out.
+// FreePorts returns n loopback addresses that were free when it checked. It skips the
+// addresses in used and adds the returned ones.
 func FreePorts(n int, used map[string]bool) ([]string, error) {
 	addrs := make([]string, 0, n)
 	for attempts := 0; len(addrs) < n; attempts++ {
