--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -75,7 +75,7 @@
 
 func (w *world) addTargets(check *Checker) error {
 	for i, name := range targetNames() {
-		t := &fleet.Target{ID: name, Service: "pool", Zone: "a", Slots: slots, Pad: bodyBytes, Watcher: check}
+		t := &fleet.Target{ID: name, Service: "pool", Zone: "a", Slots: slots, Pad: bodyBytes, Observer: check}
 		if i < targetCount {
 			t.Service, t.Keyed = "keyed", true
 		}
@@ -128,7 +128,7 @@
 	case Slow:
 		w.targets[f.What].SetWork(slowWork)
 	case Mute:
-		w.targets[f.What].SetMute(true)
+		w.targets[f.What].SetDropResponses(true)
 	case Stop:
 		w.vms[f.What].suspend()
 	case Kill:
@@ -147,11 +147,11 @@
 	case Cut:
 		w.links[f.What].Heal()
 	case Lapse:
-		w.targets[f.What].List(w.store)
+		w.targets[f.What].Register(w.store)
 	case Slow:
 		w.targets[f.What].SetWork(work)
 	case Mute:
-		w.targets[f.What].SetMute(false)
+		w.targets[f.What].SetDropResponses(false)
 	case Stop:
 		w.vms[f.What].resume()
 	case Kill, Term:
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// TargetFaults are the faults of one target.
+// TargetFaults are the faults injected into one target.
 type TargetFaults struct {
-	// Factor multiplies service times; 0 counts as 1.
-	Factor float64 `json:"factor"`
-	// Frozen holds every request and order until it is lifted.
+	// ServiceTimeFactor multiplies service times; 0 counts as 1.
+	ServiceTimeFactor float64 `json:"factor"`
+	// Frozen blocks every request and order until it is set to false.
 	Frozen bool `json:"frozen"`
-	// Leaving makes the target drain.
+	// Leaving makes the target announce that it is leaving and refuse new requests.
 	Leaving bool `json:"leaving"`
-	// FailPercent of requests lose their answer after they ran.
+	// FailPercent is the percentage of requests whose connection is closed without a response after they ran.
 	FailPercent float64 `json:"failPercent"`
-	// LieHealthy and LieIdle make the hint endpoints lie.
-	LieHealthy bool `json:"lieHealthy"`
-	LieIdle    bool `json:"lieIdle"`
-	// Broken is a kind of broken answer; see the Broken constants.
-	Broken string `json:"broken"`
+	// ReportHealthy makes the health endpoint answer while the target is frozen; ReportIdle makes the load
+	// endpoint do so, and report no running requests.
+	ReportHealthy bool `json:"lieHealthy"`
+	ReportIdle    bool `json:"lieIdle"`
+	// AnswerFault is the defect of every response: one of the constants below, or "" for none.
+	AnswerFault string `json:"broken"`
 }
 
-// Kinds of broken answers.
+// Values of TargetFaults.AnswerFault.
 const (
-	BrokenShort = "short" // fewer bytes than announced
-	BrokenHuge  = "huge"  // far more than any limit
-	BrokenEmpty = "empty" // the connection closes without an answer
+	AnswerTruncated = "short" // the body has fewer bytes than Content-Length
+	AnswerOversized = "huge"  // the body exceeds every body limit
+	AnswerMissing   = "empty" // the connection is closed without a response
 )
 
-// SetFaults puts the faults in force.
+// SetFaults replaces the faults of the target.
 func (s *Server) SetFaults(f TargetFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Frozen && !f.Frozen {
-		close(s.thawed)
-		s.thawed = make(chan struct{})
+		close(s.unfrozen)
+		s.unfrozen = make(chan struct{})
 	}
 	s.faults = f
 }
 
-func (s *Server) current() (TargetFaults, <-chan struct{}) {
+func (s *Server) currentFaults() (TargetFaults, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults, s.thawed
+	return s.faults, s.unfrozen
 }
 
-// stall holds a call while the target is frozen. It returns false if the life
-// ended or the caller left.
-func (s *Server) stall(ctx context.Context, life *targetLife) bool {
+// waitWhileFrozen blocks while the target is frozen. It returns false if the process
+// was killed or the context was cancelled meanwhile.
+func (s *Server) waitWhileFrozen(ctx context.Context, process *targetProcess) bool {
 	for {
-		f, thawed := s.current()
+		f, unfrozen := s.currentFaults()
 		if !f.Frozen {
 			return true
 		}
 		select {
-		case <-thawed:
-		case <-life.ended:
+		case <-unfrozen:
+		case <-process.stopped:
 			return false
 		case <-ctx.Done():
 			return false
@@ -64,10 +65,10 @@
 	}
 }
 
-// crashFor is how long a crashed target is away.
-const crashFor = 500 * time.Millisecond
+// crashDowntime is the time between a crash and the restart.
+const crashDowntime = 500 * time.Millisecond
 
 func (s *Server) crash() {
 	s.Kill()
-	time.AfterFunc(crashFor, func() { _ = s.Restart() })
+	time.AfterFunc(crashDowntime, func() { _ = s.Restart() })
 }
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/platform.go
@@ -15,13 +15,13 @@
 	"hemlockquay/internal/standin/plan"
 )
 
-// Hosts and paths of the routes that Config has.
+// Hosts and path prefixes of the routes in Config.
 const (
 	KeyedHost, KeyedPath = "k.example", "/k/"
 	PoolHost, PoolPath   = "p.example", "/p/"
 )
 
-// Headers are the platform's names of what callers send and get.
+// Headers are the platform's names of the request and response headers.
 var Headers = loadgen.PathHeaders{RequestID: "X-Request-Id", DeadlineMs: "X-Deadline-Ms", Key: "X-Shard-Key", Stamp: "X-Server-Stamp"}
 
 const config = `{"Version":"%08x","Routes":{
@@ -30,74 +30,75 @@
 "Services":{"keyed":{"HealthPath":"/health","MaxConns":50,"Sharded":true},"pool":{"HealthPath":"/health","MaxConns":50}},
 "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1048576,"HeaderTimeoutS":3,"IdleTimeoutS":15}}`
 
-// Config returns a configuration with a route to a service with keys and one to a
-// service without, and more routes, each with a comma before it.
+// Config returns a configuration with one route to a keyed service and one to a service
+// without keys. more holds further routes as JSON members, each preceded by a comma.
 func Config(version int, more string) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(config, version, more))
 }
 
 const (
-	// labTargets is the number of targets of each service, labSlots of their slots.
-	labTargets = 3
-	labSlots   = 4
-	// labWork is how long a target works on a request.
-	labWork = 5 * time.Millisecond
-	// labGrace is the time that a gateway has to leave.
-	labGrace = 3 * time.Second
-	// labRate is the requests a second of the load.
-	labRate = 200
-	// portsPerVM are front, ready, peers and admin.
+	// targetsPerService is the number of targets of each service, slotsPerTarget the number
+	// of slots of each target.
+	targetsPerService = 3
+	slotsPerTarget    = 4
+	// targetWork is the service time of a request.
+	targetWork = 5 * time.Millisecond
+	// gatewayGrace is the time that a gateway has for its graceful shutdown.
+	gatewayGrace = 3 * time.Second
+	// requestRate is the load in requests per second.
+	requestRate = 200
+	// portsPerVM counts a gateway's ports: front, ready, peers and admin.
 	portsPerVM = 4
 )
 
-// RunLab plays the platform for gateways on one machine until the context ends. It
-// writes the settings of each gateway to DIR/vm-N.jsonc and the load to
-// DIR/load.jsonc; the latter is written last, when everything answers.
-func RunLab(ctx context.Context, dir string, vms int) error {
+// RunPlatform simulates the platform for gateways on one machine until the context ends.
+// It writes the settings of each gateway to DIR/vm-N.jsonc and the load to
+// DIR/load.jsonc. load.jsonc is written last, when the store and the targets are listening.
+func RunPlatform(ctx context.Context, dir string, vms int) error {
 	store := NewStore()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return fmt.Errorf("lab: listen for the store: %w", err)
+		return fmt.Errorf("run platform: listen for the store: %w", err)
 	}
 	server := &http.Server{Handler: store, ReadHeaderTimeout: time.Second}
 	defer server.Close()
 	go func() { _ = server.Serve(listener) }()
 	store.Set("config", "main", Config(1, ""))
-	for _, target := range labFleet() {
-		target.SetWork(labWork)
+	for _, target := range newTargets() {
+		target.SetWork(targetWork)
 		if err := target.Start(store); err != nil {
-			return fmt.Errorf("lab: %w", err)
+			return fmt.Errorf("run platform: %w", err)
 		}
 		defer target.Kill()
 	}
-	if err := writeLab(dir, vms, listener.Addr().String()); err != nil {
-		return fmt.Errorf("lab: %w", err)
+	if err := writeSettings(dir, vms, listener.Addr().String()); err != nil {
+		return fmt.Errorf("run platform: write settings: %w", err)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-func labFleet() []*Target {
+func newTargets() []*Target {
 	var out []*Target
-	for i := range labTargets {
+	for i := range targetsPerService {
 		out = append(out,
-			&Target{ID: fmt.Sprintf("k-%d", i), Service: "keyed", Zone: "a", Keyed: true, Slots: labSlots},
-			&Target{ID: fmt.Sprintf("p-%d", i), Service: "pool", Zone: "a", Slots: labSlots})
+			&Target{ID: fmt.Sprintf("k-%d", i), Service: "keyed", Zone: "a", Keyed: true, Slots: slotsPerTarget},
+			&Target{ID: fmt.Sprintf("p-%d", i), Service: "pool", Zone: "a", Slots: slotsPerTarget})
 	}
 	return out
 }
 
-func writeLab(dir string, vms int, store string) error {
+func writeSettings(dir string, vms int, store string) error {
 	names := make([]string, vms)
 	for i := range names {
 		names[i] = fmt.Sprintf("vm-%d", i+1)
 	}
-	written, err := WriteGateways(dir, names, labGrace, func(string) (string, error) { return store, nil })
+	written, err := WriteGateways(dir, names, gatewayGrace, func(string) (string, error) { return store, nil })
 	if err != nil {
 		return err
 	}
 	load := loadgen.Path{
-		Rate: labRate, Headers: Headers,
+		Rate: requestRate, Headers: Headers,
 		Routes: []loadgen.PathRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
 	}
 	for _, s := range written {
@@ -106,9 +107,9 @@
 	return plan.WriteJSON(filepath.Join(dir, "load.jsonc"), load)
 }
 
-// WriteGateways writes the settings of gateways on this machine at free ports, each to
-// DIR/NAME.jsonc, and returns them in order. store returns the address at which a VM has the
-// store.
+// WriteGateways assigns free loopback ports to the named gateways, writes the settings of
+// each to DIR/NAME.jsonc and returns them in the order of names. store returns the address
+// at which a VM reaches the store.
 func WriteGateways(dir string, names []string, grace time.Duration, store func(name string) (string, error)) ([]gateway.Settings, error) {
 	ports, err := plan.FreePorts(len(names)*portsPerVM, make(map[string]bool))
 	if err != nil {
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -1,6 +1,6 @@
-// Package fleet plays the users' platform for tests and demos: its object store
-// and the targets that hold keys. It was written from the platform's published
-// protocol and knows its names.
+// Package fleet simulates the users' platform for tests and demos: its object store and
+// its targets, which hold keys. It implements the platform's published protocol with the
+// names used there.
 package fleet
 
 import (
@@ -25,66 +25,67 @@
 	Status   json.RawMessage
 }
 
-// event is a change of an object.
+// event is one change of an object.
 type event struct {
 	kind    string
 	Object  Object
 	Removed bool
 }
 
-// Fault is how the store treats a call.
+// Fault is a fault that the store injects into a call.
 type Fault int
 
 // The faults.
 const (
-	// Works: none.
-	Works Fault = iota
-	// Busy: 503, nothing was done.
-	Busy
-	// Limited: 429, nothing was done.
-	Limited
-	// Resets: the connection is closed before anything was done.
-	Resets
-	// LosesAnswer: the call is done and its connection closed.
-	LosesAnswer
+	// NoFault handles the call normally.
+	NoFault Fault = iota
+	// Unavailable responds 503; the call has no effect.
+	Unavailable
+	// RateLimited responds 429; the call has no effect.
+	RateLimited
+	// RequestLost closes the connection; the call has no effect.
+	RequestLost
+	// ResponseLost closes the connection after the call has taken effect.
+	ResponseLost
 )
 
-// Store is the object store. It serves HTTP.
+// Store is the platform's object store, served over HTTP.
 type Store struct {
-	// PageSize is how many objects a page holds.
+	// PageSize is the maximum number of objects in a page of a list.
 	PageSize int
 
 	mu       sync.Mutex
 	revision uint64
 	objects  map[string]map[string]*Object
 	history  []event
-	kept     uint64
-	changed  chan struct{}
-	faults   []Fault
-	// writeFaults are met by writes only.
+	// compactedRevision is the last revision that is no longer in the history.
+	compactedRevision uint64
+	changed           chan struct{}
+	faults            []Fault
+	// writeFaults are injected into writes only, before those in faults.
 	writeFaults []Fault
 	calls       int
 }
 
-// historyMost is how many changes are kept for watches.
-const historyMost = 4096
+// maxHistory is the number of changes that are kept for watches.
+const maxHistory = 4096
 
-// defaultPage is the platform's page.
-const defaultPage = 500
+// defaultPageSize is the platform's page size.
+const defaultPageSize = 500
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{PageSize: defaultPage, revision: 1, objects: make(map[string]map[string]*Object), changed: make(chan struct{})}
+	return &Store{PageSize: defaultPageSize, revision: 1, objects: make(map[string]map[string]*Object), changed: make(chan struct{})}
 }
 
-// Fail lets the next calls meet these faults, one each.
-func (s *Store) Fail(faults ...Fault) {
+// FailCalls injects the faults into the next calls, one each.
+func (s *Store) FailCalls(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, faults...)
 }
 
-// FailWrites lets the next n writes meet a fault.
+// FailWrites injects a fault into the next n writes.
 func (s *Store) FailWrites(n int, f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,22 +94,23 @@
 	}
 }
 
-// Compact drops the history: watches from before get 410.
+// Compact drops the history. Watches from an earlier revision get status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.kept = nil, s.revision
+	s.history, s.compactedRevision = nil, s.revision
 	s.notify()
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Set writes an object as another writer does.
+// Set creates or replaces the spec of an object without a revision check, as another
+// writer would.
 func (s *Store) Set(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
@@ -124,16 +126,16 @@
 	s.put(kind, o)
 }
 
-// Remove removes an object whatever its finalizers are.
+// Remove removes an object regardless of its finalizers.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o := s.objects[kind][name]; o != nil {
-		s.drop(kind, o)
+		s.remove(kind, o)
 	}
 }
 
-// put, drop and notify need s.mu.
+// put stores an object at a new revision. put, remove and notify require s.mu.
 func (s *Store) put(kind string, o *Object) {
 	s.revision++
 	o.Metadata.Revision = s.revision
@@ -148,7 +150,7 @@
 	s.notify()
 }
 
-func (s *Store) drop(kind string, o *Object) {
+func (s *Store) remove(kind string, o *Object) {
 	s.revision++
 	delete(s.objects[kind], o.Metadata.Name)
 	gone := *o
@@ -157,11 +159,12 @@
 	s.notify()
 }
 
-// notify wakes watches after a change, and forgets the oldest changes. It needs s.mu.
+// notify wakes the watches after a change and trims the history to maxHistory. It requires
+// s.mu.
 func (s *Store) notify() {
-	if extra := len(s.history) - historyMost; extra > 0 {
-		s.kept = s.history[extra-1].Object.Metadata.Revision
-		s.history = slices.Delete(s.history, 0, extra)
+	if excess := len(s.history) - maxHistory; excess > 0 {
+		s.compactedRevision = s.history[excess-1].Object.Metadata.Revision
+		s.history = slices.Delete(s.history, 0, excess)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -176,15 +179,15 @@
 		queue = &s.writeFaults
 	}
 	if len(*queue) == 0 {
-		return Works
+		return NoFault
 	}
 	f := (*queue)[0]
 	*queue = (*queue)[1:]
 	return f
 }
 
-// since needs s.mu.
-func (s *Store) since(kind string, from uint64) []event {
+// eventsSince returns the changes of a kind after a revision. It requires s.mu.
+func (s *Store) eventsSince(kind string, from uint64) []event {
 	var out []event
 	for _, e := range s.history {
 		if e.kind == kind && e.Object.Metadata.Revision > from {
@@ -194,13 +197,14 @@
 	return out
 }
 
-// settle needs s.mu. A write that changes nothing makes no revision.
-func (s *Store) settle(kind string, old, next *Object) {
+// update stores the result of a write. A write that changes nothing makes no new revision,
+// and an object marked as deleted is removed with its last finalizer. It requires s.mu.
+func (s *Store) update(kind string, old, next *Object) {
 	same := string(old.Spec) == string(next.Spec) && string(old.Status) == string(next.Status) &&
 		slices.Equal(old.Metadata.Finalizers, next.Metadata.Finalizers)
 	switch {
 	case next.Metadata.Deleting && len(next.Metadata.Finalizers) == 0:
-		s.drop(kind, next)
+		s.remove(kind, next)
 	case !same || old.Metadata.Revision == 0:
 		s.put(kind, next)
 	}
--- a/internal/standin/fleet/target.go
+++ b/internal/standin/fleet/target.go
@@ -14,76 +14,79 @@
 	"time"
 )
 
-// Watcher sees what targets do, in the order in which each of them does it.
-type Watcher interface {
-	// Granted: the target has taken a grant of the keys from..to, which lasts until then.
+// Observer is notified of what targets do. Each target's calls come in the order of its
+// actions.
+type Observer interface {
+	// Granted: the target has accepted a grant of the keys from..to that expires at until.
 	Granted(target string, from, to uint16, fence uint64, until time.Time)
-	// Released: the target has given the keys from..to back.
+	// Released: the target has released the keys from..to.
 	Released(target string, from, to uint16)
-	// Ran: the target runs a request.
+	// Ran: the target has begun to run a request.
 	Ran(target, id string)
-	// Abandoned: the sender of a request closed its connection while the target ran it.
+	// Abandoned: the caller of a request disconnected while the target ran it.
 	Abandoned(target, id string)
 }
 
-// Target is a server that runs requests, and holds keys where it is keyed.
+// Target is a simulated server that runs requests. If Keyed, it runs only those for keys
+// that it has been granted.
 type Target struct {
 	ID      string
 	Service string
 	Zone    string
 	Keyed   bool
 	Slots   int
-	// Pad is how many bytes an answer's body has beyond what it says.
+	// Pad is the number of padding bytes in a response body; see Body.
 	Pad int
-	// Via returns the address that the target's entry names, given its own. Default: its own.
+	// Via returns the address to register for the target's own address, such as that of a
+	// proxy. Default: the target's own.
 	Via func(addr string) (string, error)
-	// Watcher, where there is one, sees what the target does.
-	Watcher Watcher
+	// Observer is notified of what the target does. It may be nil.
+	Observer Observer
 
 	mu sync.Mutex
-	// listed is the address that the entry names.
-	listed string
-	// work is how long a request takes.
+	// registeredAddr is the address in the target's entry.
+	registeredAddr string
+	// work is the service time of a request.
 	work time.Duration
-	// mute reports whether connections end in place of answers.
-	mute     bool
-	born     int64
-	draining bool
-	fences   [1 << 16]uint64
-	holds    [1 << 16]time.Time
-	ran      map[string]int
-	seq      int
+	// dropResponses makes the target close the connection in place of a response.
+	dropResponses bool
+	startedAt     int64
+	draining      bool
+	fences        [1 << 16]uint64
+	heldUntil     [1 << 16]time.Time
+	ran           map[string]int
+	seq           int
 
 	slots    chan struct{}
 	listener net.Listener
 	server   *http.Server
 }
 
-// Start begins a life of the target at a free loopback port and lists it.
+// Start starts the target at a free loopback port and registers it.
 func (t *Target) Start(s *Store) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("start target %s: %w", t.ID, err)
 	}
-	t.listener, t.born, t.ran = listener, time.Now().UnixMilli(), make(map[string]int)
+	t.listener, t.startedAt, t.ran = listener, time.Now().UnixMilli(), make(map[string]int)
 	t.slots = make(chan struct{}, t.Slots)
-	t.listed = t.Addr()
+	t.registeredAddr = t.Addr()
 	if t.Via != nil {
-		if t.listed, err = t.Via(t.Addr()); err != nil {
+		if t.registeredAddr, err = t.Via(t.Addr()); err != nil {
 			return fmt.Errorf("start target %s: %w", t.ID, errors.Join(err, listener.Close()))
 		}
 	}
 	t.server = &http.Server{Handler: t}
 	go func() { _ = t.server.Serve(listener) }()
-	t.List(s)
+	t.Register(s)
 	return nil
 }
 
 // Addr returns the target's address.
 func (t *Target) Addr() string { return t.listener.Addr().String() }
 
-// List writes the target's entry.
-func (t *Target) List(s *Store) {
+// Register writes the target's entry to the store.
+func (t *Target) Register(s *Store) {
 	t.mu.Lock()
 	t.seq++
 	state := "ready"
@@ -91,53 +94,54 @@
 		state = "draining"
 	}
 	entry := map[string]any{
-		"Service": t.Service, "Addr": t.listed, "Zone": t.Zone, "Version": "v1", "Slots": t.Slots,
-		"State": state, "WarmupLeftS": 0, "Seq": t.seq, "born": t.born,
+		"Service": t.Service, "Addr": t.registeredAddr, "Zone": t.Zone, "Version": "v1", "Slots": t.Slots,
+		"State": state, "WarmupLeftS": 0, "Seq": t.seq, "born": t.startedAt,
 	}
 	t.mu.Unlock()
 	s.Set("servers", t.ID, entry)
 }
 
-// Drain says that the target leaves.
+// Drain registers the target as draining.
 func (t *Target) Drain(s *Store) {
 	t.mu.Lock()
 	t.draining = true
 	t.mu.Unlock()
-	t.List(s)
+	t.Register(s)
 }
 
-// SetWork sets how long a request takes.
+// SetWork sets the service time of a request.
 func (t *Target) SetWork(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.work = d
 }
 
-// SetMute sets whether connections end in place of answers to requests that ran.
-func (t *Target) SetMute(mute bool) {
+// SetDropResponses sets whether the target closes the connection in place of responding to
+// a request that ran.
+func (t *Target) SetDropResponses(dropResponses bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.mute = mute
+	t.dropResponses = dropResponses
 }
 
-// Kill ends the life at once.
+// Kill stops the target at once and closes its connections.
 func (t *Target) Kill() { _ = t.server.Close() }
 
 // Holds reports whether the target holds a key now.
 func (t *Target) Holds(key uint16) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Now().Before(t.holds[key])
+	return time.Now().Before(t.heldUntil[key])
 }
 
-// Ran returns how often a request ran here.
+// Ran returns how often the target ran a request since its start.
 func (t *Target) Ran(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.ran[id]
 }
 
-// Requests returns how many requests ran here.
+// Requests returns the number of distinct requests that the target ran since its start.
 func (t *Target) Requests() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -187,10 +191,10 @@
 	}
 	until := time.Now().Add(time.Duration(o.HoldS * float64(time.Second)))
 	for key := int(o.From); key <= int(o.To); key++ {
-		t.fences[key], t.holds[key] = o.Fence, until
+		t.fences[key], t.heldUntil[key] = o.Fence, until
 	}
-	if t.Watcher != nil {
-		t.Watcher.Granted(t.ID, o.From, o.To, o.Fence, until)
+	if t.Observer != nil {
+		t.Observer.Granted(t.ID, o.From, o.To, o.Fence, until)
 	}
 }
 
@@ -203,10 +207,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for key := int(o.From); key <= int(o.To); key++ {
-		t.fences[key], t.holds[key] = max(t.fences[key], o.Fence), time.Time{}
+		t.fences[key], t.heldUntil[key] = max(t.fences[key], o.Fence), time.Time{}
 	}
-	if t.Watcher != nil {
-		t.Watcher.Released(t.ID, o.From, o.To)
+	if t.Observer != nil {
+		t.Observer.Released(t.ID, o.From, o.To)
 	}
 	w.Header().Set("X-Handover", t.ID+"-state")
 }
@@ -229,36 +233,38 @@
 	t.mu.Lock()
 	id, work := r.Header.Get(Headers.RequestID), t.work
 	t.ran[id]++
-	if t.Watcher != nil {
-		t.Watcher.Ran(t.ID, id)
+	if t.Observer != nil {
+		t.Observer.Ran(t.ID, id)
 	}
 	t.mu.Unlock()
-	t.await(r.Context(), id, time.After(work))
+	t.awaitWork(r.Context(), id, time.After(work))
 	t.mu.Lock()
-	mute := t.mute
+	dropResponses := t.dropResponses
 	t.mu.Unlock()
-	if mute {
+	if dropResponses {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(Headers.Stamp, t.ID)
 	_, _ = io.WriteString(w, Body(t.ID, r.URL.Path, t.Pad))
 }
 
-// await waits for the end of the work on a request. Work goes on where its sender has left.
-func (t *Target) await(sender context.Context, id string, done <-chan time.Time) {
+// awaitWork waits for the end of the service time. The work goes on after the caller has
+// disconnected.
+func (t *Target) awaitWork(sender context.Context, id string, done <-chan time.Time) {
 	select {
 	case <-done:
 		return
 	case <-sender.Done():
 	}
-	if t.Watcher != nil {
-		t.Watcher.Abandoned(t.ID, id)
+	if t.Observer != nil {
+		t.Observer.Abandoned(t.ID, id)
 	}
 	<-done
 }
 
-// Body returns the whole body of a target's answer.
+// Body returns the complete body of a target's response: the target and the path, repeated
+// to fill pad further bytes.
 func Body(target, path string, pad int) string {
-	said := target + " " + path
-	return said + strings.Repeat(" "+said, pad/len(said)+1)[:pad]
+	text := target + " " + path
+	return text + strings.Repeat(" "+text, pad/len(text)+1)[:pad]
 }
--- a/internal/standin/plan/plan.go
+++ b/internal/standin/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan turns descriptions of deployments into everything that a run on
-// one machine needs: settings of the daemons and the stand-in, objects for the
-// store and a load, all on free loopback ports.
+// Package plan writes the files that a run on one machine needs from descriptions of
+// deployments: the settings of the daemons and of hq-standin, the objects for the store
+// and a load, all on free loopback ports.
 package plan
 
 import (
@@ -24,25 +24,25 @@
 	"hemlockquay/internal/standin"
 )
 
-// Deployment describes what one user runs.
+// Deployment describes the deployment of one user.
 type Deployment struct {
-	Name        string    `json:"name"`
-	DataCentres []string  `json:"dataCentres"`
-	Services    []Service `json:"services"`
-	Customers   []Caller  `json:"customers"`
+	Name        string     `json:"name"`
+	DataCentres []string   `json:"dataCentres"`
+	Services    []Service  `json:"services"`
+	Customers   []Customer `json:"customers"`
 }
 
-// Service is a service and its stand-in targets.
+// Service is a service with its simulated targets.
 type Service struct {
 	model.Service `json:",inline"`
-	// Servers is how many targets it has, spread over the data centres.
+	// Servers is the number of targets, spread over the data centres.
 	Servers int `json:"servers"`
-	// MeanWorkUS is a target's mean service time, microseconds.
+	// MeanWorkUS is the mean service time of a target in microseconds.
 	MeanWorkUS int `json:"meanWorkUs"`
 }
 
-// Caller is a customer: its contract and the load it offers.
-type Caller struct {
+// Customer is a customer with its contract and the load that it generates.
+type Customer struct {
 	Customer string             `json:"customer"`
 	Token    string             `json:"token"`
 	Services []model.Allowance  `json:"services"`
@@ -65,33 +65,33 @@
 	return nil
 }
 
-// Result is where the run's parts listen.
-type Result struct {
+// Endpoints are the addresses of a run's processes.
+type Endpoints struct {
 	Store   string
 	Admin   string
 	Entries []string
 	Agents  []string
 }
 
-// planner collects what is written.
+// planner collects the contents of the files.
 type planner struct {
 	dir string
-	// taken are the addresses that this plan has given out.
-	taken   map[string]bool
-	result  Result
-	load    loadgen.Experiment
-	standin standin.Settings
+	// used are the addresses that this plan has assigned.
+	used      map[string]bool
+	endpoints Endpoints
+	load      loadgen.Experiment
+	standin   standin.Settings
 }
 
-// Write plans the deployments on vms VMs and writes all files below dir.
-func Write(dir string, vms int, deployments []Deployment) (*Result, error) {
-	p := &planner{dir: dir, taken: make(map[string]bool)}
+// Write plans the deployments on the given number of VMs and writes all files below dir.
+func Write(dir string, vms int, deployments []Deployment) (*Endpoints, error) {
+	p := &planner{dir: dir, used: make(map[string]bool)}
 	ports, err := p.freePorts(2)
 	if err != nil {
 		return nil, err
 	}
 	p.standin.Store, p.standin.Admin = ports[0], ports[1]
-	p.result.Store, p.result.Admin = "http://"+ports[0], "http://"+ports[1]
+	p.endpoints.Store, p.endpoints.Admin = "http://"+ports[0], "http://"+ports[1]
 	var dcs []string
 	for _, d := range deployments {
 		dcs = append(dcs, d.DataCentres...)
@@ -104,14 +104,15 @@
 			return nil, err
 		}
 	}
-	p.load.Entries, p.load.Standin = p.result.Entries, p.result.Admin
+	p.load.Entries, p.load.Standin = p.endpoints.Entries, p.endpoints.Admin
 	if err := p.write("standin.jsonc", &p.standin); err != nil {
 		return nil, err
 	}
-	return &p.result, p.write("load.jsonc", &p.load)
+	return &p.endpoints, p.write("load.jsonc", &p.load)
 }
 
-// portsPerVM: agent, dispatch, entry, and an admin port for each.
+// portsPerVM counts the ports of the agent, dispatch and entry daemons and an admin port
+// for each.
 const portsPerVM = 6
 
 func (p *planner) planVMs(n int, dcs []string) error {
@@ -123,7 +124,7 @@
 		ports := all[i*portsPerVM : (i+1)*portsPerVM]
 		name := fmt.Sprintf("vm%d", i+1)
 		base := daemon.Base{VM: name, DataCentre: dcs[i%len(dcs)]}
-		a := agent.Settings{Base: base, Listen: ports[0], Store: p.result.Store}
+		a := agent.Settings{Base: base, Listen: ports[0], Store: p.endpoints.Store}
 		for j := range n {
 			if j != i {
 				a.Peers = append(a.Peers, all[j*portsPerVM])
@@ -138,9 +139,9 @@
 			}
 		}
 		p.standin.VMs = append(p.standin.VMs, platform.VM{Name: name, DataCentre: base.DataCentre, AgentAddr: ports[0], State: platform.VMLive})
-		p.result.Entries = append(p.result.Entries, "http://"+ports[2])
+		p.endpoints.Entries = append(p.endpoints.Entries, "http://"+ports[2])
 		p.load.Admins = append(p.load.Admins, ports[5])
-		p.result.Agents = append(p.result.Agents, ports[3])
+		p.endpoints.Agents = append(p.endpoints.Agents, ports[3])
 	}
 	return nil
 }
@@ -187,8 +188,7 @@
 
 func (p *planner) write(file string, v any) error { return WriteJSON(filepath.Join(p.dir, file), v) }
 
-// WriteJSON writes a value as JSON that people read to a file, with the folder that it
-// needs.
+// WriteJSON writes a value to a file as indented JSON and creates the file's directory.
 func WriteJSON(file string, v any) error {
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
@@ -203,39 +203,39 @@
 	return nil
 }
 
-// Ports are drawn below the range from which systems take the ports of outgoing
-// connections (32768 and up by default).
+// Ports are chosen below the ephemeral range, from which the system takes the ports of
+// outgoing connections (32768 and up by default).
 //
-// Failure: a planned port lies in that range, and before its daemon starts an
-// outgoing connection of another takes it. The daemon cannot listen.
+// Failure: a planned port lies in that range, and an outgoing connection of another process
+// takes it before its daemon starts. The daemon cannot listen.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
-	// maxDraws bounds the search for free ports.
-	maxDraws = 10_000
+	// maxAttempts bounds the search for free ports.
+	maxAttempts = 10_000
 )
 
-// freePorts returns n addresses. None is returned twice in one plan.
-func (p *planner) freePorts(n int) ([]string, error) { return FreePorts(n, p.taken) }
+// freePorts returns n free addresses. No address is returned twice in one plan.
+func (p *planner) freePorts(n int) ([]string, error) { return FreePorts(n, p.used) }
 
-// FreePorts returns n loopback addresses that were free a moment ago, and notes them
-// in taken, whose addresses it leaves out.
-func FreePorts(n int, taken map[string]bool) ([]string, error) {
+// FreePorts returns n loopback addresses that were free when it checked. It skips the
+// addresses in used and adds the returned ones.
+func FreePorts(n int, used map[string]bool) ([]string, error) {
 	addrs := make([]string, 0, n)
-	for draws := 0; len(addrs) < n; draws++ {
+	for attempts := 0; len(addrs) < n; attempts++ {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.N(lastPort-firstPort))
-		if taken[addr] {
+		if used[addr] {
 			continue
 		}
 		l, err := net.Listen("tcp", addr)
-		if err != nil && draws >= maxDraws {
+		if err != nil && attempts >= maxAttempts {
 			return nil, fmt.Errorf("find a free port: %w", err)
 		}
 		if err != nil {
 			continue
 		}
 		l.Close()
-		taken[addr] = true
+		used[addr] = true
 		addrs = append(addrs, addr)
 	}
 	return addrs, nil
--- a/internal/standin/run.go
+++ b/internal/standin/run.go
@@ -11,15 +11,15 @@
 	"hemlockquay/internal/platform"
 )
 
-// Settings describe a stand-in process.
+// Settings are the settings of hq-standin.
 type Settings struct {
-	// Store is the IP:PORT of the object store.
+	// Store is the IP:PORT at which the object store listens.
 	Store string `json:"store"`
-	// Admin is the IP:PORT for faults and the ledger.
+	// Admin is the IP:PORT at which the admin interface for faults and the ledger listens.
 	Admin string `json:"admin"`
-	// Targets are the target servers.
+	// Targets are the simulated targets.
 	Targets []TargetConfig `json:"targets"`
-	// VMs is the platform's list.
+	// VMs is the initial list of VMs that the store returns.
 	VMs []platform.VM `json:"vms"`
 }
 
@@ -31,10 +31,10 @@
 	return daemon.CheckAddr("/admin", s.Admin)
 }
 
-// Run plays the outside systems until the context ends.
+// Run serves the object store, the targets and the admin interface until the context ends.
 func Run(ctx context.Context, s *Settings) error {
-	w := &World{Store: NewStore(), Ledger: NewLedger()}
-	w.Store.Memory().SetVMs(s.VMs)
+	w := &Environment{Store: NewStore(), Ledger: NewLedger()}
+	w.Store.Backend().SetVMs(s.VMs)
 	for _, c := range s.Targets {
 		t, err := NewServer(c, w.Ledger)
 		if err != nil {
@@ -43,7 +43,7 @@
 		defer t.Kill()
 		w.Targets = append(w.Targets, t)
 	}
-	ended := make(chan error, 2)
+	serveErrors := make(chan error, 2)
 	for addr, handler := range map[string]http.Handler{s.Store: w.Store.Handler(), s.Admin: w.AdminHandler()} {
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -51,12 +51,12 @@
 		}
 		server := &http.Server{Handler: handler}
 		defer server.Close()
-		go func() { ended <- server.Serve(listener) }()
+		go func() { serveErrors <- server.Serve(listener) }()
 	}
 	select {
 	case <-ctx.Done():
 		return nil
-	case err := <-ended:
+	case err := <-serveErrors:
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,51 +11,51 @@
 	"hemlockquay/internal/keyspace"
 )
 
-// TargetConfig describes one stand-in target.
+// TargetConfig is the configuration of one simulated target.
 type TargetConfig struct {
 	Service string `json:"service"`
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
 	Slots   int    `json:"slots"`
 	Keyed   bool   `json:"keyed"`
-	// MeanWorkUS is the mean service time, microseconds.
+	// MeanWorkUS is the mean service time in microseconds.
 	MeanWorkUS int `json:"meanWorkUs"`
-	// Seed makes service times repeatable.
+	// Seed seeds the random service times and failures.
 	Seed uint64 `json:"seed"`
 }
 
-// Server is one stand-in target. Kill and Restart change its incarnation.
+// Server is one simulated target. Each Restart starts a new incarnation.
 type Server struct {
 	config TargetConfig
 	ledger *Ledger
 
-	mu      sync.Mutex
-	life    *targetLife
-	lives   int
-	faults  TargetFaults
-	thawed  chan struct{}
-	random  *rand.Rand
-	started time.Time
+	mu       sync.Mutex
+	process  *targetProcess
+	starts   int
+	faults   TargetFaults
+	unfrozen chan struct{}
+	random   *rand.Rand
+	started  time.Time
 }
 
-// targetLife is one incarnation: its memory is lost with it.
-type targetLife struct {
+// targetProcess is the state of one incarnation. It is lost when the target is killed.
+type targetProcess struct {
 	incarnation string
 	fences      *Fences
 	running     map[string]keyspace.Point
 	listener    net.Listener
 	http        *http.Server
-	ended       chan struct{}
+	stopped     chan struct{}
 }
 
 // NewServer starts a target on its address; ":0" picks a free port.
 func NewServer(config TargetConfig, ledger *Ledger) (*Server, error) {
 	s := &Server{
-		config:  config,
-		ledger:  ledger,
-		thawed:  make(chan struct{}),
-		random:  rand.New(rand.NewPCG(config.Seed, 0)),
-		started: time.Now(),
+		config:   config,
+		ledger:   ledger,
+		unfrozen: make(chan struct{}),
+		random:   rand.New(rand.NewPCG(config.Seed, 0)),
+		started:  time.Now(),
 	}
 	if err := s.Restart(); err != nil {
 		return nil, err
@@ -63,14 +63,14 @@
 	return s, nil
 }
 
-// Config returns the target's description, its real address included.
+// Config returns the target's configuration with the address at which it listens.
 func (s *Server) Config() TargetConfig {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config
 }
 
-// Restart begins a new life without memory. A running target is killed first.
+// Restart starts a new incarnation with empty state. A running one is killed first.
 func (s *Server) Restart() error {
 	s.Kill()
 	listener, err := net.Listen("tcp", s.Config().Addr)
@@ -79,34 +79,34 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lives++
-	incarnation := fmt.Sprintf("%s-%d", s.config.Name, s.lives)
+	s.starts++
+	incarnation := fmt.Sprintf("%s-%d", s.config.Name, s.starts)
 	s.config.Addr = listener.Addr().String()
-	life := &targetLife{
+	process := &targetProcess{
 		incarnation: incarnation,
 		fences:      NewFences(incarnation),
 		running:     make(map[string]keyspace.Point),
 		listener:    listener,
-		ended:       make(chan struct{}),
+		stopped:     make(chan struct{}),
 	}
-	life.http = &http.Server{Handler: s.handler(life)}
-	s.life = life
-	go func() { _ = life.http.Serve(listener) }()
+	process.http = &http.Server{Handler: s.handler(process)}
+	s.process = process
+	go func() { _ = process.http.Serve(listener) }()
 	return nil
 }
 
-// Kill ends the current life at once: connections break, memory is lost.
+// Kill ends the current incarnation at once: its connections are closed and its state is lost.
 func (s *Server) Kill() {
 	s.mu.Lock()
-	life := s.life
-	s.life = nil
+	process := s.process
+	s.process = nil
 	s.mu.Unlock()
-	if life == nil {
+	if process == nil {
 		return
 	}
-	close(life.ended)
-	life.http.Close()
+	close(process.stopped)
+	process.http.Close()
 }
 
-// clock is the target's own clock, nanoseconds; it goes on over restarts.
+// clock returns the target's own time in nanoseconds. Restarts do not reset it.
 func (s *Server) clock() int64 { return int64(time.Since(s.started)) + 1 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -1,6 +1,6 @@
-// Package standin plays the outside systems: the platform's object store and
-// the target servers, with faults on command. It stands in for them in demos,
-// experiments and tests, and is no part of the product's data path.
+// Package standin simulates the external systems: the platform's object store and the
+// target servers, with fault injection. Demos, experiments and tests use it in place of
+// the real systems; it is not part of the production data path.
 package standin
 
 import (
@@ -17,70 +17,70 @@
 	"hemlockquay/internal/platform/objectapi"
 )
 
-// bookmarkEvery is how often a quiet watch shows that it lives.
-const bookmarkEvery = time.Second
+// bookmarkInterval is the interval at which a watch sends bookmarks, which show the
+// client that an idle watch is still alive.
+const bookmarkInterval = time.Second
 
-// StoreFaults are the faults of the store.
+// StoreFaults are the faults injected into the store.
 type StoreFaults struct {
-	// Down refuses every call and breaks watches.
+	// Down closes the connection of every call without a response, and ends watches.
 	Down bool `json:"down"`
-	// SlowMS delays every call, milliseconds.
+	// SlowMS is the delay of every call in milliseconds.
 	SlowMS int `json:"slowMs"`
-	// LoseAnswers drops the answer of that many next writes after they took
-	// effect.
+	// LoseAnswers is the number of next writes that take effect but get no response.
 	LoseAnswers int `json:"loseAnswers"`
-	// SilentWatch keeps watches open without events.
+	// SilentWatch keeps watches open without sending events or bookmarks.
 	SilentWatch bool `json:"silentWatch"`
-	// LoseRequests drops that many next writes before they take effect.
+	// LoseRequests is the number of next writes that are dropped before they take effect.
 	LoseRequests int `json:"loseRequests"`
 }
 
-// Store serves a memstore by the protocol of package objectapi.
+// Store serves a memstore over the protocol of package objectapi.
 type Store struct {
 	mem *memstore.Store
 
-	mu     sync.Mutex
-	faults StoreFaults
-	broken chan struct{}
-	calls  uint64
+	mu       sync.Mutex
+	faults   StoreFaults
+	wentDown chan struct{}
+	calls    uint64
 }
 
 // NewStore returns a store without objects.
-func NewStore() *Store { return &Store{mem: memstore.New(), broken: make(chan struct{})} }
+func NewStore() *Store { return &Store{mem: memstore.New(), wentDown: make(chan struct{})} }
 
-// Memory returns the objects behind the protocol.
-func (s *Store) Memory() *memstore.Store { return s.mem }
+// Backend returns the object store behind the protocol.
+func (s *Store) Backend() *memstore.Store { return s.mem }
 
-// SetFaults puts the faults in force; watches break when the store goes down.
+// SetFaults replaces the faults of the store. StoreFaults.Down ends the open watches.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 	if f.Down {
-		close(s.broken)
-		s.broken = make(chan struct{})
+		close(s.wentDown)
+		s.wentDown = make(chan struct{})
 	}
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns how many calls came since the start.
+// Calls returns the number of calls since the start.
 func (s *Store) Calls() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP interface of the store.
 func (s *Store) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
-	e.Use(s.disturb)
+	e.Use(s.injectFaults)
 	e.GET(objectapi.ObjectsPath, s.listOrWatch)
 	e.POST(objectapi.ObjectsPath, s.put)
 	e.GET(objectapi.ObjectsPath+"/:name", s.get)
@@ -90,8 +90,8 @@
 	return e
 }
 
-// disturb applies the faults before and after a call.
-func (s *Store) disturb(c *gin.Context) {
+// injectFaults applies the current faults to a call.
+func (s *Store) injectFaults(c *gin.Context) {
 	s.mu.Lock()
 	s.calls++
 	f := s.faults
@@ -107,30 +107,30 @@
 	s.mu.Unlock()
 	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
 	if f.Down || loseRequest {
-		hangUp(c)
+		closeConnection(c)
 		return
 	}
 	if loseAnswer {
-		recorder := &discard{ResponseWriter: c.Writer}
-		c.Writer = recorder
+		writer := &discardingWriter{ResponseWriter: c.Writer}
+		c.Writer = writer
 		c.Next()
-		c.Writer = recorder.ResponseWriter
-		hangUp(c)
+		c.Writer = writer.ResponseWriter
+		closeConnection(c)
 		return
 	}
 	c.Next()
 }
 
-// discard runs a handler without sending its answer.
-type discard struct{ gin.ResponseWriter }
+// discardingWriter lets a handler run without sending its response.
+type discardingWriter struct{ gin.ResponseWriter }
 
-func (d *discard) Write(b []byte) (int, error)       { return len(b), nil }
-func (d *discard) WriteString(t string) (int, error) { return len(t), nil }
-func (d *discard) WriteHeader(int)                   {}
-func (d *discard) WriteHeaderNow()                   {}
+func (d *discardingWriter) Write(b []byte) (int, error)       { return len(b), nil }
+func (d *discardingWriter) WriteString(t string) (int, error) { return len(t), nil }
+func (d *discardingWriter) WriteHeader(int)                   {}
+func (d *discardingWriter) WriteHeaderNow()                   {}
 
-// hangUp closes the connection without an answer.
-func hangUp(c *gin.Context) {
+// closeConnection closes the connection of a call without a response.
+func closeConnection(c *gin.Context) {
 	c.Abort()
 	conn, _, err := c.Writer.Hijack()
 	if err == nil {
@@ -160,7 +160,7 @@
 		return
 	}
 	o, err := s.mem.Get(c, id)
-	s.answer(c, o, err)
+	s.respond(c, o, err)
 }
 
 func (s *Store) put(c *gin.Context) {
@@ -175,7 +175,7 @@
 		return
 	}
 	o, err = s.mem.Put(c, o)
-	s.answer(c, o, err)
+	s.respond(c, o, err)
 }
 
 func (s *Store) delete(c *gin.Context) {
@@ -190,10 +190,10 @@
 		return
 	}
 	o := platform.Object{Kind: id.Kind, Name: id.Name, Version: version}
-	s.answer(c, o, s.mem.Delete(c, o))
+	s.respond(c, o, s.mem.Delete(c, o))
 }
 
-func (s *Store) answer(c *gin.Context, o platform.Object, err error) {
+func (s *Store) respond(c *gin.Context, o platform.Object, err error) {
 	switch {
 	case err == nil:
 		c.JSON(http.StatusOK, objectapi.ToItem(o))
@@ -221,5 +221,5 @@
 		c.JSON(http.StatusGone, gin.H{"message": err.Error()})
 		return
 	}
-	s.stream(c, from)
+	s.streamEvents(c, from)
 }
