--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -136,7 +136,7 @@
 	p := newPlay()
 	p.Broken(StaysUp, "vm-2", "its process ended by itself: %v", "exit status 2")
 	var out strings.Builder
-	r := &Run{Seed: 7, Schedule: new(Schedule), Span: time.Second, Dir: "out/soak/7"}
+	r := &Run{Seed: 7, Schedule: new(Schedule), Duration: time.Second, Dir: "out/soak/7"}
 	r.verdict(&out, p.Checker, nil)
 	require.Contains(t, out.String(), "seed 7: BROKEN 1 times;")
 	require.Contains(t, out.String(), "logs in out/soak/7\n")
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -29,8 +29,8 @@
 	Seed     uint64
 	Profile  Profile
 	Schedule *Schedule
-	// Span is how long faults and load last.
-	Span time.Duration
+	// Duration is how long faults and load last.
+	Duration time.Duration
 	// Dir is for settings and logs of the processes, Gateway the program.
 	Dir, Gateway string
 }
@@ -92,7 +92,7 @@
 	check.Begin()
 	faultsOver := make(chan error, 1)
 	go func() { faultsOver <- w.inject(ctx, r.Schedule) }()
-	asking, cancel := context.WithTimeout(ctx, r.Span+tail)
+	asking, cancel := context.WithTimeout(ctx, r.Duration+tail)
 	defer cancel()
 	newLoad(w, r.Seed, check).run(asking)
 	return errors.Join(<-faultsOver, ctx.Err())
@@ -128,7 +128,7 @@
 		word = fmt.Sprintf("BROKEN %d times", len(breaks))
 	}
 	fmt.Fprintf(out, "seed %d: %s; %d faults in %v; %d grants, %d of them moves; asked %d, answered %d, refused %d (%d idempotent ones had run), failed %d, lost %d; logs in %s\n",
-		r.Seed, word, len(r.Schedule.Faults), r.Span, f.Grants, f.Moves, f.Asked, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
+		r.Seed, word, len(r.Schedule.Faults), r.Duration, f.Grants, f.Moves, f.Asked, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
 	for _, b := range breaks[:min(len(breaks), mostShown)] {
 		fmt.Fprintf(out, "seed %d: %s\n", r.Seed, b)
 	}
