--- a/cmd/hq-soak/main.go
+++ b/cmd/hq-soak/main.go
@@ -66,5 +66,5 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	r := soak.Run{Seed: o.Seed, Profile: profile, Schedule: schedule, Duration: o.Span, Dir: o.Dir, Gateway: o.Gateway}
-	return r.Play(ctx, os.Stdout)
+	return r.Execute(ctx, os.Stdout)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -40,8 +40,8 @@
 	errNotGranted = errors.New("keys without an owner after the start")
 )
 
-// Play runs the soak, writes the verdict, and returns an error unless all was kept.
-func (r *Run) Play(ctx context.Context, out io.Writer) error {
+// Execute runs the soak, writes the verdict, and returns an error unless all was kept.
+func (r *Run) Execute(ctx context.Context, out io.Writer) error {
 	if err := r.prepare(); err != nil {
 		return err
 	}
