--- a/cmd/hq-soak/main.go
+++ b/cmd/hq-soak/main.go
@@ -49,7 +49,7 @@
 
 func (o *options) play() error {
 	profile := soak.Profiles[o.Profile]
-	schedule := profile.Draw(o.Seed, o.Span)
+	schedule := profile.Generate(o.Seed, o.Span)
 	if o.Schedule != "" {
 		schedule = new(soak.Schedule)
 		if err := settings.Load(o.Schedule, schedule); err != nil {
--- a/internal/soak/profile.go
+++ b/internal/soak/profile.go
@@ -20,17 +20,17 @@
 	// SoundLinks reports whether no link fails: a VM then gives a request up only because it
 	// stops.
 	SoundLinks bool
-	// Draw returns the schedule of a seed. All faults are over at the end of the time.
-	Draw func(seed uint64, over time.Duration) *Schedule
+	// Generate returns the schedule of a seed. All faults are over at the end of the time.
+	Generate func(seed uint64, over time.Duration) *Schedule
 }
 
 // Profiles are the profiles by name.
 var Profiles = map[string]Profile{
 	// mixed has faults of every kind but slow and mute targets, in series that overlap.
-	"mixed": {Grace: 3 * time.Second, Rate: 40, Deadline: 2 * time.Second, Patience: 4 * time.Second, Draw: Draw},
+	"mixed": {Grace: 3 * time.Second, Rate: 40, Deadline: 2 * time.Second, Patience: 4 * time.Second, Generate: Draw},
 	// stops has graceful shutdowns one after another while targets work for seconds and lose
 	// answers, so that requests outlast the VMs that took them.
-	"stops": {Grace: 6 * time.Second, Rate: 12, Deadline: 4500 * time.Millisecond, Patience: 6 * time.Second, SoundLinks: true, Draw: DrawStops},
+	"stops": {Grace: 6 * time.Second, Rate: 12, Deadline: 4500 * time.Millisecond, Patience: 6 * time.Second, SoundLinks: true, Generate: DrawStops},
 }
 
 // slowWork is how long a slow target works on a request: longer than a VM stays after it has
