--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -9,32 +9,32 @@
 
 // The promises.
 const (
-	OneOwner   = "ONE OWNER"
-	AtMostOnce = "AT MOST ONCE"
-	Whole      = "WHOLE"
-	// Answered: a VM that stops answers what it passed on, and breaks nothing off that it took
+	OneOwner     = "ONE OWNER"
+	AtMostOnce   = "AT MOST ONCE"
+	IntactAnswer = "WHOLE"
+	// AnswerDuringShutdown: a VM that stops answers what it passed on, and breaks nothing off that it took
 	// in the second half of its grace.
-	Answered = "ANSWERED"
-	// StaysUp: a process ends only when it gets a signal to.
-	StaysUp = "STAYS UP"
+	AnswerDuringShutdown = "ANSWERED"
+	// NoUnexpectedExit: a process ends only when it gets a signal to.
+	NoUnexpectedExit = "STAYS UP"
 )
 
 // keys is the number of keys of a service.
 const keys = 1 << 16
 
-// Break is a promise that was not kept.
-type Break struct {
+// Violation is a promise that was not kept.
+type Violation struct {
 	// At is when it was seen, from the start of traffic.
-	At      time.Duration
-	Promise string
+	At        time.Duration
+	Guarantee string
 	// Subject is the key, request or VM.
 	Subject string
-	What    string
+	Detail  string
 }
 
 // String renders the break for people.
-func (b Break) String() string {
-	return fmt.Sprintf("%s broken at %.3f s: %s: %s", b.Promise, b.At.Seconds(), b.Subject, b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("%s broken at %.3f s: %s: %s", b.Guarantee, b.At.Seconds(), b.Subject, b.Detail)
 }
 
 // Checker holds what targets and callers see against the promises. It is safe for
@@ -42,37 +42,37 @@
 type Checker struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	begin    time.Time
-	holders  map[string]*holder
-	requests map[string]*request
-	breaks   []Break
-	// seen are promises and subjects of the breaks: renewals repeat the first one.
-	seen    map[[2]string]bool
-	figures Figures
+	mu         sync.Mutex
+	start      time.Time
+	holders    map[string]*heldKeys
+	requests   map[string]*request
+	violations []Violation
+	// recorded are promises and subjects of the breaks: renewals repeat the first one.
+	recorded map[[2]string]bool
+	stats    Stats
 }
 
-// Figures are how much was checked.
-type Figures struct {
+// Stats are how much was checked.
+type Stats struct {
 	// Grants were taken by targets; Moves are those of keys that another target had.
 	Grants, Moves int
-	// Asked is all requests; each is one of the next four.
-	Asked, Answered, Refused, Failed, Lost int
+	// Sent is all requests; each is one of the next four.
+	Sent, Answered, Refused, Failed, Lost int
 	// RefusedAfterRun are refusals of requests of an idempotent route that had run.
 	RefusedAfterRun int
 }
 
-// holder is what a target has of each key.
-type holder struct {
+// heldKeys is what a target has of each key.
+type heldKeys struct {
 	until [keys]time.Time
 	fence [keys]uint64
 }
 
 // request is what became of a request.
 type request struct {
-	// once: it must not run twice.
-	once bool
-	runs []string
+	// nonIdempotent: it must not run twice.
+	nonIdempotent bool
+	runs          []string
 	// abandoned are the targets that still ran it when its sender closed the connection.
 	abandoned []string
 	// refused is the status of a refusal, or 0.
@@ -82,46 +82,46 @@
 // NewChecker returns a checker that reads the time from a clock.
 func NewChecker(now func() time.Time) *Checker {
 	return &Checker{
-		now: now, begin: now(),
-		holders: make(map[string]*holder), requests: make(map[string]*request), seen: make(map[[2]string]bool),
+		now: now, start: now(),
+		holders: make(map[string]*heldKeys), requests: make(map[string]*request), recorded: make(map[[2]string]bool),
 	}
 }
 
-// Begin marks the start of traffic.
-func (c *Checker) Begin() {
+// StartTraffic marks the start of traffic.
+func (c *Checker) StartTraffic() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begin = c.now()
+	c.start = c.now()
 }
 
-// Broken records that a promise was not kept, once for each subject.
-func (c *Checker) Broken(promise, subject, format string, args ...any) {
+// Violated records that a promise was not kept, once for each subject.
+func (c *Checker) Violated(promise, subject, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken(promise, subject, format, args...)
+	c.violated(promise, subject, format, args...)
 }
 
-// broken needs c.mu.
-func (c *Checker) broken(promise, subject, format string, args ...any) {
-	if c.seen[[2]string{promise, subject}] {
+// violated needs c.mu.
+func (c *Checker) violated(promise, subject, format string, args ...any) {
+	if c.recorded[[2]string{promise, subject}] {
 		return
 	}
-	c.seen[[2]string{promise, subject}] = true
-	c.breaks = append(c.breaks, Break{c.now().Sub(c.begin), promise, subject, fmt.Sprintf(format, args...)})
+	c.recorded[[2]string{promise, subject}] = true
+	c.violations = append(c.violations, Violation{c.now().Sub(c.start), promise, subject, fmt.Sprintf(format, args...)})
 }
 
-// Breaks returns what was broken so far.
-func (c *Checker) Breaks() []Break {
+// Violations returns what was broken so far.
+func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.breaks)
+	return slices.Clone(c.violations)
 }
 
-// Figures returns how much was checked so far.
-func (c *Checker) Figures() Figures {
+// Stats returns how much was checked so far.
+func (c *Checker) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.figures
+	return c.stats
 }
 
 // Granted implements fleet.Watcher.
@@ -132,16 +132,16 @@
 	moved := false
 	for name, other := range c.holders {
 		if name != target {
-			moved = c.compare(name, other, target, from, to, fence, now) || moved
+			moved = c.checkGrant(name, other, target, from, to, fence, now) || moved
 		}
 	}
-	c.figures.Grants++
+	c.stats.Grants++
 	if moved {
-		c.figures.Moves++
+		c.stats.Moves++
 	}
 	own := c.holders[target]
 	if own == nil {
-		own = new(holder)
+		own = new(heldKeys)
 		c.holders[target] = own
 	}
 	for key := int(from); key <= int(to); key++ {
@@ -149,9 +149,9 @@
 	}
 }
 
-// compare looks for keys of a grant that another target holds, or had with a fence that
+// checkGrant looks for keys of a grant that another target holds, or had with a fence that
 // is not lower, and reports whether the keys come from that target. It needs c.mu.
-func (c *Checker) compare(name string, other *holder, target string, from, to uint16, fence uint64, now time.Time) bool {
+func (c *Checker) checkGrant(name string, other *heldKeys, target string, from, to uint16, fence uint64, now time.Time) bool {
 	held, late, moved := -1, -1, false
 	for key := int(to); key >= int(from); key-- {
 		if now.Before(other.until[key]) {
@@ -163,11 +163,11 @@
 		moved = moved || other.fence[key] > 0
 	}
 	if held >= 0 {
-		c.broken(OneOwner, fmt.Sprintf("key %d", held), "%s takes keys %d to %d with fence %d while %s holds the key for %v more, with fence %d",
+		c.violated(OneOwner, fmt.Sprintf("key %d", held), "%s takes keys %d to %d with fence %d while %s holds the key for %v more, with fence %d",
 			target, from, to, fence, name, other.until[held].Sub(now).Round(time.Millisecond), other.fence[held])
 	}
 	if late >= 0 && late != held {
-		c.broken(OneOwner, fmt.Sprintf("key %d", late), "%s takes keys %d to %d with fence %d, and %s has had the key with fence %d",
+		c.violated(OneOwner, fmt.Sprintf("key %d", late), "%s takes keys %d to %d with fence %d, and %s has had the key with fence %d",
 			target, from, to, fence, name, other.fence[late])
 	}
 	return moved
@@ -203,12 +203,12 @@
 	return true
 }
 
-// Asked says that a request is sent; once that its route is not idempotent.
-func (c *Checker) Asked(id string, once bool) {
+// RequestSent says that a request is sent; once that its route is not idempotent.
+func (c *Checker) RequestSent(id string, once bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.figures.Asked++
-	c.requests[id] = &request{once: once}
+	c.stats.Sent++
+	c.requests[id] = &request{nonIdempotent: once}
 }
 
 // Ran implements fleet.Watcher.
@@ -217,15 +217,15 @@
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	if r == nil {
-		c.broken(AtMostOnce, "request "+id, "runs at %s, and nobody sent it", target)
+		c.violated(AtMostOnce, "request "+id, "runs at %s, and nobody sent it", target)
 		return
 	}
 	r.runs = append(r.runs, target)
 	switch {
-	case r.once && len(r.runs) > 1:
-		c.broken(AtMostOnce, "request "+id, "ran at %v", r.runs)
-	case r.once && r.refused > 0:
-		c.broken(AtMostOnce, "request "+id, "runs at %s, and was answered %d", target, r.refused)
+	case r.nonIdempotent && len(r.runs) > 1:
+		c.violated(AtMostOnce, "request "+id, "ran at %v", r.runs)
+	case r.nonIdempotent && r.refused > 0:
+		c.violated(AtMostOnce, "request "+id, "runs at %s, and was answered %d", target, r.refused)
 	}
 }
 
@@ -238,56 +238,56 @@
 	}
 }
 
-// Cut says that the connection of a request to a VM that stops ended without an answer.
-func (c *Checker) Cut(id, vm string) {
+// ConnectionClosed says that the connection of a request to a VM that stops ended without an answer.
+func (c *Checker) ConnectionClosed(id, vm string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if runs := c.requests[id].runs; len(runs) > 0 {
-		c.broken(Answered, "request "+id, "ran at %v, and %s, which stops, closed its connection", runs, vm)
+		c.violated(AnswerDuringShutdown, "request "+id, "ran at %v, and %s, which stops, closed its connection", runs, vm)
 	}
 }
 
-// GivenUp says that a VM that stops answered that a request, sent so long after its SIGTERM,
+// RequestAborted says that a VM that stops answered that a request, sent so long after its SIGTERM,
 // may have run.
-func (c *Checker) GivenUp(id, vm string, after time.Duration) {
+func (c *Checker) RequestAborted(id, vm string, after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if targets := c.requests[id].abandoned; len(targets) > 0 {
-		c.broken(Answered, "request "+id, "sent %v after SIGTERM, and %s gave it up while %v ran it", after.Round(time.Millisecond), vm, targets)
+		c.violated(AnswerDuringShutdown, "request "+id, "sent %v after SIGTERM, and %s gave it up while %v ran it", after.Round(time.Millisecond), vm, targets)
 	}
 }
 
-// Refused says that a request was answered 429 or 503.
-func (c *Checker) Refused(id string, status int) {
+// RequestRefused says that a request was answered 429 or 503.
+func (c *Checker) RequestRefused(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.figures.Refused++
+	c.stats.Refused++
 	r := c.requests[id]
 	r.refused = status
 	switch {
 	case len(r.runs) == 0:
-	case r.once:
-		c.broken(AtMostOnce, "request "+id, "answered %d, and ran at %v", status, r.runs)
+	case r.nonIdempotent:
+		c.violated(AtMostOnce, "request "+id, "answered %d, and ran at %v", status, r.runs)
 	default:
-		c.figures.RefusedAfterRun++
+		c.stats.RefusedAfterRun++
 	}
 }
 
-// Answered says that a request was answered 2xx, and what its target has sent.
-func (c *Checker) Answered(id, body, sent string) {
+// RequestAnswered says that a request was answered 2xx, and what its target has sent.
+func (c *Checker) RequestAnswered(id, body, sent string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.figures.Answered++
+	c.stats.Answered++
 	if body != sent {
-		c.broken(Whole, "request "+id, "%d bytes %.40q, and its target sent %d bytes %.40q", len(body), body, len(sent), sent)
+		c.violated(IntactAnswer, "request "+id, "%d bytes %.40q, and its target sent %d bytes %.40q", len(body), body, len(sent), sent)
 	}
 }
 
-// Failed says that a request was answered otherwise.
-func (c *Checker) Failed() { c.count(&c.figures.Failed) }
+// RequestFailed says that a request was answered otherwise.
+func (c *Checker) RequestFailed() { c.count(&c.stats.Failed) }
 
-// Lost says that a request was not answered.
-func (c *Checker) Lost() { c.count(&c.figures.Lost) }
+// RequestLost says that a request was not answered.
+func (c *Checker) RequestLost() { c.count(&c.stats.Lost) }
 
 func (c *Checker) count(figure *int) {
 	c.mu.Lock()
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -22,15 +22,15 @@
 	vms     []*vm
 	client  *http.Client
 	check   *Checker
-	keys    *rand.Rand
+	random  *rand.Rand
 }
 
-func newLoad(w *world, seed uint64, check *Checker) *load {
+func newLoad(w *site, seed uint64, check *Checker) *load {
 	l := &load{
 		// A caller's own connections: the default ones are kept too few.
-		client:  &http.Client{Timeout: w.profile.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: w.profile.Rate}},
+		client:  &http.Client{Timeout: w.profile.CallerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: w.profile.Rate}},
 		profile: w.profile,
-		check:   check, keys: rand.New(rand.NewPCG(seed, loadStream)),
+		check:   check, random: rand.New(rand.NewPCG(seed, loadStream)),
 	}
 	for _, name := range vmNames() {
 		l.vms = append(l.vms, w.vms[name])
@@ -44,36 +44,36 @@
 	defer wait.Wait()
 	begin := time.Now()
 	for n := 0; pause.For(ctx, time.Until(begin.Add(time.Duration(n)*time.Second/time.Duration(l.profile.Rate)))); n++ {
-		key := l.keys.IntN(keys)
-		wait.Go(func() { l.one(n, key) })
+		key := l.random.IntN(keys)
+		wait.Go(func() { l.send(n, key) })
 	}
 }
 
-// sending is one request to a VM.
-type sending struct {
+// sentRequest is one request to a VM.
+type sentRequest struct {
 	id, path string
 	vm       *vm
 	at       time.Time
-	// staying is the VM's process then if it was not to end, current its process in any case.
-	staying, current *process
+	// running is the VM's process then if it was not to end, latest its process in any case.
+	running, latest *process
 }
 
-// one sends a request: even ones to the route with keys, odd ones to the route that is not
+// send sends a request: even ones to the route with keys, odd ones to the route that is not
 // idempotent. All are POST, which the client's library does not send again by itself.
-func (l *load) one(n, key int) {
+func (l *load) send(n, key int) {
 	host, path, once := fleet.KeyedHost, fleet.KeyedPath, n%2 == 1
 	if once {
 		host, path = fleet.PoolHost, fleet.PoolPath
 	}
 	v := l.vms[n/2%len(l.vms)]
-	s := &sending{
+	s := &sentRequest{
 		id: fmt.Sprintf("soak-%d", n), path: path + strconv.Itoa(n),
-		vm: v, at: time.Now(), staying: v.staying(), current: v.current(),
+		vm: v, at: time.Now(), running: v.running(), latest: v.latest(),
 	}
-	l.check.Asked(s.id, once)
-	r, err := http.NewRequest(http.MethodPost, "http://"+v.front+s.path, http.NoBody)
+	l.check.RequestSent(s.id, once)
+	r, err := http.NewRequest(http.MethodPost, "http://"+v.requestAddr+s.path, http.NoBody)
 	if err != nil {
-		l.check.Lost()
+		l.check.RequestLost()
 		return
 	}
 	r.Host = host
@@ -84,46 +84,46 @@
 	}
 	resp, err := l.client.Do(r)
 	if err != nil {
-		l.unanswered(s, err)
+		l.handleError(s, err)
 		return
 	}
 	defer resp.Body.Close()
-	l.answered(s, resp)
+	l.handleResponse(s, resp)
 }
 
-// unanswered judges a connection that ended without an answer.
-func (l *load) unanswered(s *sending, err error) {
-	l.check.Lost()
-	if _, stops := s.vm.stopping(s.current); stops && !os.IsTimeout(err) {
-		l.check.Cut(s.id, s.vm.name)
+// handleError judges a connection that ended without an answer.
+func (l *load) handleError(s *sentRequest, err error) {
+	l.check.RequestLost()
+	if _, stops := s.vm.shutdownStart(s.latest); stops && !os.IsTimeout(err) {
+		l.check.ConnectionClosed(s.id, s.vm.name)
 	}
 }
 
-// answered judges an answer.
-func (l *load) answered(s *sending, resp *http.Response) {
+// handleResponse judges an answer.
+func (l *load) handleResponse(s *sentRequest, resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	switch code := resp.StatusCode; {
 	case code == http.StatusTooManyRequests || code == http.StatusServiceUnavailable:
-		l.check.Refused(s.id, code)
+		l.check.RequestRefused(s.id, code)
 	case code/100 != 2:
-		l.check.Failed()
+		l.check.RequestFailed()
 		if code == http.StatusBadGateway {
-			l.givenUp(s)
+			l.checkAborted(s)
 		}
-	case err != nil && (os.IsTimeout(err) || s.staying == nil || s.staying != s.vm.staying()):
+	case err != nil && (os.IsTimeout(err) || s.running == nil || s.running != s.vm.running()):
 		// The VM is suspended or its process has ended: the caller sees that the body is short.
-		l.check.Lost()
+		l.check.RequestLost()
 	default:
-		l.check.Answered(s.id, string(body), fleet.Body(resp.Header.Get(fleet.Headers.Stamp), s.path, bodyBytes))
+		l.check.RequestAnswered(s.id, string(body), fleet.Body(resp.Header.Get(fleet.Headers.Stamp), s.path, bodyBytes))
 	}
 }
 
-// givenUp judges an answer that promises nothing, of a VM that took the request in the second
+// checkAborted judges an answer that promises nothing, of a VM that took the request in the second
 // half of its grace.
-func (l *load) givenUp(s *sending) {
-	stoppedAt, stops := s.vm.stopping(s.current)
+func (l *load) checkAborted(s *sentRequest) {
+	stoppedAt, stops := s.vm.shutdownStart(s.latest)
 	after := s.at.Sub(stoppedAt)
-	if stops && l.profile.SoundLinks && after > s.vm.grace/2 {
-		l.check.GivenUp(s.id, s.vm.name, after)
+	if stops && l.profile.ReliableLinks && after > s.vm.grace/2 {
+		l.check.RequestAborted(s.id, s.vm.name, after)
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// startPatience bounds the wait until all keys have owners.
-	startPatience = 20 * time.Second
-	// startLook is the pause between two looks at them.
-	startLook = 50 * time.Millisecond
-	// tail is how long the site is watched after the last fault: longer than a hold.
-	tail = 3 * time.Second
-	// mostShown bounds the breaks that a verdict lists.
-	mostShown = 20
+	// startTimeout bounds the wait until all keys have owners.
+	startTimeout = 20 * time.Second
+	// startPollInterval is the pause between two looks at them.
+	startPollInterval = 50 * time.Millisecond
+	// settleTime is how long the site is watched after the last fault: longer than a hold.
+	settleTime = 3 * time.Second
+	// maxShownViolations bounds the breaks that a verdict lists.
+	maxShownViolations = 20
 )
 
 // Run is one run of the soak.
@@ -36,8 +36,8 @@
 }
 
 var (
-	errBroken     = errors.New("a promise was broken")
-	errNotGranted = errors.New("keys without an owner after the start")
+	errViolations  = errors.New("a promise was broken")
+	errUnownedKeys = errors.New("keys without an owner after the start")
 )
 
 // Execute runs the soak, writes the verdict, and returns an error unless all was kept.
@@ -46,15 +46,15 @@
 		return err
 	}
 	check := NewChecker(time.Now)
-	w, err := newWorld(r.Dir, r.Gateway, r.Profile, check)
+	w, err := newSite(r.Dir, r.Gateway, r.Profile, check)
 	if err != nil {
 		return err
 	}
-	err = r.play(ctx, w, check)
+	err = r.execute(ctx, w, check)
 	w.close()
 	r.verdict(out, check, err)
-	if err == nil && len(check.Breaks()) > 0 {
-		err = errBroken
+	if err == nil && len(check.Violations()) > 0 {
+		err = errViolations
 	}
 	if err != nil {
 		return fmt.Errorf("soak of seed %d, logs in %s: %w", r.Seed, r.Dir, err)
@@ -78,28 +78,28 @@
 	return nil
 }
 
-func (r *Run) play(ctx context.Context, w *world, check *Checker) error {
+func (r *Run) execute(ctx context.Context, w *site, check *Checker) error {
 	for _, v := range w.vms {
 		if err := v.start(); err != nil {
 			return err
 		}
 	}
 	for begin := time.Now(); !check.AllHeld(); {
-		if time.Since(begin) > startPatience || !pause.For(ctx, startLook) {
-			return errNotGranted
+		if time.Since(begin) > startTimeout || !pause.For(ctx, startPollInterval) {
+			return errUnownedKeys
 		}
 	}
-	check.Begin()
+	check.StartTraffic()
 	faultsOver := make(chan error, 1)
 	go func() { faultsOver <- w.inject(ctx, r.Schedule) }()
-	asking, cancel := context.WithTimeout(ctx, r.Duration+tail)
+	asking, cancel := context.WithTimeout(ctx, r.Duration+settleTime)
 	defer cancel()
 	newLoad(w, r.Seed, check).run(asking)
 	return errors.Join(<-faultsOver, ctx.Err())
 }
 
 // inject plays the faults, each with a goroutine.
-func (w *world) inject(ctx context.Context, s *Schedule) error {
+func (w *site) inject(ctx context.Context, s *Schedule) error {
 	errs := make([]error, len(s.Faults))
 	var wait sync.WaitGroup
 	for i, f := range s.Faults {
@@ -107,9 +107,9 @@
 			if !pause.For(ctx, f.At.D()) {
 				return
 			}
-			w.begin(f)
-			pause.For(ctx, f.For.D())
-			errs[i] = w.end(f)
+			w.startFault(f)
+			pause.For(ctx, f.Duration.D())
+			errs[i] = w.endFault(f)
 		})
 	}
 	wait.Wait()
@@ -119,7 +119,7 @@
 // verdict names the seed, and each broken promise with its subject and the logs. A run that
 // ended with an error says so.
 func (r *Run) verdict(out io.Writer, check *Checker, err error) {
-	breaks, f := check.Breaks(), check.Figures()
+	breaks, f := check.Violations(), check.Stats()
 	word := "whole"
 	switch {
 	case err != nil && len(breaks) == 0:
@@ -128,8 +128,8 @@
 		word = fmt.Sprintf("BROKEN %d times", len(breaks))
 	}
 	fmt.Fprintf(out, "seed %d: %s; %d faults in %v; %d grants, %d of them moves; asked %d, answered %d, refused %d (%d idempotent ones had run), failed %d, lost %d; logs in %s\n",
-		r.Seed, word, len(r.Schedule.Faults), r.Duration, f.Grants, f.Moves, f.Asked, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
-	for _, b := range breaks[:min(len(breaks), mostShown)] {
+		r.Seed, word, len(r.Schedule.Faults), r.Duration, f.Grants, f.Moves, f.Sent, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
+	for _, b := range breaks[:min(len(breaks), maxShownViolations)] {
 		fmt.Fprintf(out, "seed %d: %s\n", r.Seed, b)
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -25,22 +25,22 @@
 
 // The kinds. Each begins at a moment and is over after a time.
 const (
-	// Cut: the link of a target, or that of a VM to the store, holds what is sent.
-	Cut Kind = "cut"
-	// Reset: the open connections of a link end, those of a target or of a VM to the store.
-	Reset Kind = "reset"
-	// Lapse: the store has no entry of a target.
-	Lapse Kind = "lapse"
-	// Stop: a VM's process is suspended.
-	Stop Kind = "stop"
+	// HoldLink: the link of a target, or that of a VM to the store, holds what is sent.
+	HoldLink Kind = "cut"
+	// ResetLink: the open connections of a link end, those of a target or of a VM to the store.
+	ResetLink Kind = "reset"
+	// RemoveEntry: the store has no entry of a target.
+	RemoveEntry Kind = "lapse"
+	// Suspend: a VM's process is suspended.
+	Suspend Kind = "stop"
 	// Kill: a VM's process is killed, and started again when the fault is over.
 	Kill Kind = "kill"
-	// Term: a VM's process is asked to leave, is killed after its grace, and is started again.
-	Term Kind = "term"
-	// Slow: a target works for seconds on each request.
-	Slow Kind = "slow"
-	// Mute: a target ends its connections in place of answers to requests that it ran.
-	Mute Kind = "mute"
+	// Terminate: a VM's process is asked to leave, is killed after its grace, and is started again.
+	Terminate Kind = "term"
+	// SlowTarget: a target works for seconds on each request.
+	SlowTarget Kind = "slow"
+	// DropAnswers: a target ends its connections in place of answers to requests that it ran.
+	DropAnswers Kind = "mute"
 )
 
 // Fault is one fault of a schedule.
@@ -48,10 +48,10 @@
 	// At is when it begins, from the start of traffic.
 	At   model.Duration `json:"at"`
 	Kind Kind           `json:"kind"`
-	// What names a target or a VM. A cut of a VM is that of its link to the store.
-	What string `json:"what"`
-	// For is how long it lasts.
-	For model.Duration `json:"for"`
+	// Subject names a target or a VM. A cut of a VM is that of its link to the store.
+	Subject string `json:"what"`
+	// Duration is how long it lasts.
+	Duration model.Duration `json:"for"`
 }
 
 // Schedule is a list of faults.
@@ -60,18 +60,18 @@
 }
 
 // kinds are what may happen to targets and VMs.
-var kinds = map[bool][]Kind{true: {Cut, Reset, Lapse, Slow, Mute}, false: {Cut, Reset, Stop, Kill, Term}}
+var kinds = map[bool][]Kind{true: {HoldLink, ResetLink, RemoveEntry, SlowTarget, DropAnswers}, false: {HoldLink, ResetLink, Suspend, Kill, Terminate}}
 
 // Check implements settings.Checker.
 func (s *Schedule) Check() error {
 	for i, f := range s.Faults {
-		target := slices.Contains(targetNames(), f.What)
+		target := slices.Contains(targetNames(), f.Subject)
 		switch {
-		case !target && !slices.Contains(vmNames(), f.What):
-			return settings.Impossible(fmt.Sprintf("/faults/%d/what", i), "%q is neither target nor VM", f.What)
+		case !target && !slices.Contains(vmNames(), f.Subject):
+			return settings.Impossible(fmt.Sprintf("/faults/%d/what", i), "%q is neither target nor VM", f.Subject)
 		case !slices.Contains(kinds[target], f.Kind):
-			return settings.Impossible(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.What)
-		case f.At < 0 || f.For < 0:
+			return settings.Impossible(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.Subject)
+		case f.At < 0 || f.Duration < 0:
 			return settings.Impossible(fmt.Sprintf("/faults/%d", i), "a time is negative")
 		}
 	}
@@ -94,78 +94,78 @@
 	return out + "\n]}\n"
 }
 
-// span is a range from which a time is drawn.
-type span struct{ least, most time.Duration }
+// durationRange is a range from which a time is drawn.
+type durationRange struct{ min, max time.Duration }
 
 // How faults are drawn.
 var (
-	// betweenSeries is from the start of one series to that of the next, less than faults
+	// seriesInterval is from the start of one series to that of the next, less than faults
 	// last: series overlap.
-	betweenSeries = span{time.Second, 5 * time.Second}
-	// inSeries is from the start of a series to that of each of its faults.
-	inSeries = span{0, 1500 * time.Millisecond}
-	// lasts is by kind. A target's hold is about 2.4 s: cuts are shorter and longer.
-	lasts = map[Kind]span{
-		Cut:   {300 * time.Millisecond, 8 * time.Second},
-		Reset: {time.Millisecond, 2 * time.Millisecond},
-		Stop:  {200 * time.Millisecond, 5 * time.Second},
-		Kill:  {200 * time.Millisecond, 4 * time.Second},
-		Term:  {time.Second, 5 * time.Second},
+	seriesInterval = durationRange{time.Second, 5 * time.Second}
+	// offsetInSeries is from the start of a series to that of each of its faults.
+	offsetInSeries = durationRange{0, 1500 * time.Millisecond}
+	// durations is by kind. A target's hold is about 2.4 s: cuts are shorter and longer.
+	durations = map[Kind]durationRange{
+		HoldLink:  {300 * time.Millisecond, 8 * time.Second},
+		ResetLink: {time.Millisecond, 2 * time.Millisecond},
+		Suspend:   {200 * time.Millisecond, 5 * time.Second},
+		Kill:      {200 * time.Millisecond, 4 * time.Second},
+		Terminate: {time.Second, 5 * time.Second},
 	}
 )
 
 const (
-	// mostInSeries bounds the faults of a series.
-	mostInSeries = 4
-	// resetEvery: one in so many faults of a target is a reset, the others are cuts.
-	resetEvery = 4
-	// entryLife is how long a target that is cut off stays in the store.
-	entryLife = 1500 * time.Millisecond
+	// maxFaultsPerSeries bounds the faults of a series.
+	maxFaultsPerSeries = 4
+	// resetOneIn: one in so many faults of a target is a reset, the others are cuts.
+	resetOneIn = 4
+	// entryTTL is how long a target that is cut off stays in the store.
+	entryTTL = 1500 * time.Millisecond
 	// scheduleStream separates the schedule's random numbers from the load's.
 	scheduleStream, loadStream = 1, 2
 )
 
-func (s span) draw(r *rand.Rand) time.Duration {
-	return (s.least + time.Duration(r.Int64N(int64(s.most-s.least)))).Round(time.Millisecond)
+func (s durationRange) random(r *rand.Rand) time.Duration {
+	return (s.min + time.Duration(r.Int64N(int64(s.max-s.min)))).Round(time.Millisecond)
 }
 
-// Draw returns the schedule of a seed. All faults are over at the end of the time.
-func Draw(seed uint64, over time.Duration) *Schedule {
+// GenerateMixed returns the schedule of a seed. All faults are over at the end of the time.
+func GenerateMixed(seed uint64, over time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, scheduleStream))
 	s := new(Schedule)
-	for begin := betweenSeries.least; begin < over; begin += betweenSeries.draw(r) {
-		for range 1 + r.IntN(mostInSeries) {
-			s.add(drawFault(r, begin+inSeries.draw(r)), over)
+	for begin := seriesInterval.min; begin < over; begin += seriesInterval.random(r) {
+		for range 1 + r.IntN(maxFaultsPerSeries) {
+			s.add(randomFault(r, begin+offsetInSeries.random(r)), over)
 		}
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return s
 }
 
-func drawFault(r *rand.Rand, at time.Duration) Fault {
+func randomFault(r *rand.Rand, at time.Duration) Fault {
 	names := targetNames()
 	if r.IntN(2) == 0 {
 		names = vmNames()
 	}
-	f := Fault{At: model.Duration(at), Kind: Cut, What: names[r.IntN(len(names))]}
+	f := Fault{At: model.Duration(at), Kind: HoldLink, Subject: names[r.IntN(len(names))]}
 	switch {
-	case slices.Contains(vmNames(), f.What):
+	case slices.Contains(vmNames(), f.Subject):
 		f.Kind = kinds[false][r.IntN(len(kinds[false]))]
-	case r.IntN(resetEvery) == 0:
-		f.Kind = Reset
+	case r.IntN(resetOneIn) == 0:
+		f.Kind = ResetLink
 	}
-	f.For = model.Duration(lasts[f.Kind].draw(r))
+	f.Duration = model.Duration(durations[f.Kind].random(r))
 	return f
 }
 
 // add takes a fault in, and with the cut of a target the lapse of its entry.
 func (s *Schedule) add(f Fault, over time.Duration) {
-	f.For = min(f.For, model.Duration(over)-f.At)
-	if f.For <= 0 {
+	f.Duration = min(f.Duration, model.Duration(over)-f.At)
+	if f.Duration <= 0 {
 		return
 	}
 	s.Faults = append(s.Faults, f)
-	if f.Kind == Cut && f.For > model.Duration(entryLife) && slices.Contains(targetNames(), f.What) {
-		s.Faults = append(s.Faults, Fault{At: f.At + model.Duration(entryLife), Kind: Lapse, What: f.What, For: f.For - model.Duration(entryLife)})
+	if f.Kind == HoldLink && f.Duration > model.Duration(entryTTL) && slices.Contains(targetNames(), f.Subject) {
+		s.Faults = append(s.Faults, Fault{At: f.At + model.Duration(entryTTL), Kind: RemoveEntry, Subject: f.Subject, Duration: f.Duration - model.Duration(entryTTL)})
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/site.go
@@ -17,8 +17,8 @@
 	// vmCount is the number of VMs, targetCount that of the targets of each service, and
 	// slots the requests that a target runs at a time.
 	vmCount, targetCount, slots = 3, 3, 4
-	// work is how long a target works on a request: cuts and resets meet some at work.
-	work = 100 * time.Millisecond
+	// serviceTime is how long a target works on a request: cuts and resets meet some at work.
+	serviceTime = 100 * time.Millisecond
 	// bodyBytes is what an answer has at least: several reads of a link.
 	bodyBytes = 20_000
 )
@@ -37,8 +37,8 @@
 	return out
 }
 
-// world is the site: what is played, the links, and the VMs.
-type world struct {
+// site is the site: what is played, the links, and the VMs.
+type site struct {
 	profile Profile
 	store   *fleet.Store
 	server  *http.Server
@@ -52,9 +52,9 @@
 	active map[[2]string]int
 }
 
-// newWorld starts what is played and the links, and writes the VMs' settings.
-func newWorld(dir, program string, profile Profile, check *Checker) (*world, error) {
-	w := &world{
+// newSite starts what is played and the links, and writes the VMs' settings.
+func newSite(dir, program string, profile Profile, check *Checker) (*site, error) {
+	w := &site{
 		profile: profile, store: fleet.NewStore(), targets: make(map[string]*fleet.Target), vms: make(map[string]*vm),
 		links: make(map[string]*link.Link), active: make(map[[2]string]int),
 	}
@@ -73,14 +73,14 @@
 	return w, nil
 }
 
-func (w *world) addTargets(check *Checker) error {
+func (w *site) addTargets(check *Checker) error {
 	for i, name := range targetNames() {
 		t := &fleet.Target{ID: name, Service: "pool", Zone: "a", Slots: slots, Pad: bodyBytes, Watcher: check}
 		if i < targetCount {
 			t.Service, t.Keyed = "keyed", true
 		}
 		t.Via = func(addr string) (string, error) { return w.addLink(name, addr) }
-		t.SetWork(work)
+		t.SetWork(serviceTime)
 		if err := t.Start(w.store); err != nil {
 			return err
 		}
@@ -90,7 +90,7 @@
 }
 
 // addLink returns the address that leads to another over a link.
-func (w *world) addLink(name, addr string) (string, error) {
+func (w *site) addLink(name, addr string) (string, error) {
 	l, err := link.New(addr)
 	if err != nil {
 		return "", err
@@ -99,86 +99,86 @@
 	return l.Addr(), nil
 }
 
-func (w *world) addVMs(dir, program, store string, check *Checker) error {
+func (w *site) addVMs(dir, program, store string, check *Checker) error {
 	written, err := fleet.WriteGateways(dir, vmNames(), w.profile.Grace, func(name string) (string, error) { return w.addLink(name, store) })
 	if err != nil {
 		return err
 	}
 	for _, s := range written {
 		file := filepath.Join(dir, s.VM)
-		w.vms[s.VM] = &vm{name: s.VM, front: s.Front, program: program, settings: file + ".jsonc", log: file + ".log", grace: w.profile.Grace, check: check}
+		w.vms[s.VM] = &vm{name: s.VM, requestAddr: s.Front, program: program, settings: file + ".jsonc", log: file + ".log", grace: w.profile.Grace, check: check}
 	}
 	return nil
 }
 
-// begin begins a fault, unless it is under way already.
-func (w *world) begin(f Fault) {
+// startFault begins a fault, unless it is under way already.
+func (w *site) startFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.active[f.group()]++; w.active[f.group()] > 1 {
+	if w.active[f.activeKey()]++; w.active[f.activeKey()] > 1 {
 		return
 	}
 	switch f.Kind {
-	case Cut:
-		w.links[f.What].Hold()
-	case Reset:
-		w.links[f.What].Reset()
-	case Lapse:
-		w.store.Remove("servers", f.What)
-	case Slow:
-		w.targets[f.What].SetWork(slowWork)
-	case Mute:
-		w.targets[f.What].SetMute(true)
-	case Stop:
-		w.vms[f.What].suspend()
+	case HoldLink:
+		w.links[f.Subject].Hold()
+	case ResetLink:
+		w.links[f.Subject].Reset()
+	case RemoveEntry:
+		w.store.Remove("servers", f.Subject)
+	case SlowTarget:
+		w.targets[f.Subject].SetWork(slowServiceTime)
+	case DropAnswers:
+		w.targets[f.Subject].SetMute(true)
+	case Suspend:
+		w.vms[f.Subject].suspend()
 	case Kill:
-		w.vms[f.What].kill()
-	case Term:
-		w.vms[f.What].leave()
+		w.vms[f.Subject].kill()
+	case Terminate:
+		w.vms[f.Subject].terminate()
 	}
 }
 
-// end ends a fault, unless another of its kind is still under way.
-func (w *world) end(f Fault) error {
-	if !w.last(f) {
+// endFault ends a fault, unless another of its kind is still under way.
+func (w *site) endFault(f Fault) error {
+	if !w.deactivate(f) {
 		return nil
 	}
 	switch f.Kind {
-	case Cut:
-		w.links[f.What].Heal()
-	case Lapse:
-		w.targets[f.What].List(w.store)
-	case Slow:
-		w.targets[f.What].SetWork(work)
-	case Mute:
-		w.targets[f.What].SetMute(false)
-	case Stop:
-		w.vms[f.What].resume()
-	case Kill, Term:
-		return w.vms[f.What].start()
+	case HoldLink:
+		w.links[f.Subject].Heal()
+	case RemoveEntry:
+		w.targets[f.Subject].List(w.store)
+	case SlowTarget:
+		w.targets[f.Subject].SetWork(serviceTime)
+	case DropAnswers:
+		w.targets[f.Subject].SetMute(false)
+	case Suspend:
+		w.vms[f.Subject].resume()
+	case Kill, Terminate:
+		return w.vms[f.Subject].start()
 	}
 	return nil
 }
 
-// last takes a fault off, and reports whether no other of its group is left.
-func (w *world) last(f Fault) bool {
+// deactivate takes a fault off, and reports whether no other of its group is left.
+func (w *site) deactivate(f Fault) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.active[f.group()]--
-	return w.active[f.group()] == 0
+	w.active[f.activeKey()]--
+	return w.active[f.activeKey()] == 0
 }
 
-// group returns what faults share that end with the last of them: a VM that is killed and
+// activeKey returns what faults share that end with the last of them: a VM that is killed and
 // asked to leave starts once.
-func (f Fault) group() [2]string {
-	if f.Kind == Term {
-		return [2]string{f.What, string(Kill)}
+func (f Fault) activeKey() [2]string {
+	if f.Kind == Terminate {
+		return [2]string{f.Subject, string(Kill)}
 	}
-	return [2]string{f.What, string(f.Kind)}
+	return [2]string{f.Subject, string(f.Kind)}
 }
 
 // close ends the processes, and then what they were connected to.
-func (w *world) close() {
+func (w *site) close() {
 	var wait sync.WaitGroup
 	for _, v := range w.vms {
 		wait.Go(v.close)
