--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// The promises.
+// The guarantees that a run checks.
 const (
 	OneOwner     = "ONE OWNER"
 	AtMostOnce   = "AT MOST ONCE"
 	IntactAnswer = "WHOLE"
-	// AnswerDuringShutdown: a VM that stops answers what it passed on, and breaks nothing off that it took
-	// in the second half of its grace.
+	// AnswerDuringShutdown: a VM that shuts down answers the requests that it forwarded, and aborts
+	// none that it accepted in the second half of its grace period.
 	AnswerDuringShutdown = "ANSWERED"
-	// NoUnexpectedExit: a process ends only when it gets a signal to.
+	// NoUnexpectedExit: a process exits only after a signal that ends it.
 	NoUnexpectedExit = "STAYS UP"
 )
 
 // keys is the number of keys of a service.
 const keys = 1 << 16
 
-// Violation is a promise that was not kept.
+// Violation is an observation that contradicts a guarantee.
 type Violation struct {
-	// At is when it was seen, from the start of traffic.
+	// At is when the violation was observed, from the start of traffic.
 	At        time.Duration
 	Guarantee string
-	// Subject is the key, request or VM.
+	// Subject is the key, request or VM concerned.
 	Subject string
 	Detail  string
 }
 
-// String renders the break for people.
+// String renders the violation as a line of the verdict.
 func (b Violation) String() string {
-	return fmt.Sprintf("%s broken at %.3f s: %s: %s", b.Guarantee, b.At.Seconds(), b.Subject, b.Detail)
+	return fmt.Sprintf("%s violated at %.3f s: %s: %s", b.Guarantee, b.At.Seconds(), b.Subject, b.Detail)
 }
 
-// Checker holds what targets and callers see against the promises. It is safe for
-// concurrent use, and is a fleet.Watcher.
+// Checker checks what targets and callers observe against the guarantees. It is safe for concurrent use
+// and implements fleet.Watcher.
 type Checker struct {
 	now func() time.Time
 
@@ -47,35 +47,38 @@
 	holders    map[string]*heldKeys
 	requests   map[string]*request
 	violations []Violation
-	// recorded are promises and subjects of the breaks: renewals repeat the first one.
+	// recorded holds the guarantee and subject of each violation, since renewals of a grant repeat
+	// the first one.
 	recorded map[[2]string]bool
 	stats    Stats
 }
 
-// Stats are how much was checked.
+// Stats counts what was checked.
 type Stats struct {
-	// Grants were taken by targets; Moves are those of keys that another target had.
+	// Grants counts the grants accepted by targets, Moves those with keys that another target had
+	// held before.
 	Grants, Moves int
-	// Sent is all requests; each is one of the next four.
+	// Sent counts all requests; each also counts as one of the next four once it has ended.
 	Sent, Answered, Refused, Failed, Lost int
-	// RefusedAfterRun are refusals of requests of an idempotent route that had run.
+	// RefusedAfterRun counts refusals of requests to an idempotent route that had run.
 	RefusedAfterRun int
 }
 
-// heldKeys is what a target has of each key.
+// heldKeys is the end of the hold and the latest fence of each key at one target.
 type heldKeys struct {
 	until [keys]time.Time
 	fence [keys]uint64
 }
 
-// request is what became of a request.
+// request is what is known of a request.
 type request struct {
-	// nonIdempotent: it must not run twice.
+	// nonIdempotent requests must not run more than once.
 	nonIdempotent bool
 	runs          []string
-	// abandoned are the targets that still ran it when its sender closed the connection.
+	// abandoned lists the targets that were running the request when its sender closed the
+	// connection.
 	abandoned []string
-	// refused is the status of a refusal, or 0.
+	// refused is the status code of a refusal, or 0.
 	refused int
 }
 
@@ -94,30 +97,30 @@
 	c.start = c.now()
 }
 
-// Violated records that a promise was not kept, once for each subject.
-func (c *Checker) Violated(promise, subject, format string, args ...any) {
+// Violated records a violation, once per guarantee and subject.
+func (c *Checker) Violated(guarantee, subject, format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.violated(promise, subject, format, args...)
+	c.violated(guarantee, subject, format, args...)
 }
 
-// violated needs c.mu.
-func (c *Checker) violated(promise, subject, format string, args ...any) {
-	if c.recorded[[2]string{promise, subject}] {
+// violated is Violated for callers that hold c.mu.
+func (c *Checker) violated(guarantee, subject, format string, args ...any) {
+	if c.recorded[[2]string{guarantee, subject}] {
 		return
 	}
-	c.recorded[[2]string{promise, subject}] = true
-	c.violations = append(c.violations, Violation{c.now().Sub(c.start), promise, subject, fmt.Sprintf(format, args...)})
+	c.recorded[[2]string{guarantee, subject}] = true
+	c.violations = append(c.violations, Violation{c.now().Sub(c.start), guarantee, subject, fmt.Sprintf(format, args...)})
 }
 
-// Violations returns what was broken so far.
+// Violations returns the violations so far.
 func (c *Checker) Violations() []Violation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.violations)
 }
 
-// Stats returns how much was checked so far.
+// Stats returns the counts so far.
 func (c *Checker) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,8 +152,9 @@
 	}
 }
 
-// checkGrant looks for keys of a grant that another target holds, or had with a fence that
-// is not lower, and reports whether the keys come from that target. It needs c.mu.
+// checkGrant records a violation if the other target still holds keys of the grant, or has held them with
+// a fence that is not lower. It reports whether the other target has held any of the keys. The caller
+// must hold c.mu.
 func (c *Checker) checkGrant(name string, other *heldKeys, target string, from, to uint16, fence uint64, now time.Time) bool {
 	held, late, moved := -1, -1, false
 	for key := int(to); key >= int(from); key-- {
@@ -203,7 +207,7 @@
 	return true
 }
 
-// RequestSent says that a request is sent; once that its route is not idempotent.
+// RequestSent records that a request is sent; once is set for a non-idempotent route.
 func (c *Checker) RequestSent(id string, once bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -217,7 +221,7 @@
 	defer c.mu.Unlock()
 	r := c.requests[id]
 	if r == nil {
-		c.violated(AtMostOnce, "request "+id, "runs at %s, and nobody sent it", target)
+		c.violated(AtMostOnce, "request "+id, "runs at %s, but was never sent", target)
 		return
 	}
 	r.runs = append(r.runs, target)
@@ -225,7 +229,7 @@
 	case r.nonIdempotent && len(r.runs) > 1:
 		c.violated(AtMostOnce, "request "+id, "ran at %v", r.runs)
 	case r.nonIdempotent && r.refused > 0:
-		c.violated(AtMostOnce, "request "+id, "runs at %s, and was answered %d", target, r.refused)
+		c.violated(AtMostOnce, "request "+id, "runs at %s after it was answered %d", target, r.refused)
 	}
 }
 
@@ -238,26 +242,27 @@
 	}
 }
 
-// ConnectionClosed says that the connection of a request to a VM that stops ended without an answer.
+// ConnectionClosed records that a VM that shuts down closed the connection of a request without an
+// answer.
 func (c *Checker) ConnectionClosed(id, vm string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if runs := c.requests[id].runs; len(runs) > 0 {
-		c.violated(AnswerDuringShutdown, "request "+id, "ran at %v, and %s, which stops, closed its connection", runs, vm)
+		c.violated(AnswerDuringShutdown, "request "+id, "ran at %v, but %s closed its connection without an answer while shutting down", runs, vm)
 	}
 }
 
-// RequestAborted says that a VM that stops answered that a request, sent so long after its SIGTERM,
-// may have run.
+// RequestAborted records that a VM that shuts down answered that a request may have run. after is the
+// time from its SIGTERM to the sending of the request.
 func (c *Checker) RequestAborted(id, vm string, after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if targets := c.requests[id].abandoned; len(targets) > 0 {
-		c.violated(AnswerDuringShutdown, "request "+id, "sent %v after SIGTERM, and %s gave it up while %v ran it", after.Round(time.Millisecond), vm, targets)
+		c.violated(AnswerDuringShutdown, "request "+id, "sent %v after SIGTERM, and %s aborted it while %v ran it", after.Round(time.Millisecond), vm, targets)
 	}
 }
 
-// RequestRefused says that a request was answered 429 or 503.
+// RequestRefused records that a request was answered 429 or 503.
 func (c *Checker) RequestRefused(id string, status int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,26 +272,27 @@
 	switch {
 	case len(r.runs) == 0:
 	case r.nonIdempotent:
-		c.violated(AtMostOnce, "request "+id, "answered %d, and ran at %v", status, r.runs)
+		c.violated(AtMostOnce, "request "+id, "answered %d, but ran at %v", status, r.runs)
 	default:
 		c.stats.RefusedAfterRun++
 	}
 }
 
-// RequestAnswered says that a request was answered 2xx, and what its target has sent.
+// RequestAnswered records that a request was answered 2xx, with the body received and the body that its
+// target sent.
 func (c *Checker) RequestAnswered(id, body, sent string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Answered++
 	if body != sent {
-		c.violated(IntactAnswer, "request "+id, "%d bytes %.40q, and its target sent %d bytes %.40q", len(body), body, len(sent), sent)
+		c.violated(IntactAnswer, "request "+id, "received %d bytes %.40q, but its target sent %d bytes %.40q", len(body), body, len(sent), sent)
 	}
 }
 
-// RequestFailed says that a request was answered otherwise.
+// RequestFailed records that a request was answered with another status.
 func (c *Checker) RequestFailed() { c.count(&c.stats.Failed) }
 
-// RequestLost says that a request was not answered.
+// RequestLost records that a request got no answer.
 func (c *Checker) RequestLost() { c.count(&c.stats.Lost) }
 
 func (c *Checker) count(figure *int) {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -11,10 +11,10 @@
 	"hemlockquay/internal/standin/fleet"
 )
 
-// Targets report to the checker what they do.
+// Targets report their events to a Checker.
 var _ fleet.Watcher = (*Checker)(nil)
 
-// manualChecker is a checker with a clock that is set by hand.
+// manualChecker is a Checker with a clock that the test sets.
 type manualChecker struct {
 	*Checker
 	now time.Time
@@ -26,16 +26,16 @@
 	return p
 }
 
-// grant lets a target take keys for a hold of two seconds.
+// grant records a grant of keys to a target for two seconds.
 func (p *manualChecker) grant(target string, from, to uint16, fence uint64) {
 	p.Granted(target, from, to, fence, p.now.Add(2*time.Second))
 }
 
-// requireViolation requires exactly one break, of this promise and subject.
-func (p *manualChecker) requireViolation(t *testing.T, promise, subject string) {
+// requireViolation requires exactly one violation, of this guarantee and subject.
+func (p *manualChecker) requireViolation(t *testing.T, guarantee, subject string) {
 	t.Helper()
 	require.Len(t, p.Violations(), 1)
-	require.Equal(t, promise, p.Violations()[0].Guarantee)
+	require.Equal(t, guarantee, p.Violations()[0].Guarantee)
 	require.Equal(t, subject, p.Violations()[0].Subject)
 }
 
@@ -49,7 +49,7 @@
 	require.Contains(t, p.Violations()[0].Detail, "k-2 takes keys 90 to 200 with fence 2 while k-1 holds the key for 1ms more")
 }
 
-// Renewals of the same two owners do not hide other keys in the verdict.
+// Guards against a verdict in which the renewals of two conflicting grants crowd out other violations.
 func TestRecordsOneViolationPerSubject(t *testing.T) {
 	p := newManualChecker()
 	p.grant("k-1", 0, 99, 1)
@@ -60,7 +60,8 @@
 	require.Len(t, p.Violations(), 2)
 }
 
-// A grant comes late, when the owner after its target holds nothing either.
+// Guards against an outdated grant that goes unnoticed because it arrives after the hold of the next
+// owner has ended as well.
 func TestFindsFenceThatDoesNotIncrease(t *testing.T) {
 	for _, fence := range []uint64{6, 7} {
 		p := newManualChecker()
@@ -130,45 +131,47 @@
 	}
 }
 
-// A process ends by itself: the soak would find nothing from then on. A run that was
-// interrupted proves nothing either.
+// Guards against a run that passes although a process crashed, after which it finds nothing, or
+// although it was interrupted.
 func TestVerdictNamesSeedViolationAndLogs(t *testing.T) {
 	p := newManualChecker()
-	p.Violated(NoUnexpectedExit, "vm-2", "its process ended by itself: %v", "exit status 2")
+	p.Violated(NoUnexpectedExit, "vm-2", "process exited unexpectedly: %v", "exit status 2")
 	var out strings.Builder
 	r := &Run{Seed: 7, Schedule: new(Schedule), Duration: time.Second, Dir: "out/soak/7"}
 	r.verdict(&out, p.Checker, nil)
-	require.Contains(t, out.String(), "seed 7: BROKEN 1 times;")
+	require.Contains(t, out.String(), "seed 7: 1 VIOLATIONS;")
 	require.Contains(t, out.String(), "logs in out/soak/7\n")
-	require.Contains(t, out.String(), "seed 7: STAYS UP broken at 0.000 s: vm-2: its process ended by itself: exit status 2\n")
+	require.Contains(t, out.String(), "seed 7: STAYS UP violated at 0.000 s: vm-2: process exited unexpectedly: exit status 2\n")
 
 	out.Reset()
 	r.verdict(&out, newManualChecker().Checker, errUnownedKeys)
-	require.NotContains(t, out.String(), "whole")
+	require.NotContains(t, out.String(), "all guarantees kept")
 	out.Reset()
 	r.verdict(&out, newManualChecker().Checker, nil)
-	require.Contains(t, out.String(), "seed 7: whole;")
+	require.Contains(t, out.String(), "seed 7: all guarantees kept;")
 }
 
-// A VM that stops ends the connection of a request that it has passed on, without an answer.
+// Guards against a VM that shuts down and closes the connection of a forwarded request without an
+// answer.
 func TestFindsConnectionClosedDuringShutdown(t *testing.T) {
 	p := newManualChecker()
 	p.RequestSent("refused connection", false)
 	p.ConnectionClosed("refused connection", "vm-1")
-	require.Empty(t, p.Violations(), "it was not passed on")
+	require.Empty(t, p.Violations(), "the request was not forwarded")
 	p.RequestSent("a", false)
 	p.Ran("k-1", "a")
 	p.ConnectionClosed("a", "vm-1")
 	p.requireViolation(t, AnswerDuringShutdown, "request a")
 }
 
-// A VM takes a request late in its grace and breaks it off while its target works on it.
+// Guards against a VM that accepts a request late in its grace period and aborts it while a target
+// runs it.
 func TestFindsRequestAbortedDuringShutdown(t *testing.T) {
 	p := newManualChecker()
 	p.RequestSent("a", false)
 	p.Ran("k-1", "a")
 	p.RequestAborted("a", "vm-1", 3200*time.Millisecond)
-	require.Empty(t, p.Violations(), "its target ended the connection")
+	require.Empty(t, p.Violations(), "the target closed the connection")
 	p.Abandoned("k-1", "a")
 	p.RequestAborted("a", "vm-1", 3200*time.Millisecond)
 	p.requireViolation(t, AnswerDuringShutdown, "request a")
--- a/internal/soak/load.go
+++ b/internal/soak/load.go
@@ -15,8 +15,8 @@
 	"hemlockquay/internal/standin/fleet"
 )
 
-// load sends requests to all VMs in turn at planned times, over connections that are kept
-// until the process is gone, also while a VM says that it leaves.
+// load sends requests to all VMs in turn at planned times. It reuses connections until the process
+// has exited, also while a VM is shutting down.
 type load struct {
 	profile Profile
 	vms     []*vm
@@ -27,7 +27,7 @@
 
 func newLoad(w *site, seed uint64, check *Checker) *load {
 	l := &load{
-		// A caller's own connections: the default ones are kept too few.
+		// The default transport keeps too few idle connections per host for the rate.
 		client:  &http.Client{Timeout: w.profile.CallerTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: w.profile.Rate}},
 		profile: w.profile,
 		check:   check, random: rand.New(rand.NewPCG(seed, loadStream)),
@@ -49,17 +49,17 @@
 	}
 }
 
-// sentRequest is one request to a VM.
+// sentRequest is one request that was sent to a VM.
 type sentRequest struct {
 	id, path string
 	vm       *vm
 	at       time.Time
-	// running is the VM's process then if it was not to end, latest its process in any case.
+	// running and latest are the results of vm.running and vm.latest when the request was sent.
 	running, latest *process
 }
 
-// send sends a request: even ones to the route with keys, odd ones to the route that is not
-// idempotent. All are POST, which the client's library does not send again by itself.
+// send sends a request: even ones to the keyed route, odd ones to the non-idempotent route. All are
+// POST, which net/http does not retry by itself.
 func (l *load) send(n, key int) {
 	host, path, once := fleet.KeyedHost, fleet.KeyedPath, n%2 == 1
 	if once {
@@ -91,7 +91,7 @@
 	l.handleResponse(s, resp)
 }
 
-// handleError judges a connection that ended without an answer.
+// handleError records a request that ended without an answer.
 func (l *load) handleError(s *sentRequest, err error) {
 	l.check.RequestLost()
 	if _, stops := s.vm.shutdownStart(s.latest); stops && !os.IsTimeout(err) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// handleResponse judges an answer.
+// handleResponse records an answer.
 func (l *load) handleResponse(s *sentRequest, resp *http.Response) {
 	body, err := io.ReadAll(resp.Body)
 	switch code := resp.StatusCode; {
@@ -111,15 +111,16 @@
 			l.checkAborted(s)
 		}
 	case err != nil && (os.IsTimeout(err) || s.running == nil || s.running != s.vm.running()):
-		// The VM is suspended or its process has ended: the caller sees that the body is short.
+		// The VM is suspended or its process was told to end, and the caller can tell that the body is
+		// truncated.
 		l.check.RequestLost()
 	default:
 		l.check.RequestAnswered(s.id, string(body), fleet.Body(resp.Header.Get(fleet.Headers.Stamp), s.path, bodyBytes))
 	}
 }
 
-// checkAborted judges an answer that promises nothing, of a VM that took the request in the second
-// half of its grace.
+// checkAborted records a 502, which leaves open whether the request ran, if the VM accepted the request
+// in the second half of its grace period.
 func (l *load) checkAborted(s *sentRequest) {
 	stoppedAt, stops := s.vm.shutdownStart(s.latest)
 	after := s.at.Sub(stoppedAt)
--- a/internal/soak/profile.go
+++ b/internal/soak/profile.go
@@ -8,40 +8,43 @@
 	"hemlockquay/internal/model"
 )
 
-// Profile is what a soak looks for: the figures of its site and load, and how its faults are
-// drawn.
+// Profile sets the parameters of a soak run: the shutdown grace period, the load, and the generator
+// of its faults.
 type Profile struct {
-	// Grace is how long after SIGTERM a process is killed.
+	// Grace is the time between SIGTERM and SIGKILL of a process.
 	Grace time.Duration
-	// Rate is the requests a second over both routes.
+	// Rate is the number of requests per second over both routes.
 	Rate int
-	// Deadline is the time that requests have, CallerTimeout how long callers wait.
+	// Deadline is the deadline that requests carry, CallerTimeout the time after which callers
+	// stop waiting for the answer.
 	Deadline, CallerTimeout time.Duration
-	// ReliableLinks reports whether no link fails: a VM then gives a request up only because it
-	// stops.
+	// ReliableLinks is set if no link fails, so that a VM aborts a request only because it shuts
+	// down.
 	ReliableLinks bool
-	// Generate returns the schedule of a seed. All faults are over at the end of the time.
+	// Generate returns the fault schedule of a seed. Every fault ends within the given duration.
 	Generate func(seed uint64, over time.Duration) *Schedule
 }
 
-// Profiles are the profiles by name.
+// Profiles lists the profiles by name.
 var Profiles = map[string]Profile{
-	// mixed has faults of every kind but slow and mute targets, in series that overlap.
+	// mixed has overlapping series of faults of every kind except slow targets and targets that
+	// drop answers.
 	"mixed": {Grace: 3 * time.Second, Rate: 40, Deadline: 2 * time.Second, CallerTimeout: 4 * time.Second, Generate: GenerateMixed},
-	// stops has graceful shutdowns one after another while targets work for seconds and lose
-	// answers, so that requests outlast the VMs that took them.
+	// stops shuts down one VM after another gracefully while targets take seconds per request and
+	// drop answers, so that requests outlast the VMs that accepted them.
 	"stops": {Grace: 6 * time.Second, Rate: 12, Deadline: 4500 * time.Millisecond, CallerTimeout: 6 * time.Second, ReliableLinks: true, Generate: GenerateStops},
 }
 
-// slowServiceTime is how long a slow target works on a request: longer than a VM stays after it has
+// slowServiceTime is the service time of a slow target: longer than a VM keeps running after it has
 // closed its listener.
 const slowServiceTime = 2500 * time.Millisecond
 
-// How stops are drawn.
+// Distributions of the faults of the profile stops.
 var (
-	// stopInterval is from the SIGTERM of one VM to that of the next, less than a stop takes: stops overlap.
+	// stopInterval is the time between the SIGTERMs of two VMs. It is shorter than a shutdown, so
+	// that shutdowns overlap.
 	stopInterval = durationRange{2 * time.Second, 5 * time.Second}
-	// targetFaultInterval is between two faults of targets, of which some overlap.
+	// targetFaultInterval is the time between two faults of targets, some of which overlap.
 	targetFaultInterval = durationRange{200 * time.Millisecond, 1500 * time.Millisecond}
 	stopsDurations      = map[Kind]durationRange{
 		Terminate:   {500 * time.Millisecond, 7 * time.Second},
@@ -50,12 +53,12 @@
 	}
 )
 
-// GenerateStops returns the schedule of a seed for the profile stops.
+// GenerateStops returns the fault schedule of a seed for the profile stops.
 func GenerateStops(seed uint64, over time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, scheduleStream))
 	s := new(Schedule)
-	add := func(at time.Duration, kind Kind, what string) {
-		s.add(Fault{At: model.Duration(at), Kind: kind, Subject: what, Duration: model.Duration(stopsDurations[kind].random(r))}, over)
+	add := func(at time.Duration, kind Kind, subject string) {
+		s.add(Fault{At: model.Duration(at), Kind: kind, Subject: subject, Duration: model.Duration(stopsDurations[kind].random(r))}, over)
 	}
 	order := r.Perm(vmCount)
 	for at, n := targetFaultInterval.random(r), 0; at < over; at, n = at+stopInterval.random(r), n+1 {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,33 +14,36 @@
 )
 
 const (
-	// startTimeout bounds the wait until all keys have owners.
+	// startTimeout limits the wait at the start until all keys have owners.
 	startTimeout = 20 * time.Second
-	// startPollInterval is the pause between two looks at them.
+	// startPollInterval is the interval between two checks for this.
 	startPollInterval = 50 * time.Millisecond
-	// settleTime is how long the site is watched after the last fault: longer than a hold.
+	// settleTime is how long the load continues after the last fault: longer than a target holds its
+	// keys.
 	settleTime = 3 * time.Second
-	// maxShownViolations bounds the breaks that a verdict lists.
+	// maxShownViolations limits the violations that the verdict lists.
 	maxShownViolations = 20
 )
 
-// Run is one run of the soak.
+// Run is one soak run.
 type Run struct {
 	Seed     uint64
 	Profile  Profile
 	Schedule *Schedule
-	// Duration is how long faults and load last.
+	// Duration is the time in which faults occur; the load continues for settleTime after it.
 	Duration time.Duration
-	// Dir is for settings and logs of the processes, Gateway the program.
+	// Dir is the directory for the settings and logs of the processes, Gateway the path of the
+	// gateway program.
 	Dir, Gateway string
 }
 
 var (
-	errViolations  = errors.New("a promise was broken")
-	errUnownedKeys = errors.New("keys without an owner after the start")
+	errViolations  = errors.New("a guarantee was violated")
+	errUnownedKeys = errors.New("timed out or interrupted at the start while keys had no owner")
 )
 
-// Execute runs the soak, writes the verdict, and returns an error unless all was kept.
+// Execute runs the soak and writes the verdict. It returns an error if a guarantee was violated or the
+// run did not complete.
 func (r *Run) Execute(ctx context.Context, out io.Writer) error {
 	if err := r.prepare(); err != nil {
 		return err
@@ -62,7 +65,7 @@
 	return nil
 }
 
-// prepare writes the schedule beside the logs, and drops logs of an earlier run.
+// prepare writes the schedule to the directory of the logs and removes the logs of an earlier run.
 func (r *Run) prepare() error {
 	if err := os.MkdirAll(r.Dir, 0o755); err != nil {
 		return fmt.Errorf("soak: %w", err)
@@ -98,7 +101,7 @@
 	return errors.Join(<-faultsOver, ctx.Err())
 }
 
-// inject plays the faults, each with a goroutine.
+// inject starts and ends the faults on schedule, each in a goroutine.
 func (w *site) inject(ctx context.Context, s *Schedule) error {
 	errs := make([]error, len(s.Faults))
 	var wait sync.WaitGroup
@@ -116,20 +119,20 @@
 	return errors.Join(errs...)
 }
 
-// verdict names the seed, and each broken promise with its subject and the logs. A run that
-// ended with an error says so.
+// verdict writes the result with the seed, the statistics and the directory of the logs, and then the
+// violations. A run that ended with an error and without a violation is reported as incomplete.
 func (r *Run) verdict(out io.Writer, check *Checker, err error) {
-	breaks, f := check.Violations(), check.Stats()
-	word := "whole"
+	violations, f := check.Violations(), check.Stats()
+	word := "all guarantees kept"
 	switch {
-	case err != nil && len(breaks) == 0:
-		word = "NOT PLAYED to the end"
-	case len(breaks) > 0:
-		word = fmt.Sprintf("BROKEN %d times", len(breaks))
+	case err != nil && len(violations) == 0:
+		word = "RUN INCOMPLETE"
+	case len(violations) > 0:
+		word = fmt.Sprintf("%d VIOLATIONS", len(violations))
 	}
-	fmt.Fprintf(out, "seed %d: %s; %d faults in %v; %d grants, %d of them moves; asked %d, answered %d, refused %d (%d idempotent ones had run), failed %d, lost %d; logs in %s\n",
+	fmt.Fprintf(out, "seed %d: %s; %d faults in %v; %d grants, %d of them moves; sent %d, answered %d, refused %d (%d idempotent requests had run), failed %d, lost %d; logs in %s\n",
 		r.Seed, word, len(r.Schedule.Faults), r.Duration, f.Grants, f.Moves, f.Sent, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
-	for _, b := range breaks[:min(len(breaks), maxShownViolations)] {
+	for _, b := range violations[:min(len(violations), maxShownViolations)] {
 		fmt.Fprintf(out, "seed %d: %s\n", r.Seed, b)
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,11 +1,12 @@
-// Package soak plays a small site with real processes and faults: gateways as processes,
-// the platform's store and targets played beside it, links between them that are cut. It
-// holds what targets and callers see against the promises of one owner, at most one run
-// and whole answers.
+// Package soak runs gateways as real processes against a simulated store and simulated
+// targets, and injects faults into the processes and the links between them. It checks what
+// targets and callers observe against the guarantees: one owner per key, at most one run of a
+// non-idempotent request, intact answers, answers during a shutdown, and no unexpected exit.
 //
-// Failure that it looks for: tests in virtual time play one failure each, and the network
-// as their author knew it. Two targets held the same keys because the system sent on what
-// had been written to closed connections, which only a real connection shows.
+// It complements the tests in virtual time, which cover one failure each and model the network
+// as their author understood it. One fault of this kind: two targets held the same keys because the
+// operating system still delivered what had been written to connections since closed, which only
+// real connections show.
 package soak
 
 import (
@@ -23,43 +24,45 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds. Each begins at a moment and is over after a time.
+// The kinds of faults. Each has a start and a duration.
 const (
-	// HoldLink: the link of a target, or that of a VM to the store, holds what is sent.
+	// HoldLink delays all data on the link of a target, or on that of a VM to the store, until the
+	// fault ends.
 	HoldLink Kind = "cut"
-	// ResetLink: the open connections of a link end, those of a target or of a VM to the store.
+	// ResetLink resets the open connections of the link of a target, or of that of a VM to the store.
 	ResetLink Kind = "reset"
-	// RemoveEntry: the store has no entry of a target.
+	// RemoveEntry removes the entry of a target from the store.
 	RemoveEntry Kind = "lapse"
-	// Suspend: a VM's process is suspended.
+	// Suspend suspends the process of a VM.
 	Suspend Kind = "stop"
-	// Kill: a VM's process is killed, and started again when the fault is over.
+	// Kill kills the process of a VM and restarts it when the fault ends.
 	Kill Kind = "kill"
-	// Terminate: a VM's process is asked to leave, is killed after its grace, and is started again.
+	// Terminate sends SIGTERM to the process of a VM, kills it after its grace period, and restarts
+	// it when the fault ends.
 	Terminate Kind = "term"
-	// SlowTarget: a target works for seconds on each request.
+	// SlowTarget raises the service time of a target to seconds.
 	SlowTarget Kind = "slow"
-	// DropAnswers: a target ends its connections in place of answers to requests that it ran.
+	// DropAnswers makes a target run requests and close the connection instead of answering.
 	DropAnswers Kind = "mute"
 )
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	// At is when it begins, from the start of traffic.
+	// At is when the fault starts, from the start of traffic.
 	At   model.Duration `json:"at"`
 	Kind Kind           `json:"kind"`
-	// Subject names a target or a VM. A cut of a VM is that of its link to the store.
+	// Subject names a target or a VM. HoldLink and ResetLink of a VM concern its link to the store.
 	Subject string `json:"what"`
-	// Duration is how long it lasts.
+	// Duration is how long the fault lasts.
 	Duration model.Duration `json:"for"`
 }
 
-// Schedule is a list of faults.
+// Schedule lists the faults of a run.
 type Schedule struct {
 	Faults []Fault `json:"faults"`
 }
 
-// kinds are what may happen to targets and VMs.
+// kinds lists the kinds of faults of targets (true) and of VMs (false).
 var kinds = map[bool][]Kind{true: {HoldLink, ResetLink, RemoveEntry, SlowTarget, DropAnswers}, false: {HoldLink, ResetLink, Suspend, Kill, Terminate}}
 
 // Check implements settings.Checker.
@@ -72,13 +75,13 @@
 		case !slices.Contains(kinds[target], f.Kind):
 			return settings.Impossible(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.Subject)
 		case f.At < 0 || f.Duration < 0:
-			return settings.Impossible(fmt.Sprintf("/faults/%d", i), "a time is negative")
+			return settings.Impossible(fmt.Sprintf("/faults/%d", i), "at or for is negative")
 		}
 	}
 	return nil
 }
 
-// String renders the schedule as JSON, a line for each fault, as a file has it.
+// String renders the schedule as JSON with one line per fault, in the format of schedule files.
 func (s *Schedule) String() string {
 	out := "{\"faults\": ["
 	for i, f := range s.Faults {
@@ -94,17 +97,18 @@
 	return out + "\n]}\n"
 }
 
-// durationRange is a range from which a time is drawn.
+// durationRange is a range from which durations are drawn at random.
 type durationRange struct{ min, max time.Duration }
 
-// How faults are drawn.
+// Distributions of the faults of the profile mixed.
 var (
-	// seriesInterval is from the start of one series to that of the next, less than faults
-	// last: series overlap.
+	// seriesInterval is the time between the starts of two series of faults. It is shorter than
+	// the longest faults, so that series overlap.
 	seriesInterval = durationRange{time.Second, 5 * time.Second}
-	// offsetInSeries is from the start of a series to that of each of its faults.
+	// offsetInSeries is the time from the start of a series to the start of each of its faults.
 	offsetInSeries = durationRange{0, 1500 * time.Millisecond}
-	// durations is by kind. A target's hold is about 2.4 s: cuts are shorter and longer.
+	// durations holds the duration of faults by kind. A target holds its keys for about 2.4 s, so
+	// that some link faults are shorter than this and some longer.
 	durations = map[Kind]durationRange{
 		HoldLink:  {300 * time.Millisecond, 8 * time.Second},
 		ResetLink: {time.Millisecond, 2 * time.Millisecond},
@@ -115,13 +119,13 @@
 )
 
 const (
-	// maxFaultsPerSeries bounds the faults of a series.
+	// maxFaultsPerSeries is the maximum number of faults in a series.
 	maxFaultsPerSeries = 4
-	// resetOneIn: one in so many faults of a target is a reset, the others are cuts.
+	// resetOneIn makes one in this many faults of targets a ResetLink; the others are HoldLink.
 	resetOneIn = 4
-	// entryTTL is how long a target that is cut off stays in the store.
+	// entryTTL is how long the entry of a target that is cut off stays in the store.
 	entryTTL = 1500 * time.Millisecond
-	// scheduleStream separates the schedule's random numbers from the load's.
+	// scheduleStream and loadStream select independent random sequences for the schedule and the load.
 	scheduleStream, loadStream = 1, 2
 )
 
@@ -129,7 +133,8 @@
 	return (s.min + time.Duration(r.Int64N(int64(s.max-s.min)))).Round(time.Millisecond)
 }
 
-// GenerateMixed returns the schedule of a seed. All faults are over at the end of the time.
+// GenerateMixed returns the fault schedule of a seed for the profile mixed. Every fault ends within
+// the given duration.
 func GenerateMixed(seed uint64, over time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, scheduleStream))
 	s := new(Schedule)
@@ -158,7 +163,8 @@
 	return f
 }
 
-// add takes a fault in, and with the cut of a target the lapse of its entry.
+// add appends a fault, shortened to end within the given duration. A HoldLink of a target that lasts
+// longer than entryTTL also removes the target's entry.
 func (s *Schedule) add(f Fault, over time.Duration) {
 	f.Duration = min(f.Duration, model.Duration(over)-f.At)
 	if f.Duration <= 0 {
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -10,7 +10,7 @@
 	"hemlockquay/internal/settings"
 )
 
-// A seed is reported, and the run that is to show the failure again plays other faults.
+// Guards against a seed that does not reproduce the faults of the run that reported it.
 func TestSameSeedSameSchedule(t *testing.T) {
 	for seed := range uint64(50) {
 		s := GenerateMixed(seed, 20*time.Second)
@@ -19,13 +19,13 @@
 		require.NotEqual(t, s, GenerateMixed(seed+1, 20*time.Second))
 		for _, f := range s.Faults {
 			require.Positive(t, f.Duration)
-			require.LessOrEqual(t, f.At+f.Duration, model.Duration(20*time.Second), "over at the end: %v", f)
+			require.LessOrEqual(t, f.At+f.Duration, model.Duration(20*time.Second), "ends within the run: %v", f)
 			require.LessOrEqual(t, f.Duration, model.Duration(8*time.Second))
 		}
 	}
 }
 
-// A schedule is printed, shrunk by hand and played.
+// Guards against a printed schedule that cannot be edited and run again.
 func TestPrintedScheduleCanBeReadBack(t *testing.T) {
 	for seed := range uint64(50) {
 		s, read := GenerateMixed(seed, 20*time.Second), new(Schedule)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Faults of every kind are drawn, and they overlap: a soak without them finds little.
+// Guards against generated schedules that lack a kind of fault, or whose faults never overlap.
 func TestGeneratedFaultsHaveAllKindsAndOverlap(t *testing.T) {
 	drawn, overlaps := make(map[Kind]int), 0
 	for seed := range uint64(50) {
@@ -65,7 +65,8 @@
 	}
 }
 
-// Guards against a soak that cannot find a request which outlasts its VM.
+// Guards against generated shutdowns without slow targets or dropped answers, with which no request
+// would outlast its VM.
 func TestGeneratedStopsIncludeTargetFaults(t *testing.T) {
 	for seed := range uint64(50) {
 		s := GenerateStops(seed, 20*time.Second)
@@ -75,9 +76,9 @@
 		for _, f := range s.Faults {
 			drawn[f.Kind]++
 			require.Positive(t, f.Duration)
-			require.LessOrEqual(t, f.At+f.Duration, model.Duration(20*time.Second), "over at the end: %v", f)
+			require.LessOrEqual(t, f.At+f.Duration, model.Duration(20*time.Second), "ends within the run: %v", f)
 		}
-		require.GreaterOrEqual(t, drawn[Terminate], vmCount, "every VM stops")
+		require.GreaterOrEqual(t, drawn[Terminate], vmCount, "every VM is shut down")
 		require.Positive(t, drawn[SlowTarget])
 		require.Positive(t, drawn[DropAnswers])
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -14,19 +14,21 @@
 )
 
 const (
-	// vmCount is the number of VMs, targetCount that of the targets of each service, and
-	// slots the requests that a target runs at a time.
+	// vmCount is the number of VMs, targetCount the number of targets per service, and slots the
+	// number of requests that a target runs concurrently.
 	vmCount, targetCount, slots = 3, 3, 4
-	// serviceTime is how long a target works on a request: cuts and resets meet some at work.
+	// serviceTime is how long a target works on a request: long enough that link faults hit
+	// requests in progress.
 	serviceTime = 100 * time.Millisecond
-	// bodyBytes is what an answer has at least: several reads of a link.
+	// bodyBytes is the minimum size of an answer: large enough that a link forwards it in several
+	// reads.
 	bodyBytes = 20_000
 )
 
 // vmNames returns the names of the VMs.
 func vmNames() []string { return names("vm", vmCount) }
 
-// targetNames returns the names of the targets: k-N hold keys, p-N do not.
+// targetNames returns the names of the targets: k-N for the keyed service, p-N for the other.
 func targetNames() []string { return append(names("k", targetCount), names("p", targetCount)...) }
 
 func names(prefix string, n int) []string {
@@ -37,22 +39,23 @@
 	return out
 }
 
-// site is the site: what is played, the links, and the VMs.
+// site is the environment of a run: the simulated store and targets, the links, and the VMs.
 type site struct {
 	profile Profile
 	store   *fleet.Store
 	server  *http.Server
 	targets map[string]*fleet.Target
 	vms     map[string]*vm
-	// links are by the name of their target, or of the VM whose link to the store it is.
+	// links has the link to each target and the link of each VM to the store, by the name of the
+	// target or VM.
 	links map[string]*link.Link
 
 	mu sync.Mutex
-	// active counts the faults of a kind that something is under, since they overlap.
+	// active counts the faults in progress by activeKey, since faults overlap.
 	active map[[2]string]int
 }
 
-// newSite starts what is played and the links, and writes the VMs' settings.
+// newSite starts the store, the targets and the links, and writes the settings of the VMs.
 func newSite(dir, program string, profile Profile, check *Checker) (*site, error) {
 	w := &site{
 		profile: profile, store: fleet.NewStore(), targets: make(map[string]*fleet.Target), vms: make(map[string]*vm),
@@ -89,7 +92,7 @@
 	return nil
 }
 
-// addLink returns the address that leads to another over a link.
+// addLink starts a link to addr and returns the address of the link.
 func (w *site) addLink(name, addr string) (string, error) {
 	l, err := link.New(addr)
 	if err != nil {
@@ -111,7 +114,7 @@
 	return nil
 }
 
-// startFault begins a fault, unless it is under way already.
+// startFault starts a fault unless one with the same activeKey is in progress.
 func (w *site) startFault(f Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,7 +141,7 @@
 	}
 }
 
-// endFault ends a fault, unless another of its kind is still under way.
+// endFault ends a fault unless another with the same activeKey is in progress.
 func (w *site) endFault(f Fault) error {
 	if !w.deactivate(f) {
 		return nil
@@ -160,7 +163,8 @@
 	return nil
 }
 
-// deactivate takes a fault off, and reports whether no other of its group is left.
+// deactivate removes a fault from the count and reports whether it was the last one with its
+// activeKey.
 func (w *site) deactivate(f Fault) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,8 +172,8 @@
 	return w.active[f.activeKey()] == 0
 }
 
-// activeKey returns what faults share that end with the last of them: a VM that is killed and
-// asked to leave starts once.
+// activeKey identifies overlapping faults that end together with the last of them. Kill and Terminate
+// share a key, so that a VM under both is restarted once.
 func (f Fault) activeKey() [2]string {
 	if f.Kind == Terminate {
 		return [2]string{f.Subject, string(Kill)}
@@ -177,7 +181,7 @@
 	return [2]string{f.Subject, string(f.Kind)}
 }
 
-// close ends the processes, and then what they were connected to.
+// close ends the processes, and then the links, targets and store that they were connected to.
 func (w *site) close() {
 	var wait sync.WaitGroup
 	for _, v := range w.vms {
--- a/internal/soak/vm.go
+++ b/internal/soak/vm.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// vm is a VM, on which one process runs at a time.
+// vm is a simulated VM, which runs one gateway process at a time.
 type vm struct {
 	name, requestAddr, program, settings, log string
 	grace                                     time.Duration
@@ -19,20 +19,20 @@
 	process *process
 }
 
-// process is one life of a VM's program.
+// process is one run of the VM's program.
 type process struct {
 	cmd *exec.Cmd
-	// terminating reports whether it got a signal to end.
+	// terminating is set once the process was sent SIGTERM or SIGKILL.
 	terminating bool
-	// sigtermAt is when it got SIGTERM, zero before; interrupted reports whether it was killed
-	// or suspended.
+	// sigtermAt is when the process was first sent SIGTERM, or zero; interrupted is set once it was
+	// killed or suspended.
 	sigtermAt   time.Time
 	interrupted bool
-	// exited is closed when it has ended.
+	// exited is closed when the process has exited.
 	exited chan struct{}
 }
 
-// running returns the process that is not to end, or nil.
+// running returns the latest process, or nil if there is none or it was told to end.
 func (v *vm) running() *process {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -42,15 +42,15 @@
 	return v.process
 }
 
-// latest returns the process of the latest life, or nil.
+// latest returns the process that was started last, or nil.
 func (v *vm) latest() *process {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.process
 }
 
-// shutdownStart returns when a process that nothing else disturbs got SIGTERM; false where it
-// got none.
+// shutdownStart returns when a process was sent SIGTERM; false if it was not, or if it was also killed
+// or suspended.
 func (v *vm) shutdownStart(p *process) (time.Time, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -60,8 +60,8 @@
 	return p.sigtermAt, true
 }
 
-// start waits until a process that leaves is gone, and starts the next. It does nothing
-// where another call has started one. Signals can be sent while it waits.
+// start waits until a terminating process has exited, and starts a new one. It does nothing if a
+// process runs or another call has started one meanwhile. Signals can be sent while it waits.
 func (v *vm) start() error {
 	before := v.latest()
 	if before != nil {
@@ -82,7 +82,8 @@
 	defer out.Close()
 	p := &process{cmd: exec.Command(v.program, "--config", v.settings), exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
-	// A terminal's signal is for the soak, which then ends the processes.
+	// The process gets its own group, so that a signal of the terminal reaches only the soak, which
+	// then ends the processes.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := p.cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", v.name, err)
@@ -92,18 +93,18 @@
 	return nil
 }
 
-// wait is the duty of learning how a process ended.
+// wait waits for the exit of a process and records a violation if the process was not told to end.
 func (v *vm) wait(p *process) {
 	err := p.cmd.Wait()
 	close(p.exited)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !p.terminating {
-		v.check.Violated(NoUnexpectedExit, v.name, "its process ended by itself: %v", err)
+		v.check.Violated(NoUnexpectedExit, v.name, "process exited unexpectedly: %v", err)
 	}
 }
 
-// signal sends a signal to the process; a process that is gone gets none.
+// signal sends a signal to the latest process, if any; terminates tells that the signal ends it.
 func (v *vm) signal(s syscall.Signal, terminates bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -121,7 +122,7 @@
 func (v *vm) resume()  { v.signal(syscall.SIGCONT, false) }
 func (v *vm) kill()    { v.signal(syscall.SIGKILL, true) }
 
-// terminate asks the process to end, and kills it after its grace.
+// terminate sends SIGTERM to the process and kills it after the grace period.
 func (v *vm) terminate() {
 	v.signal(syscall.SIGTERM, true)
 	v.mu.Lock()
@@ -131,7 +132,7 @@
 	}
 }
 
-// close ends the process for good.
+// close terminates the process and waits for its exit.
 func (v *vm) close() {
 	v.resume()
 	v.terminate()
