--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -43,7 +43,7 @@
 		if err := settings.Load(c.Lab, &lab); err != nil {
 			return err
 		}
-		e.TakePlaces(&lab)
+		e.FillFrom(&lab)
 	}
 	if c.Check {
 		fmt.Println("experiment is valid")
--- a/internal/loadgen/experiment.go
+++ b/internal/loadgen/experiment.go
@@ -189,9 +189,9 @@
 	return nil
 }
 
-// TakePlaces fills in from a planned run what an experiment leaves out: the
+// FillFrom fills in from a planned run what an experiment leaves out: the
 // entries, the stand-in, and each workload's token by its customer.
-func (e *Experiment) TakePlaces(lab *Experiment) {
+func (e *Experiment) FillFrom(lab *Experiment) {
 	if len(e.Entries) == 0 {
 		e.Entries, e.Admins = lab.Entries, lab.Admins
 	}
