--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -74,7 +74,7 @@
 		}
 	}
 	switch {
-	case !report.Sound():
+	case !report.GuaranteesKept():
 		return errUnsound
 	case c.Complete && !report.Complete():
 		return errIncomplete
--- a/internal/loadgen/loadgen_test.go
+++ b/internal/loadgen/loadgen_test.go
@@ -62,5 +62,5 @@
 	require.Equal(t, 1, r.RanTwice)
 	require.Equal(t, 1, r.RefusedYetRan)
 	require.Equal(t, 4, r.Runs)
-	require.False(t, r.Sound())
+	require.False(t, r.GuaranteesKept())
 }
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -123,8 +123,8 @@
 	return reply.Runs, nil
 }
 
-// Sound reports whether every promise to callers was kept.
-func (r *Report) Sound() bool {
+// GuaranteesKept reports whether every promise to callers was kept.
+func (r *Report) GuaranteesKept() bool {
 	for _, w := range r.Workloads {
 		if !w.Unchecked && (w.Broken > 0 || w.Lost > 0) {
 			return false
@@ -140,7 +140,7 @@
 			return false
 		}
 	}
-	return r.Sound()
+	return r.GuaranteesKept()
 }
 
 // Text writes the report as tables.
