--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -91,7 +91,7 @@
 
 // Execute implements flags.Commander.
 func (c *pathCommand) Execute([]string) error {
-	var p loadgen.Path
+	var p loadgen.GatewayLoad
 	if err := settings.Load(c.Config, &p); err != nil {
 		return err
 	}
--- a/internal/loadgen/path.go
+++ b/internal/loadgen/path.go
@@ -18,9 +18,9 @@
 	"hemlockquay/internal/settings"
 )
 
-// Path is a load on the fronts of gateways, as a platform's balancer passes it on:
+// GatewayLoad is a load on the fronts of gateways, as a platform's balancer passes it on:
 // plain HTTP with the platform's headers.
-type Path struct {
+type GatewayLoad struct {
 	// Fronts are the IP:PORTs for callers, Admins the gateways' admin IP:PORTs in
 	// the same order: fronts whose /readyz says no are left out.
 	Fronts []string `json:"fronts"`
@@ -61,7 +61,7 @@
 )
 
 // Check implements settings.Checker.
-func (p *Path) Check() error {
+func (p *GatewayLoad) Check() error {
 	if p.Duration == 0 {
 		p.Duration = defaultDuration
 	}
@@ -108,7 +108,7 @@
 
 // pathRun is a load being sent.
 type pathRun struct {
-	load     *Path
+	load     *GatewayLoad
 	balancer *balancer
 	client   *http.Client
 
@@ -119,7 +119,7 @@
 }
 
 // RunPath offers the load and returns what callers received.
-func RunPath(ctx context.Context, p *Path) *PathReport {
+func RunPath(ctx context.Context, p *GatewayLoad) *PathReport {
 	r := &pathRun{
 		load: p, times: newHistogram(),
 		balancer: newBalancer(p.Fronts, p.Admins),
--- a/internal/loadgen/path_test.go
+++ b/internal/loadgen/path_test.go
@@ -43,7 +43,7 @@
 	server := httptest.NewServer(http.HandlerFunc(front))
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
-	p := &Path{
+	p := &GatewayLoad{
 		Fronts: []string{"127.0.0.1:1", addr}, Admins: []string{"127.0.0.1:1", addr}, Rate: 100, Duration: model.Duration(time.Second), Headers: pathHeaders,
 		Routes: []PathRoute{{Host: "h", Path: "/whole/", Keyed: true}, {Path: "/other/"}, {Path: "/full/"}, {Path: "/broken/"}, {Path: "/cut/"}},
 	}
@@ -65,15 +65,15 @@
 }
 
 func TestPathLoadIsChecked(t *testing.T) {
-	good := Path{Fronts: []string{"a"}, Admins: []string{"b"}, Rate: 1, Routes: []PathRoute{{Path: "/"}}, Headers: pathHeaders}
+	good := GatewayLoad{Fronts: []string{"a"}, Admins: []string{"b"}, Rate: 1, Routes: []PathRoute{{Path: "/"}}, Headers: pathHeaders}
 	require.NoError(t, good.Check())
 	require.Equal(t, defaultDuration, good.Duration)
-	for pointer, spoil := range map[string]func(p *Path){
-		"/admins":   func(p *Path) { p.Admins = nil },
-		"/rate":     func(p *Path) { p.Rate = 0 },
-		"/duration": func(p *Path) { p.Duration = -1 },
-		"/routes":   func(p *Path) { p.Routes = nil },
-		"/headers":  func(p *Path) { p.Headers.Stamp = "" },
+	for pointer, spoil := range map[string]func(p *GatewayLoad){
+		"/admins":   func(p *GatewayLoad) { p.Admins = nil },
+		"/rate":     func(p *GatewayLoad) { p.Rate = 0 },
+		"/duration": func(p *GatewayLoad) { p.Duration = -1 },
+		"/routes":   func(p *GatewayLoad) { p.Routes = nil },
+		"/headers":  func(p *GatewayLoad) { p.Headers.Stamp = "" },
 	} {
 		bad := good
 		spoil(&bad)
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/lab.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	load := loadgen.Path{
+	load := loadgen.GatewayLoad{
 		Rate: labRate, Headers: Headers,
 		Routes: []loadgen.PathRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
 	}
