--- a/internal/loadgen/path.go
+++ b/internal/loadgen/path.go
@@ -29,7 +29,7 @@
 	Rate float64 `json:"rate"`
 	// Duration is how long requests are sent. Default 20s.
 	Duration model.Duration `json:"duration,omitempty"`
-	Routes   []PathRoute    `json:"routes"`
+	Routes   []GatewayRoute `json:"routes"`
 	// Headers are the platform's names.
 	Headers PathHeaders `json:"headers"`
 }
@@ -44,8 +44,8 @@
 	Stamp string `json:"stamp"`
 }
 
-// PathRoute is where requests go.
-type PathRoute struct {
+// GatewayRoute is where requests go.
+type GatewayRoute struct {
 	Host string `json:"host"`
 	// Path is the path's prefix; each request appends its number.
 	Path string `json:"path"`
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/lab.go
@@ -98,7 +98,7 @@
 	}
 	load := loadgen.GatewayLoad{
 		Rate: labRate, Headers: Headers,
-		Routes: []loadgen.PathRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
+		Routes: []loadgen.GatewayRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
 	}
 	for _, s := range written {
 		load.Fronts, load.Admins = append(load.Fronts, s.Front), append(load.Admins, s.Admin)
