--- a/internal/loadgen/path.go
+++ b/internal/loadgen/path.go
@@ -31,11 +31,11 @@
 	Duration model.Duration `json:"duration,omitempty"`
 	Routes   []GatewayRoute `json:"routes"`
 	// Headers are the platform's names.
-	Headers PathHeaders `json:"headers"`
+	Headers GatewayHeaders `json:"headers"`
 }
 
-// PathHeaders names the headers of requests and answers.
-type PathHeaders struct {
+// GatewayHeaders names the headers of requests and answers.
+type GatewayHeaders struct {
 	RequestID string `json:"requestId"`
 	// DeadlineMs is the time left, milliseconds.
 	DeadlineMs string `json:"deadlineMs"`
--- a/internal/loadgen/path_test.go
+++ b/internal/loadgen/path_test.go
@@ -14,7 +14,7 @@
 	"hemlockquay/internal/model"
 )
 
-var pathHeaders = PathHeaders{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", Stamp: "Stamp"}
+var pathHeaders = GatewayHeaders{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", Stamp: "Stamp"}
 
 // front answers by the path's prefix.
 func front(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/lab.go
@@ -22,7 +22,7 @@
 )
 
 // Headers are the platform's names of what callers send and get.
-var Headers = loadgen.PathHeaders{RequestID: "X-Request-Id", DeadlineMs: "X-Deadline-Ms", Key: "X-Shard-Key", Stamp: "X-Server-Stamp"}
+var Headers = loadgen.GatewayHeaders{RequestID: "X-Request-Id", DeadlineMs: "X-Deadline-Ms", Key: "X-Shard-Key", Stamp: "X-Server-Stamp"}
 
 const config = `{"Version":"%08x","Routes":{
 "keyed":{"Host":"k.example","PathPrefix":"/k/","Kind":"idempotent","TimeoutS":5,"SloS":1,"Service":"keyed","MaxAttempts":2},
