--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -104,7 +104,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	report := loadgen.RunPath(ctx, &p)
+	report := loadgen.RunGatewayLoad(ctx, &p)
 	report.Text(os.Stdout)
 	switch {
 	case report.Wrong > 0:
--- a/internal/loadgen/path.go
+++ b/internal/loadgen/path.go
@@ -118,8 +118,8 @@
 	times *hdrhistogram.Histogram
 }
 
-// RunPath offers the load and returns what callers received.
-func RunPath(ctx context.Context, p *GatewayLoad) *PathReport {
+// RunGatewayLoad offers the load and returns what callers received.
+func RunGatewayLoad(ctx context.Context, p *GatewayLoad) *PathReport {
 	r := &pathRun{
 		load: p, times: newHistogram(),
 		balancer: newBalancer(p.Fronts, p.Admins),
--- a/internal/loadgen/path_test.go
+++ b/internal/loadgen/path_test.go
@@ -48,7 +48,7 @@
 		Routes: []GatewayRoute{{Host: "h", Path: "/whole/", Keyed: true}, {Path: "/other/"}, {Path: "/full/"}, {Path: "/broken/"}, {Path: "/cut/"}},
 	}
 	require.NoError(t, p.Check())
-	r := RunPath(t.Context(), p)
+	r := RunGatewayLoad(t.Context(), p)
 	require.EqualValues(t, 100, r.Asked)
 	require.Equal(t, r.Asked, r.Whole+r.Wrong+r.Refused+r.Failed+r.Lost)
 	require.Positive(t, r.Whole)
