--- a/internal/loadgen/path.go
+++ b/internal/loadgen/path.go
@@ -21,9 +21,9 @@
 // GatewayLoad is a load on the fronts of gateways, as a platform's balancer passes it on:
 // plain HTTP with the platform's headers.
 type GatewayLoad struct {
-	// Fronts are the IP:PORTs for callers, Admins the gateways' admin IP:PORTs in
+	// Addrs are the IP:PORTs for callers, Admins the gateways' admin IP:PORTs in
 	// the same order: fronts whose /readyz says no are left out.
-	Fronts []string `json:"fronts"`
+	Addrs  []string `json:"fronts"`
 	Admins []string `json:"admins"`
 	// Rate is the requests a second, over all routes in turn.
 	Rate float64 `json:"rate"`
@@ -66,8 +66,8 @@
 		p.Duration = defaultDuration
 	}
 	switch {
-	case len(p.Fronts) == 0 || len(p.Admins) != len(p.Fronts):
-		return settings.Impossible("/admins", "%d for %d fronts", len(p.Admins), len(p.Fronts))
+	case len(p.Addrs) == 0 || len(p.Admins) != len(p.Addrs):
+		return settings.Impossible("/admins", "%d for %d fronts", len(p.Admins), len(p.Addrs))
 	case p.Rate <= 0:
 		return settings.Impossible("/rate", "%v is not above 0", p.Rate)
 	case p.Duration < 0:
@@ -122,7 +122,7 @@
 func RunGatewayLoad(ctx context.Context, p *GatewayLoad) *PathReport {
 	r := &pathRun{
 		load: p, times: newHistogram(),
-		balancer: newBalancer(p.Fronts, p.Admins),
+		balancer: newBalancer(p.Addrs, p.Admins),
 		client:   &http.Client{Timeout: pathPatience, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	healthCtx, cancel := context.WithCancel(ctx)
--- a/internal/loadgen/path_test.go
+++ b/internal/loadgen/path_test.go
@@ -44,7 +44,7 @@
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
 	p := &GatewayLoad{
-		Fronts: []string{"127.0.0.1:1", addr}, Admins: []string{"127.0.0.1:1", addr}, Rate: 100, Duration: model.Duration(time.Second), Headers: pathHeaders,
+		Addrs: []string{"127.0.0.1:1", addr}, Admins: []string{"127.0.0.1:1", addr}, Rate: 100, Duration: model.Duration(time.Second), Headers: pathHeaders,
 		Routes: []GatewayRoute{{Host: "h", Path: "/whole/", Keyed: true}, {Path: "/other/"}, {Path: "/full/"}, {Path: "/broken/"}, {Path: "/cut/"}},
 	}
 	require.NoError(t, p.Check())
@@ -65,7 +65,7 @@
 }
 
 func TestPathLoadIsChecked(t *testing.T) {
-	good := GatewayLoad{Fronts: []string{"a"}, Admins: []string{"b"}, Rate: 1, Routes: []GatewayRoute{{Path: "/"}}, Headers: pathHeaders}
+	good := GatewayLoad{Addrs: []string{"a"}, Admins: []string{"b"}, Rate: 1, Routes: []GatewayRoute{{Path: "/"}}, Headers: pathHeaders}
 	require.NoError(t, good.Check())
 	require.Equal(t, defaultDuration, good.Duration)
 	for pointer, spoil := range map[string]func(p *GatewayLoad){
--- a/internal/standin/fleet/lab.go
+++ b/internal/standin/fleet/lab.go
@@ -101,7 +101,7 @@
 		Routes: []loadgen.GatewayRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
 	}
 	for _, s := range written {
-		load.Fronts, load.Admins = append(load.Fronts, s.Front), append(load.Admins, s.Admin)
+		load.Addrs, load.Admins = append(load.Addrs, s.Front), append(load.Admins, s.Admin)
 	}
 	return plan.WriteJSON(filepath.Join(dir, "load.jsonc"), load)
 }
