--- a/internal/loadgen/arrivals.go
+++ b/internal/loadgen/arrivals.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// plan returns the planned times of a workload, ascending, from its start.
-func plan(w *Workload, random *rand.Rand, duration time.Duration) ([]time.Duration, error) {
+// arrivalTimes returns the planned times of a workload, ascending, from its start.
+func arrivalTimes(w *Workload, random *rand.Rand, duration time.Duration) ([]time.Duration, error) {
 	if w.Schedule != "" {
 		return readSchedule(w.Schedule)
 	}
@@ -20,7 +20,7 @@
 	}
 	var times []time.Duration
 	for at := w.Start.D(); ; {
-		pause, together := next(w, random)
+		pause, together := nextArrivals(w, random)
 		at += pause
 		if at >= stop {
 			return times, nil
@@ -31,8 +31,8 @@
 	}
 }
 
-// next returns the pause before the next arrivals and how many come together.
-func next(w *Workload, random *rand.Rand) (time.Duration, int) {
+// nextArrivals returns the pause before the nextArrivals arrivals and how many come together.
+func nextArrivals(w *Workload, random *rand.Rand) (time.Duration, int) {
 	mean := float64(time.Second) / w.Rate
 	switch w.Arrivals {
 	case Even:
@@ -67,23 +67,23 @@
 	return times, lines.Err()
 }
 
-// keys draws keys by popularity.
-type keys struct {
+// keyGenerator draws keyGenerator by popularity.
+type keyGenerator struct {
 	workload *Workload
 	random   *rand.Rand
 	zipf     *rand.Zipf
 }
 
-func newKeys(w *Workload, random *rand.Rand) *keys {
-	k := &keys{workload: w, random: random}
+func newKeyGenerator(w *Workload, random *rand.Rand) *keyGenerator {
+	k := &keyGenerator{workload: w, random: random}
 	if w.Keys > 0 && w.Zipf > 1 {
 		k.zipf = rand.NewZipf(random, w.Zipf, 1, uint64(w.Keys-1))
 	}
 	return k
 }
 
-// at returns the key of a request planned at the time.
-func (k *keys) at(planned time.Duration) string {
+// next returns the key of a request planned next the time.
+func (k *keyGenerator) next(planned time.Duration) string {
 	w := k.workload
 	switch {
 	case w.Keys == 0:
--- a/internal/loadgen/balancer.go
+++ b/internal/loadgen/balancer.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// healthEvery is how often the balancer looks at each entry's /readyz, as the
+// healthInterval is how often the balancer looks at each entry's /readyz, as the
 // platform's balancer does; its view lags by this much.
-const healthEvery = 250 * time.Millisecond
+const healthInterval = 250 * time.Millisecond
 
 // balancer plays the platform's balancer: it hands requests to entries in turn
 // and leaves out those that are not ready. Without admin addresses it takes all.
 type balancer struct {
 	entries, admins []string
-	down            []atomic.Bool
+	notReady        []atomic.Bool
 	http            *http.Client
 }
 
 func newBalancer(entries, admins []string) *balancer {
 	return &balancer{
-		entries: entries, admins: admins, down: make([]atomic.Bool, len(entries)),
-		http: &http.Client{Timeout: healthEvery},
+		entries: entries, admins: admins, notReady: make([]atomic.Bool, len(entries)),
+		http: &http.Client{Timeout: healthInterval},
 	}
 }
 
@@ -30,7 +30,7 @@
 func (b *balancer) pick(n, tried int) string {
 	for i := range b.entries {
 		k := (n + tried + i) % len(b.entries)
-		if !b.down[k].Load() {
+		if !b.notReady[k].Load() {
 			return b.entries[k]
 		}
 	}
@@ -39,11 +39,11 @@
 
 // run looks at every entry until the context ends.
 func (b *balancer) run(ctx context.Context) {
-	tick := time.NewTicker(healthEvery)
+	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
 	for {
 		for i, admin := range b.admins {
-			b.down[i].Store(!b.ready(ctx, admin))
+			b.notReady[i].Store(!b.ready(ctx, admin))
 		}
 		select {
 		case <-tick.C:
--- a/internal/loadgen/compare.go
+++ b/internal/loadgen/compare.go
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// figure is one number of a workload in two reports.
-type figure struct {
+// metric is one number of a workload in two reports.
+type metric struct {
 	name          string
 	before, after float64
 }
@@ -49,7 +49,7 @@
 		if a == nil {
 			continue
 		}
-		for _, f := range figures(b, a) {
+		for _, f := range metrics(b, a) {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%.2f\t%.2f\t%s\t\n", b.Service, b.Customer, f.name, f.before, f.after, ratio(f))
 		}
 	}
@@ -65,32 +65,32 @@
 	return nil
 }
 
-func figures(b, a *WorkloadResult) []figure {
-	out := []figure{
-		{"answered/sent", share(b.Answered, b.Sent), share(a.Answered, a.Sent)},
-		{"refused/sent", share(b.Refused, b.Sent), share(a.Refused, a.Sent)},
-		{"unknown/sent", share(b.Unknown+b.Lost, b.Sent), share(a.Unknown+a.Lost, a.Sent)},
+func metrics(b, a *WorkloadResult) []metric {
+	out := []metric{
+		{"answered/sent", fraction(b.Answered, b.Sent), fraction(a.Answered, a.Sent)},
+		{"refused/sent", fraction(b.Refused, b.Sent), fraction(a.Refused, a.Sent)},
+		{"unknown/sent", fraction(b.Unknown+b.Lost, b.Sent), fraction(a.Unknown+a.Lost, a.Sent)},
 		{"p50 ms", b.P50, a.P50},
 		{"p99 ms", b.P99, a.P99},
 		{"refused p99 ms", b.RefusedP99, a.RefusedP99},
 	}
 	if b.Keys != nil && a.Keys != nil {
 		out = append(out,
-			figure{"unavailable worst ms", b.Keys.Worst, a.Keys.Worst},
-			figure{"moves", float64(b.Keys.Moves), float64(a.Keys.Moves)},
-			figure{"imbalance", b.Keys.Imbalance, a.Keys.Imbalance})
+			metric{"unavailable worst ms", b.Keys.Worst, a.Keys.Worst},
+			metric{"moves", float64(b.Keys.Moves), float64(a.Keys.Moves)},
+			metric{"imbalance", b.Keys.Imbalance, a.Keys.Imbalance})
 	}
 	return out
 }
 
-func share(part, whole int) float64 {
+func fraction(part, whole int) float64 {
 	if whole == 0 {
 		return 0
 	}
 	return float64(part) / float64(whole)
 }
 
-func ratio(f figure) string {
+func ratio(f metric) string {
 	if f.before == 0 {
 		return "-"
 	}
--- a/internal/loadgen/path.go
+++ b/internal/loadgen/gateway.go
@@ -55,9 +55,9 @@
 
 // Figures of requests on the path.
 const (
-	pathDeadline = 2 * time.Second
-	// pathPatience is how long an answer is waited for.
-	pathPatience = pathDeadline + time.Second
+	gatewayDeadline = 2 * time.Second
+	// gatewayTimeout is how long an answer is waited for.
+	gatewayTimeout = gatewayDeadline + time.Second
 )
 
 // Check implements settings.Checker.
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// PathReport is what callers received.
-type PathReport struct {
+// GatewayReport is what callers received.
+type GatewayReport struct {
 	// Asked is all requests; each is one of the others.
 	Asked int64 `json:"asked"`
 	// Whole answers bear their target's stamp and their own path.
@@ -98,16 +98,16 @@
 }
 
 // Complete reports whether every request got its whole answer.
-func (r *PathReport) Complete() bool { return r.Asked > 0 && r.Whole == r.Asked }
+func (r *GatewayReport) Complete() bool { return r.Asked > 0 && r.Whole == r.Asked }
 
 // Text writes the report for people.
-func (r *PathReport) Text(w io.Writer) {
+func (r *GatewayReport) Text(w io.Writer) {
 	fmt.Fprintf(w, "asked %d, whole %d, refused %d, failed %d, lost %d, wrong %d; p50 %.1f ms, p99 %.1f ms\n",
 		r.Asked, r.Whole, r.Refused, r.Failed, r.Lost, r.Wrong, r.P50Ms, r.P99Ms)
 }
 
-// pathRun is a load being sent.
-type pathRun struct {
+// gatewayRun is a load being sent.
+type gatewayRun struct {
 	load     *GatewayLoad
 	balancer *balancer
 	client   *http.Client
@@ -119,25 +119,25 @@
 }
 
 // RunGatewayLoad offers the load and returns what callers received.
-func RunGatewayLoad(ctx context.Context, p *GatewayLoad) *PathReport {
-	r := &pathRun{
+func RunGatewayLoad(ctx context.Context, p *GatewayLoad) *GatewayReport {
+	r := &gatewayRun{
 		load: p, times: newHistogram(),
 		balancer: newBalancer(p.Addrs, p.Admins),
-		client:   &http.Client{Timeout: pathPatience, Transport: &http.Transport{DisableKeepAlives: true}},
+		client:   &http.Client{Timeout: gatewayTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	healthCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.balancer.run(healthCtx)
-	asked := r.offer(ctx)
-	out := &PathReport{
+	asked := r.sendAll(ctx)
+	out := &GatewayReport{
 		Asked: asked, Whole: r.whole.Load(), Refused: r.refused.Load(), Failed: r.failed.Load(), Lost: r.lost.Load(), Wrong: r.wrong.Load(),
 	}
 	out.P50Ms, out.P99Ms = quantile(r.times, 50), quantile(r.times, 99)
 	return out
 }
 
-// offer sends requests at their planned times and waits for the answers.
-func (r *pathRun) offer(ctx context.Context) int64 {
+// sendAll sends requests at their planned times and waits for the answers.
+func (r *gatewayRun) sendAll(ctx context.Context) int64 {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	begin := time.Now()
@@ -152,11 +152,11 @@
 		case <-ctx.Done():
 			return int64(n)
 		}
-		wait.Go(func() { r.one(ctx, n, planned) })
+		wait.Go(func() { r.send(ctx, n, planned) })
 	}
 }
 
-func (r *pathRun) one(ctx context.Context, n int, planned time.Time) {
+func (r *gatewayRun) send(ctx context.Context, n int, planned time.Time) {
 	rt := r.load.Routes[n%len(r.load.Routes)]
 	path := rt.Path + strconv.Itoa(n)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.balancer.pick(n/len(r.load.Routes), 0)+path, nil)
@@ -166,7 +166,7 @@
 	}
 	req.Host = rt.Host
 	req.Header.Set(r.load.Headers.RequestID, fmt.Sprintf("load-%d", n))
-	req.Header.Set(r.load.Headers.DeadlineMs, strconv.FormatInt(pathDeadline.Milliseconds(), 10))
+	req.Header.Set(r.load.Headers.DeadlineMs, strconv.FormatInt(gatewayDeadline.Milliseconds(), 10))
 	if rt.Keyed {
 		req.Header.Set(r.load.Headers.Key, strconv.Itoa(rand.IntN(1<<16)))
 	}
@@ -184,7 +184,7 @@
 	r.count(resp, string(body), path, time.Since(planned))
 }
 
-func (r *pathRun) count(resp *http.Response, body, path string, took time.Duration) {
+func (r *gatewayRun) count(resp *http.Response, body, path string, took time.Duration) {
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		r.refused.Add(1)
--- a/internal/loadgen/path_test.go
+++ b/internal/loadgen/gateway_test.go
@@ -14,10 +14,10 @@
 	"hemlockquay/internal/model"
 )
 
-var pathHeaders = GatewayHeaders{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", Stamp: "Stamp"}
+var gatewayHeaders = GatewayHeaders{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", Stamp: "Stamp"}
 
-// front answers by the path's prefix.
-func front(w http.ResponseWriter, r *http.Request) {
+// serveGateway answers by the path's prefix.
+func serveGateway(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/readyz":
 	case r.Header.Get("Id") == "" || r.Header.Get("Deadline") == "":
@@ -39,12 +39,12 @@
 
 // One that is not ready, and one that answers in each way: the report must keep them
 // apart, and only whole answers are complete.
-func TestPathReportTellsOutcomesApart(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(front))
+func TestGatewayReportSeparatesOutcomes(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(serveGateway))
 	defer server.Close()
 	addr := strings.TrimPrefix(server.URL, "http://")
 	p := &GatewayLoad{
-		Addrs: []string{"127.0.0.1:1", addr}, Admins: []string{"127.0.0.1:1", addr}, Rate: 100, Duration: model.Duration(time.Second), Headers: pathHeaders,
+		Addrs: []string{"127.0.0.1:1", addr}, Admins: []string{"127.0.0.1:1", addr}, Rate: 100, Duration: model.Duration(time.Second), Headers: gatewayHeaders,
 		Routes: []GatewayRoute{{Host: "h", Path: "/whole/", Keyed: true}, {Path: "/other/"}, {Path: "/full/"}, {Path: "/broken/"}, {Path: "/cut/"}},
 	}
 	require.NoError(t, p.Check())
@@ -60,12 +60,12 @@
 	var text bytes.Buffer
 	r.Text(&text)
 	require.Contains(t, text.String(), "asked 100, whole ")
-	require.True(t, (&PathReport{Asked: 3, Whole: 3}).Complete())
-	require.False(t, (&PathReport{}).Complete(), "nothing asked proves nothing")
+	require.True(t, (&GatewayReport{Asked: 3, Whole: 3}).Complete())
+	require.False(t, (&GatewayReport{}).Complete(), "nothing asked proves nothing")
 }
 
-func TestPathLoadIsChecked(t *testing.T) {
-	good := GatewayLoad{Addrs: []string{"a"}, Admins: []string{"b"}, Rate: 1, Routes: []GatewayRoute{{Path: "/"}}, Headers: pathHeaders}
+func TestGatewayLoadIsChecked(t *testing.T) {
+	good := GatewayLoad{Addrs: []string{"a"}, Admins: []string{"b"}, Rate: 1, Routes: []GatewayRoute{{Path: "/"}}, Headers: gatewayHeaders}
 	require.NoError(t, good.Check())
 	require.Equal(t, defaultDuration, good.Duration)
 	for pointer, spoil := range map[string]func(p *GatewayLoad){
--- a/internal/loadgen/keyfigures.go
+++ b/internal/loadgen/keystats.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// KeyFigures are the measures of the brief that concern keys.
-type KeyFigures struct {
+// KeyStats are the measures of the brief that concern keys.
+type KeyStats struct {
 	// Keys is how many keys were asked for.
 	Keys int `json:"keys"`
 	// Unavailable counts keys that were unavailable at any time; P50 and Worst
@@ -20,8 +20,8 @@
 	Imbalance float64 `json:"imbalance"`
 }
 
-// keyFigures computes the measures from a workload's outcomes.
-func keyFigures(outcomes []outcome, slowAfter time.Duration) *KeyFigures {
+// keyStats computes the measures from a workload's outcomes.
+func keyStats(outcomes []outcome, slowAfter time.Duration) *KeyStats {
 	byKey := make(map[string][]outcome)
 	served := make(map[string]int)
 	for _, o := range outcomes {
@@ -30,7 +30,7 @@
 			served[o.servedBy]++
 		}
 	}
-	f := &KeyFigures{Keys: len(byKey), Imbalance: imbalance(served)}
+	f := &KeyStats{Keys: len(byKey), Imbalance: imbalance(served)}
 	var worst []time.Duration
 	for _, history := range byKey {
 		slices.SortFunc(history, func(a, b outcome) int { return int(a.planned - b.planned) })
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -12,13 +12,13 @@
 	value func(*Second) float64
 }
 
-// curves is one plot of the report's seconds.
-type curves struct {
+// plot is one plot of the report's seconds.
+type plot struct {
 	file, title, unit string
 	lines             []line
 }
 
-var plots = []curves{
+var plots = []plot{
 	{"requests.svg", "Requests by planned second", "requests", []line{
 		{"answered", func(s *Second) float64 { return float64(s.Answered) }},
 		{"refused (no)", func(s *Second) float64 { return float64(s.Refused) }},
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (r *Report) draw(dir string, p curves) error {
+func (r *Report) draw(dir string, p plot) error {
 	c := chart.Chart{Title: p.title, Unit: p.unit, Marks: true}
 	for _, l := range p.lines {
 		values := make([]float64, len(r.Series))
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -48,9 +48,9 @@
 	// Statuses counts refusals and losses by status code.
 	Statuses []StatusCount `json:"statuses,omitempty"`
 	// FirstLoss is the first lost request's error.
-	FirstLoss string      `json:"firstLoss,omitempty"`
-	Keys      *KeyFigures `json:"keys,omitempty"`
-	Unchecked bool        `json:"unchecked,omitempty"`
+	FirstLoss string    `json:"firstLoss,omitempty"`
+	Keys      *KeyStats `json:"keys,omitempty"`
+	Unchecked bool      `json:"unchecked,omitempty"`
 }
 
 // StatusCount counts answers of one status code.
@@ -82,13 +82,13 @@
 		if err != nil {
 			return err
 		}
-		report.judge(t, runs)
+		report.addRuns(t, runs)
 	}
 	return nil
 }
 
-func (r *Report) judge(t *tally, runs []int) {
-	for i, n := range runs {
+func (r *Report) addRuns(t *tally, queryRuns []int) {
+	for i, n := range queryRuns {
 		o := &t.outcomes[i]
 		r.Runs += n
 		if t.workload.Unchecked {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -21,8 +21,8 @@
 // maxConnections bounds the connections to one entry.
 const maxConnections = 512
 
-// graceAfter is how much longer than its deadline a request is waited for.
-const graceAfter = time.Second
+// deadlineSlack is how much longer than its deadline a request is waited for.
+const deadlineSlack = time.Second
 
 // runner carries out one experiment.
 type runner struct {
@@ -53,32 +53,32 @@
 		balancer:   newBalancer(e.Entries, e.Admins),
 	}
 	defer r.http.CloseIdleConnections()
-	if err := r.stream(ctx); err != nil {
+	if err := r.runAll(ctx); err != nil {
 		return nil, err
 	}
 	report := r.report()
 	return report, r.verify(report)
 }
 
-// stream runs all workloads and the faults, each in a goroutine of its own.
-func (r *runner) stream(ctx context.Context) error {
+// runAll runs all workloads and the faults, each in a goroutine of its own.
+func (r *runner) runAll(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var streams, faults sync.WaitGroup
 	for i := range r.experiment.Workloads {
 		w := &r.experiment.Workloads[i]
 		random := rand.New(rand.NewPCG(r.experiment.Seed, uint64(i)))
-		times, err := plan(w, random, r.experiment.Duration.D())
+		times, err := arrivalTimes(w, random, r.experiment.Duration.D())
 		if err != nil {
 			return err
 		}
 		t := newTally(w)
 		r.tallies = append(r.tallies, t)
-		streams.Go(func() { r.workload(ctx, i, t, times, newKeys(w, random)) })
+		streams.Go(func() { r.runWorkload(ctx, i, t, times, newKeyGenerator(w, random)) })
 	}
 	faults.Go(func() { r.balancer.run(ctx) })
 	faults.Go(func() {
-		if err := r.faults(ctx); err != nil {
+		if err := r.injectFaults(ctx); err != nil {
 			cancel(err)
 		}
 	})
@@ -89,13 +89,13 @@
 	return cause
 }
 
-// workload sends one workload's requests at their planned times.
-func (r *runner) workload(ctx context.Context, index int, t *tally, times []time.Duration, keys *keys) {
+// runWorkload sends one runWorkload's requests at their planned times.
+func (r *runner) runWorkload(ctx context.Context, index int, t *tally, times []time.Duration, keys *keyGenerator) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
 	targets, err := r.targets(ctx, t.workload)
 	if err != nil {
-		t.note(outcome{err: err})
+		t.record(outcome{err: err})
 		return
 	}
 	for n, at := range times {
@@ -104,12 +104,12 @@
 		}
 		c := call{
 			id: fmt.Sprintf("%s-%d-%d", r.prefix, index, n), number: n, planned: at,
-			key: keys.at(at),
+			key: keys.next(at),
 		}
 		if t.workload.Direct {
 			c.direct = targets[keys.random.IntN(len(targets))]
 		}
-		requests.Go(func() { r.request(ctx, t, c) })
+		requests.Go(func() { r.send(ctx, t, c) })
 	}
 }
 
@@ -128,8 +128,8 @@
 	}
 }
 
-// faults calls the stand-in's admin port by the timetable.
-func (r *runner) faults(ctx context.Context) error {
+// injectFaults calls the stand-in's admin port by the timetable.
+func (r *runner) injectFaults(ctx context.Context) error {
 	for _, f := range r.experiment.Faults {
 		if !r.sleepUntil(ctx, f.At.D()) {
 			return nil
@@ -150,17 +150,17 @@
 	return nil
 }
 
-// request sends one request and notes what came back.
-func (r *runner) request(ctx context.Context, t *tally, c call) {
+// send sends one send and notes what came back.
+func (r *runner) send(ctx context.Context, t *tally, c call) {
 	o := outcome{call: c}
-	ctx, cancel := context.WithDeadline(ctx, r.begin.Add(c.planned+t.workload.Deadline.D()+graceAfter))
+	ctx, cancel := context.WithDeadline(ctx, r.begin.Add(c.planned+t.workload.Deadline.D()+deadlineSlack))
 	defer cancel()
 	body := bytes.Repeat([]byte("b"), t.workload.BodyBytes)
-	resp, answer, err := r.balance(ctx, t.workload, c, body)
+	resp, answer, err := r.sendBalanced(ctx, t.workload, c, body)
 	o.took = time.Since(r.begin) - c.planned
 	if err != nil {
 		o.err = err
-		t.note(o)
+		t.record(o)
 		return
 	}
 	o.status, o.servedBy = resp.StatusCode, resp.Header.Get(standin.HeaderServedBy)
@@ -173,19 +173,19 @@
 	if t.workload.IdempotencyKeys == 0 {
 		id = c.id
 	}
-	o.whole = bytes.Equal(answer, standin.Answer(id, t.workload.AnswerBytes, body))
-	t.note(o)
+	o.intact = bytes.Equal(answer, standin.Answer(id, t.workload.AnswerBytes, body))
+	t.record(o)
 }
 
-// balance sends the request to the next entry that takes a connection, as a
+// sendBalanced sends the request to the next entry that takes a connection, as a
 // balancer does: where the dial fails, nothing was sent.
-func (r *runner) balance(ctx context.Context, w *Workload, c call, body []byte) (*http.Response, []byte, error) {
+func (r *runner) sendBalanced(ctx context.Context, w *Workload, c call, body []byte) (*http.Response, []byte, error) {
 	if w.Direct {
-		return r.exchange(ctx, w, c, c.direct, body)
+		return r.roundTrip(ctx, w, c, c.direct, body)
 	}
 	for tried := 0; ; tried++ {
 		entry := r.balancer.pick(c.number, tried) + "/s/" + w.Service
-		resp, answer, err := r.exchange(ctx, w, c, entry, body)
+		resp, answer, err := r.roundTrip(ctx, w, c, entry, body)
 		var op *net.OpError
 		dialled := err == nil || !errors.As(err, &op) || op.Op != "dial"
 		if dialled || ctx.Err() != nil || tried >= len(r.experiment.Entries) {
@@ -194,8 +194,8 @@
 	}
 }
 
-func (r *runner) exchange(ctx context.Context, w *Workload, c call, place string, body []byte) (*http.Response, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, w.Method, place+"/work", bytes.NewReader(body))
+func (r *runner) roundTrip(ctx context.Context, w *Workload, c call, baseURL string, body []byte) (*http.Response, []byte, error) {
+	req, err := http.NewRequestWithContext(ctx, w.Method, baseURL+"/work", bytes.NewReader(body))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/loadgen/series.go
+++ b/internal/loadgen/series.go
@@ -22,13 +22,13 @@
 	Imbalance float64 `json:"imbalance"`
 }
 
-// course collects the seconds of an experiment.
-type course struct {
-	seconds []Second
-	latency [][]time.Duration
-	served  []map[string]int
-	bad     []map[string]bool
-	last    map[string]string
+// seriesBuilder collects the seconds of an experiment.
+type seriesBuilder struct {
+	seconds      []Second
+	latency      [][]time.Duration
+	served       []map[string]int
+	failedKeys   []map[string]bool
+	lastServedBy map[string]string
 }
 
 // series computes the course over all workloads.
@@ -38,31 +38,31 @@
 		all = append(all, t.outcomes...)
 	}
 	slices.SortFunc(all, func(a, b outcome) int { return int(a.planned - b.planned) })
-	c := &course{last: make(map[string]string)}
+	c := &seriesBuilder{lastServedBy: make(map[string]string)}
 	for i := range all {
 		c.add(&all[i], slowAfter)
 	}
 	return c.finish()
 }
 
-func (c *course) add(o *outcome, slowAfter time.Duration) {
+func (c *seriesBuilder) add(o *outcome, slowAfter time.Duration) {
 	n := int(o.planned / time.Second)
 	for len(c.seconds) <= n {
 		c.seconds = append(c.seconds, Second{})
 		c.latency = append(c.latency, nil)
 		c.served = append(c.served, make(map[string]int))
-		c.bad = append(c.bad, make(map[string]bool))
+		c.failedKeys = append(c.failedKeys, make(map[string]bool))
 	}
 	s := &c.seconds[n]
 	s.Sent++
 	if o.key != "" && (!o.answered() || o.took >= slowAfter) {
-		c.bad[n][o.key] = true
+		c.failedKeys[n][o.key] = true
 	}
 	switch {
 	case o.answered():
 		s.Answered++
 		c.latency[n] = append(c.latency[n], o.took)
-		c.serve(n, o)
+		c.addServed(n, o)
 	case o.err == nil && o.ran == problem.RanNo:
 		s.Refused++
 	default:
@@ -70,21 +70,21 @@
 	}
 }
 
-func (c *course) serve(n int, o *outcome) {
+func (c *seriesBuilder) addServed(n int, o *outcome) {
 	if o.key == "" {
 		return
 	}
 	c.served[n][o.servedBy]++
-	if before := c.last[o.key]; before != "" && before != o.servedBy {
+	if before := c.lastServedBy[o.key]; before != "" && before != o.servedBy {
 		c.seconds[n].Moves++
 	}
-	c.last[o.key] = o.servedBy
+	c.lastServedBy[o.key] = o.servedBy
 }
 
-func (c *course) finish() []Second {
+func (c *seriesBuilder) finish() []Second {
 	for n := range c.seconds {
 		s := &c.seconds[n]
-		s.UnavailableKeys = len(c.bad[n])
+		s.UnavailableKeys = len(c.failedKeys[n])
 		s.Imbalance = imbalance(c.served[n])
 		if l := c.latency[n]; len(l) > 0 {
 			slices.Sort(l)
--- a/internal/loadgen/tally.go
+++ b/internal/loadgen/tally.go
@@ -23,13 +23,13 @@
 	ran      problem.Ran
 	status   int
 	servedBy string
-	// whole says that the body is complete and the request's own.
-	whole bool
+	// intact says that the body is complete and the request's own.
+	intact bool
 	// err is set where no HTTP answer came.
 	err error
 }
 
-func (o *outcome) answered() bool { return o.err == nil && o.ran == problem.RanYes && o.whole }
+func (o *outcome) answered() bool { return o.err == nil && o.ran == problem.RanYes && o.intact }
 
 // tally collects one workload's outcomes. It is safe for concurrent use.
 type tally struct {
@@ -41,7 +41,7 @@
 
 func newTally(w *Workload) *tally { return &tally{workload: w} }
 
-func (t *tally) note(o outcome) {
+func (t *tally) record(o outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outcomes = append(t.outcomes, o)
@@ -70,7 +70,7 @@
 	r.P50, r.P99, r.P999 = quantile(latency, 50), quantile(latency, 99), quantile(latency, 99.9)
 	r.RefusedP99 = quantile(refusals, 99)
 	if t.workload.Keys > 0 {
-		r.Keys = keyFigures(t.outcomes, slowAfter)
+		r.Keys = keyStats(t.outcomes, slowAfter)
 	}
 	return r
 }
@@ -89,7 +89,7 @@
 			r.FirstLoss = o.err.Error()
 		}
 		return
-	case o.ran == problem.RanYes && o.whole:
+	case o.ran == problem.RanYes && o.intact:
 		r.Answered++
 		return
 	case o.ran == problem.RanYes:
