--- a/internal/loadgen/arrivals.go
+++ b/internal/loadgen/arrivals.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// arrivalTimes returns the planned times of a workload, ascending, from its start.
+// arrivalTimes returns the planned times of a workload's requests, ascending, from the start of the
+// experiment.
 func arrivalTimes(w *Workload, random *rand.Rand, duration time.Duration) ([]time.Duration, error) {
 	if w.Schedule != "" {
 		return readSchedule(w.Schedule)
@@ -31,7 +32,7 @@
 	}
 }
 
-// nextArrivals returns the pause before the nextArrivals arrivals and how many come together.
+// nextArrivals returns the time until the next arrivals and how many arrive together.
 func nextArrivals(w *Workload, random *rand.Rand) (time.Duration, int) {
 	mean := float64(time.Second) / w.Rate
 	switch w.Arrivals {
@@ -60,14 +61,14 @@
 		}
 		at := time.Duration(s * float64(time.Second))
 		if len(times) > 0 && at < times[len(times)-1] {
-			return nil, fmt.Errorf("read schedule: %s:%d: times go back", file, n)
+			return nil, fmt.Errorf("read schedule: %s:%d: time is before the previous one", file, n)
 		}
 		times = append(times, at)
 	}
 	return times, lines.Err()
 }
 
-// keyGenerator draws keyGenerator by popularity.
+// keyGenerator draws keys at random by their popularity.
 type keyGenerator struct {
 	workload *Workload
 	random   *rand.Rand
@@ -82,7 +83,7 @@
 	return k
 }
 
-// next returns the key of a request planned next the time.
+// next returns the key of a request with the planned time.
 func (k *keyGenerator) next(planned time.Duration) string {
 	w := k.workload
 	switch {
--- a/internal/loadgen/balancer.go
+++ b/internal/loadgen/balancer.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// healthInterval is how often the balancer looks at each entry's /readyz, as the
-// platform's balancer does; its view lags by this much.
+// healthInterval is the interval between two checks of each entry's /readyz, as at the
+// platform's balancer. A change of readiness is noticed with up to this delay.
 const healthInterval = 250 * time.Millisecond
 
-// balancer plays the platform's balancer: it hands requests to entries in turn
-// and leaves out those that are not ready. Without admin addresses it takes all.
+// balancer simulates the platform's load balancer: it assigns requests to entries in turn
+// and skips entries that are not ready. Without admin addresses it uses all.
 type balancer struct {
 	entries, admins []string
 	notReady        []atomic.Bool
@@ -26,7 +26,7 @@
 	}
 }
 
-// pick returns the entry for the n-th request, on its tried-th try.
+// pick returns the entry for the n-th request after the given number of failed tries.
 func (b *balancer) pick(n, tried int) string {
 	for i := range b.entries {
 		k := (n + tried + i) % len(b.entries)
@@ -37,7 +37,7 @@
 	return b.entries[n%len(b.entries)]
 }
 
-// run looks at every entry until the context ends.
+// run checks the readiness of every entry until the context ends.
 func (b *balancer) run(ctx context.Context) {
 	tick := time.NewTicker(healthInterval)
 	defer tick.Stop()
--- a/internal/loadgen/compare.go
+++ b/internal/loadgen/compare.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// ReadReport reads a report that was written as JSON.
+// ReadReport reads a report that WriteReport wrote.
 func ReadReport(file string) (*Report, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -33,13 +33,13 @@
 	return nil
 }
 
-// metric is one number of a workload in two reports.
+// metric is one value of a workload in two reports.
 type metric struct {
 	name          string
 	before, after float64
 }
 
-// Compare writes each figure of the workloads that both reports have.
+// Compare writes a table of the metrics of the workloads that both reports have.
 func Compare(out io.Writer, before, after *Report) {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "service\tcustomer\tfigure\tbefore\tafter\tafter/before\t")
--- a/internal/loadgen/direct.go
+++ b/internal/loadgen/direct.go
@@ -9,7 +9,8 @@
 	"hemlockquay/internal/standin"
 )
 
-// targets returns the base URLs of a direct stream's targets, from the stand-in.
+// targets returns the base URLs of the targets of a direct workload, as the stand-in lists them,
+// or nil for other workloads.
 func (r *runner) targets(ctx context.Context, w *Workload) ([]string, error) {
 	if !w.Direct {
 		return nil, nil
@@ -34,7 +35,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("list targets: none of service %q", w.Service)
+		return nil, fmt.Errorf("list targets: service %q has none", w.Service)
 	}
 	return out, nil
 }
--- a/internal/loadgen/direct_test.go
+++ b/internal/loadgen/direct_test.go
@@ -9,9 +9,9 @@
 	"hemlockquay/internal/target"
 )
 
-// The baseline without dispatchers answered 27,000 requests of 27,000 at three times
-// the pool's capacity. Its requests bore no id, and a target counts what it runs by
-// id: all of them took one slot together and none was ever shed.
+// Guards against direct requests without an id. A target counts running requests by id, so
+// that they all shared one slot and none was shed: the baseline without dispatchers answered
+// 27,000 of 27,000 requests at three times the pool's capacity.
 func TestDirectRequestsHaveUniqueIDs(t *testing.T) {
 	ids := make(map[string]bool)
 	for _, id := range []string{"a", "b"} {
--- a/internal/loadgen/experiment.go
+++ b/internal/loadgen/experiment.go
@@ -1,5 +1,5 @@
-// Package loadgen offers load to entries at planned times and reports what
-// callers received.
+// Package loadgen sends load to entries at planned times and reports the results
+// for callers.
 //
 // Arrivals are open-loop: a slow answer delays no later request, and the latency
 // counts from the planned time, so a stall shows in full (no coordinated
@@ -16,31 +16,31 @@
 	"hemlockquay/internal/settings"
 )
 
-// Experiment is a load, where it goes and what is broken meanwhile.
+// Experiment is a load, its destination, and the faults injected meanwhile.
 type Experiment struct {
-	// Entries are base URLs of entries; requests go to them in turn. A plan
-	// fills them in where an experiment file leaves them out.
+	// Entries are the base URLs of entries; requests go to them in turn. If an
+	// experiment file leaves them out, they are taken from a plan.
 	Entries []string `json:"entries,omitempty"`
-	// Admins are the entries' admin IP:PORTs in the same order. The balancer
-	// that the load plays leaves out entries whose /readyz says no; without
-	// them it sends to all.
+	// Admins are the entries' admin IP:PORTs in the same order. The simulated
+	// load balancer skips entries whose /readyz reports that they are not ready;
+	// without Admins it sends to all.
 	Admins []string `json:"admins,omitempty"`
 	// Standin is the base URL of the stand-in's admin port, for faults and for
-	// the check of what ran. "" skips the check.
+	// checking which requests ran. "" skips the check.
 	Standin string `json:"standin,omitempty"`
 	// Duration is how long requests are sent. Default 20s.
 	Duration model.Duration `json:"duration,omitempty"`
 	// Seed makes arrivals and keys repeatable. Default 1.
 	Seed uint64 `json:"seed,omitempty"`
-	// SlowAfter is the latency from which a key counts as unavailable.
+	// SlowAfter is the latency of a request from which its key counts as unavailable.
 	// Default 100ms.
 	SlowAfter model.Duration `json:"slowAfter,omitempty"`
 	Workloads []Workload     `json:"workloads"`
-	// Faults is the timetable of faults.
+	// Faults lists the faults to inject, in order of time.
 	Faults []Fault `json:"faults,omitempty"`
 }
 
-// Workload is one stream of requests of a customer to a service.
+// Workload is a sequence of requests of a customer to a service.
 type Workload struct {
 	Customer string `json:"customer,omitempty"`
 	Token    string `json:"token,omitempty"`
@@ -49,12 +49,12 @@
 	Rate float64 `json:"rate"`
 	// Arrivals is poisson, even or bursts. Default poisson.
 	Arrivals Arrivals `json:"arrivals,omitempty"`
-	// BurstEvery is the pause between two bursts. Default 1s.
+	// BurstEvery is the interval between two bursts. Default 1s.
 	BurstEvery model.Duration `json:"burstEvery,omitempty"`
 	// Schedule names a file of planned times, seconds from the start, one a
 	// line; it replaces Rate and Arrivals.
 	Schedule string `json:"schedule,omitempty"`
-	// Start and Stop bound the stream within the experiment. Stop 0 is its end.
+	// Start and Stop limit the workload to a part of the experiment. Stop 0 is its end.
 	Start model.Duration `json:"start,omitempty"`
 	Stop  model.Duration `json:"stop,omitempty"`
 	// Keys is how many keys there are; 0 sends none.
@@ -66,7 +66,7 @@
 	HotEvery model.Duration `json:"hotEvery,omitempty"`
 	// Method is GET or POST. Default GET.
 	Method string `json:"method,omitempty"`
-	// Deadline is the caller's patience. Default 2s.
+	// Deadline is the time that the caller allows for a request. Default 2s.
 	Deadline model.Duration `json:"deadline,omitempty"`
 	// AnswerBytes is the size of the answers. Default 256.
 	AnswerBytes int `json:"answerBytes,omitempty"`
@@ -77,23 +77,23 @@
 	// One in LongOneIn requests takes LongWorkUS instead.
 	LongOneIn  int `json:"longOneIn,omitempty"`
 	LongWorkUS int `json:"longWorkUs,omitempty"`
-	// CrashOneIn makes one in so many requests kill the target that runs it.
+	// CrashOneIn makes one in this many requests crash the target that runs it.
 	CrashOneIn int `json:"crashOneIn,omitempty"`
 	// IdempotencyKeys is how many Idempotency-Key values are used in turn; 0
 	// sends none.
 	IdempotencyKeys int `json:"idempotencyKeys,omitempty"`
-	// Direct sends straight to the service's targets, chosen at random, as the
+	// Direct sends directly to the service's targets, chosen at random, as a
 	// baseline without this system; only for services without keys.
 	Direct bool `json:"direct,omitempty"`
-	// Unchecked leaves broken promises of this stream out of the verdict; for
-	// baselines that make none.
+	// Unchecked excludes this workload from the check of the guarantees; for
+	// baselines that give none.
 	Unchecked bool `json:"unchecked,omitempty"`
 }
 
-// Arrivals names a pattern of planned times.
+// Arrivals is a pattern of planned times.
 type Arrivals string
 
-// The patterns.
+// The arrival patterns.
 const (
 	Poisson Arrivals = "poisson"
 	Even    Arrivals = "even"
@@ -182,14 +182,14 @@
 	case w.HotShare < 0 || w.HotShare > 1:
 		return settings.Impossible(at+"/hotShare", "%v is not between 0 and 1", w.HotShare)
 	case w.Direct && w.Keys > 0:
-		return settings.Impossible(at+"/direct", "targets serve keys under a grant only")
+		return settings.Impossible(at+"/direct", "targets serve keys only under a grant")
 	case w.HotShare > 0 && (w.Keys == 0 || w.HotEvery <= 0):
 		return settings.Impossible(at+"/hotShare", "needs keys and hotEvery")
 	}
 	return nil
 }
 
-// FillFrom fills in from a planned run what an experiment leaves out: the
+// FillFrom sets fields that the experiment leaves out from the experiment of a planned run: the
 // entries, the stand-in, and each workload's token by its customer.
 func (e *Experiment) FillFrom(lab *Experiment) {
 	if len(e.Entries) == 0 {
--- a/internal/loadgen/gateway.go
+++ b/internal/loadgen/gateway.go
@@ -18,45 +18,45 @@
 	"hemlockquay/internal/settings"
 )
 
-// GatewayLoad is a load on the fronts of gateways, as a platform's balancer passes it on:
+// GatewayLoad is a load on gateways, as a platform's load balancer forwards it:
 // plain HTTP with the platform's headers.
 type GatewayLoad struct {
-	// Addrs are the IP:PORTs for callers, Admins the gateways' admin IP:PORTs in
-	// the same order: fronts whose /readyz says no are left out.
+	// Addrs are the gateways' IP:PORTs for callers, Admins their admin IP:PORTs in
+	// the same order. Gateways whose /readyz reports that they are not ready get no requests.
 	Addrs  []string `json:"fronts"`
 	Admins []string `json:"admins"`
-	// Rate is the requests a second, over all routes in turn.
+	// Rate is the number of requests per second, over all routes in turn.
 	Rate float64 `json:"rate"`
 	// Duration is how long requests are sent. Default 20s.
 	Duration model.Duration `json:"duration,omitempty"`
 	Routes   []GatewayRoute `json:"routes"`
-	// Headers are the platform's names.
+	// Headers has the platform's header names.
 	Headers GatewayHeaders `json:"headers"`
 }
 
-// GatewayHeaders names the headers of requests and answers.
+// GatewayHeaders has the names of the headers of requests and answers.
 type GatewayHeaders struct {
 	RequestID string `json:"requestId"`
-	// DeadlineMs is the time left, milliseconds.
+	// DeadlineMs carries the time left to the deadline, in milliseconds.
 	DeadlineMs string `json:"deadlineMs"`
 	Key        string `json:"key"`
 	// Stamp is set by the target that answered.
 	Stamp string `json:"stamp"`
 }
 
-// GatewayRoute is where requests go.
+// GatewayRoute is a route to which requests are sent.
 type GatewayRoute struct {
 	Host string `json:"host"`
-	// Path is the path's prefix; each request appends its number.
+	// Path is the prefix of the path, to which each request appends its number.
 	Path string `json:"path"`
-	// Keyed requests name a key, drawn evenly.
+	// Keyed is set if requests carry a key, drawn uniformly at random.
 	Keyed bool `json:"keyed,omitempty"`
 }
 
-// Figures of requests on the path.
+// Limits of requests to gateways.
 const (
 	gatewayDeadline = 2 * time.Second
-	// gatewayTimeout is how long an answer is waited for.
+	// gatewayTimeout is how long the load waits for an answer.
 	gatewayTimeout = gatewayDeadline + time.Second
 )
 
@@ -80,33 +80,34 @@
 	return nil
 }
 
-// GatewayReport is what callers received.
+// GatewayReport is the result of a load on gateways.
 type GatewayReport struct {
-	// Asked is all requests; each is one of the others.
+	// Asked counts all requests; each also counts as one of the others.
 	Asked int64 `json:"asked"`
-	// Whole answers bear their target's stamp and their own path.
+	// Whole counts answers with a target's stamp and the path of their request.
 	Whole int64 `json:"whole"`
-	// Refused were answered 503: not run.
+	// Refused counts requests that were answered 503: not run.
 	Refused int64 `json:"refused"`
-	// Failed have another status, Lost no answer, Wrong another's answer.
+	// Failed counts answers with another status, Lost requests without an answer, Wrong
+	// answers without a stamp or with the path of another request.
 	Failed int64 `json:"failed"`
 	Lost   int64 `json:"lost"`
 	Wrong  int64 `json:"wrong"`
-	// P50Ms and P99Ms are of whole answers, from the planned time, milliseconds.
+	// P50Ms and P99Ms are latency quantiles of whole answers, in milliseconds from the planned time.
 	P50Ms float64 `json:"p50Ms"`
 	P99Ms float64 `json:"p99Ms"`
 }
 
-// Complete reports whether every request got its whole answer.
+// Complete reports whether there were requests and each got its whole answer.
 func (r *GatewayReport) Complete() bool { return r.Asked > 0 && r.Whole == r.Asked }
 
-// Text writes the report for people.
+// Text writes the report as one line of text.
 func (r *GatewayReport) Text(w io.Writer) {
 	fmt.Fprintf(w, "asked %d, whole %d, refused %d, failed %d, lost %d, wrong %d; p50 %.1f ms, p99 %.1f ms\n",
 		r.Asked, r.Whole, r.Refused, r.Failed, r.Lost, r.Wrong, r.P50Ms, r.P99Ms)
 }
 
-// gatewayRun is a load being sent.
+// gatewayRun is the state of a load on gateways.
 type gatewayRun struct {
 	load     *GatewayLoad
 	balancer *balancer
@@ -118,7 +119,7 @@
 	times *hdrhistogram.Histogram
 }
 
-// RunGatewayLoad offers the load and returns what callers received.
+// RunGatewayLoad sends the load and returns the report.
 func RunGatewayLoad(ctx context.Context, p *GatewayLoad) *GatewayReport {
 	r := &gatewayRun{
 		load: p, times: newHistogram(),
@@ -136,7 +137,8 @@
 	return out
 }
 
-// sendAll sends requests at their planned times and waits for the answers.
+// sendAll sends requests at their planned times, waits for the answers and returns the number of
+// requests.
 func (r *gatewayRun) sendAll(ctx context.Context) int64 {
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -196,7 +198,7 @@
 		r.whole.Add(1)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		// Times beyond the histogram's range count as whole all the same.
+		// A latency beyond the range of the histogram is not recorded, but the answer counts as whole.
 		_ = r.times.RecordValue(took.Microseconds())
 	}
 }
--- a/internal/loadgen/gateway_test.go
+++ b/internal/loadgen/gateway_test.go
@@ -16,7 +16,7 @@
 
 var gatewayHeaders = GatewayHeaders{RequestID: "Id", DeadlineMs: "Deadline", Key: "Key", Stamp: "Stamp"}
 
-// serveGateway answers by the path's prefix.
+// serveGateway simulates a gateway whose answer depends on the prefix of the path.
 func serveGateway(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/readyz":
@@ -37,8 +37,8 @@
 	}
 }
 
-// One that is not ready, and one that answers in each way: the report must keep them
-// apart, and only whole answers are complete.
+// Sends load to a gateway that is not ready and to one that answers in every way. Guards against a
+// report that confuses the outcomes or is complete without a whole answer to each request.
 func TestGatewayReportSeparatesOutcomes(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(serveGateway))
 	defer server.Close()
@@ -61,7 +61,7 @@
 	r.Text(&text)
 	require.Contains(t, text.String(), "asked 100, whole ")
 	require.True(t, (&GatewayReport{Asked: 3, Whole: 3}).Complete())
-	require.False(t, (&GatewayReport{}).Complete(), "nothing asked proves nothing")
+	require.False(t, (&GatewayReport{}).Complete(), "a report without requests is not complete")
 }
 
 func TestGatewayLoadIsChecked(t *testing.T) {
--- a/internal/loadgen/keystats.go
+++ b/internal/loadgen/keystats.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// KeyStats are the measures of the brief that concern keys.
+// KeyStats are the statistics of a workload's keys: their availability, moves and balance.
 type KeyStats struct {
-	// Keys is how many keys were asked for.
+	// Keys counts the distinct keys of the requests.
 	Keys int `json:"keys"`
 	// Unavailable counts keys that were unavailable at any time; P50 and Worst
-	// are their longest unavailable times, milliseconds.
+	// are the median and maximum of their longest unavailable times, in milliseconds.
 	Unavailable int     `json:"unavailable"`
 	P50         float64 `json:"unavailableP50ms"`
 	Worst       float64 `json:"unavailableWorstms"`
-	// Moves counts how often a key was answered by another target than before.
+	// Moves counts the answers for a key by another target than the one before.
 	Moves int `json:"moves"`
-	// Imbalance is the highest over the mean number of answers of a target.
+	// Imbalance is the highest number of answers of a target divided by the mean.
 	Imbalance float64 `json:"imbalance"`
 }
 
-// keyStats computes the measures from a workload's outcomes.
+// keyStats computes the statistics from a workload's outcomes.
 func keyStats(outcomes []outcome, slowAfter time.Duration) *KeyStats {
 	byKey := make(map[string][]outcome)
 	served := make(map[string]int)
@@ -49,10 +49,10 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// unavailable returns the longest time in which a key was not served: from the
+// unavailable returns the longest interval in which a key was not served: from the
 // planned time of the first request that failed or was slow, to the next answer.
-// A slow answer ends the time when it comes. Its resolution is the pause between
-// two requests for the key. history is sorted by planned time.
+// A slow answer ends the interval when it arrives. The resolution is the time between
+// two requests for the key. history must be sorted by planned time.
 func unavailable(history []outcome, slowAfter time.Duration) time.Duration {
 	var longest, from time.Duration
 	open := false
@@ -68,7 +68,7 @@
 		}
 	}
 	if open {
-		// Never served again: counted to the end of its last request.
+		// The key was not served again: the interval ends with its last request.
 		last := &history[len(history)-1]
 		longest = max(longest, last.planned+last.took-from)
 	}
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -12,7 +12,7 @@
 	value func(*Second) float64
 }
 
-// plot is one plot of the report's seconds.
+// plot describes one plot of a report's series.
 type plot struct {
 	file, title, unit string
 	lines             []line
@@ -30,7 +30,7 @@
 	{"unavailable.svg", "Keys with a failed or slow request", "keys", []line{{"keys", func(s *Second) float64 { return float64(s.UnavailableKeys) }}}},
 }
 
-// Plot draws the report's series as SVG files into the directory.
+// Plot writes the plots of the report's series to the directory as SVG files.
 func (r *Report) Plot(dir string) error {
 	for _, p := range plots {
 		if err := r.draw(dir, p); err != nil {
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -12,48 +12,48 @@
 	"hemlockquay/internal/standin"
 )
 
-// Report is what callers received.
+// Report is the result of an experiment.
 type Report struct {
 	Seconds   float64          `json:"seconds"`
 	Workloads []WorkloadResult `json:"workloads"`
-	// RefusedYetRan counts requests refused with ran: no that a target ran.
+	// RefusedYetRan counts requests that were refused with "ran: no" although a target ran them.
 	RefusedYetRan int `json:"refusedYetRan"`
 	// RanTwice counts non-idempotent requests that ran more than once.
 	RanTwice int `json:"ranTwice"`
-	// Runs is how often targets ran requests of the load, all together; Runs
-	// over the number of requests is the retry amplification.
+	// Runs counts the runs of the load's requests at all targets. Divided by the
+	// number of requests it is the retry amplification.
 	Runs int `json:"runs"`
-	// Series is the course of the experiment, second by second.
+	// Series has the results of the experiment by second.
 	Series []Second `json:"series"`
 }
 
-// WorkloadResult is one workload's outcome.
+// WorkloadResult is the result of one workload.
 type WorkloadResult struct {
 	Customer string `json:"customer"`
 	Service  string `json:"service"`
 	Sent     int    `json:"sent"`
 	Answered int    `json:"answered"`
-	// Broken counts answers that were not whole or not the request's own.
+	// Broken counts answers that were incomplete or belonged to another request.
 	Broken  int `json:"broken"`
 	Refused int `json:"refused"`
 	Unknown int `json:"unknown"`
 	// Lost counts requests that got no HTTP answer.
 	Lost int `json:"lost"`
-	// Latencies of answered requests, milliseconds from the planned time.
+	// Latency quantiles of answered requests, in milliseconds from the planned time.
 	P50  float64 `json:"p50ms"`
 	P99  float64 `json:"p99ms"`
 	P999 float64 `json:"p999ms"`
-	// RefusedP99 is how long refusals took, milliseconds.
+	// RefusedP99 is the latency quantile of refusals, in milliseconds.
 	RefusedP99 float64 `json:"refusedP99ms"`
-	// Statuses counts refusals and losses by status code.
+	// Statuses counts refused, unknown and broken answers by status code.
 	Statuses []StatusCount `json:"statuses,omitempty"`
-	// FirstLoss is the first lost request's error.
+	// FirstLoss is the error of the first lost request.
 	FirstLoss string    `json:"firstLoss,omitempty"`
 	Keys      *KeyStats `json:"keys,omitempty"`
 	Unchecked bool      `json:"unchecked,omitempty"`
 }
 
-// StatusCount counts answers of one status code.
+// StatusCount is the number of answers with a status code.
 type StatusCount struct {
 	Status int `json:"status"`
 	Count  int `json:"count"`
@@ -68,7 +68,7 @@
 	return report
 }
 
-// verify asks the stand-in's ledger what really ran.
+// verify compares the outcomes with the runs that the stand-in's ledger recorded.
 func (r *runner) verify(report *Report) error {
 	if r.experiment.Standin == "" {
 		return nil
@@ -110,7 +110,7 @@
 	}
 	resp, err := r.http.Post(r.experiment.Standin+"/ledger/runs", "application/json", bytes.NewReader(text))
 	if err != nil {
-		return nil, fmt.Errorf("ask the ledger: %w", err)
+		return nil, fmt.Errorf("query the ledger: %w", err)
 	}
 	defer resp.Body.Close()
 	var reply standin.RunsReply
@@ -123,7 +123,7 @@
 	return reply.Runs, nil
 }
 
-// GuaranteesKept reports whether every promise to callers was kept.
+// GuaranteesKept reports whether every guarantee to callers was kept.
 func (r *Report) GuaranteesKept() bool {
 	for _, w := range r.Workloads {
 		if !w.Unchecked && (w.Broken > 0 || w.Lost > 0) {
@@ -133,7 +133,7 @@
 	return r.RefusedYetRan == 0 && r.RanTwice == 0
 }
 
-// Complete reports whether the report is sound and every request was answered.
+// Complete reports whether every guarantee was kept and every request was answered.
 func (r *Report) Complete() bool {
 	for _, w := range r.Workloads {
 		if w.Answered != w.Sent || w.Sent == 0 {
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -18,13 +18,13 @@
 	"hemlockquay/internal/target"
 )
 
-// maxConnections bounds the connections to one entry.
+// maxConnections limits the connections to one entry.
 const maxConnections = 512
 
-// deadlineSlack is how much longer than its deadline a request is waited for.
+// deadlineSlack is how long after its deadline a request is given up.
 const deadlineSlack = time.Second
 
-// runner carries out one experiment.
+// runner runs one experiment.
 type runner struct {
 	experiment *Experiment
 	http       *http.Client
@@ -37,13 +37,13 @@
 // call is one request of the load.
 type call struct {
 	id, key string
-	// direct is the target's base URL where the stream goes past the entries.
+	// direct is the target's base URL if the workload bypasses the entries.
 	direct  string
 	number  int
 	planned time.Duration
 }
 
-// Run offers the load and returns the report.
+// Run runs the experiment and returns the report.
 func Run(ctx context.Context, e *Experiment) (*Report, error) {
 	r := &runner{
 		experiment: e,
@@ -60,7 +60,8 @@
 	return report, r.verify(report)
 }
 
-// runAll runs all workloads and the faults, each in a goroutine of its own.
+// runAll runs the balancer, the faults and each workload in goroutines of their own, until the
+// workloads end or a fault cannot be injected.
 func (r *runner) runAll(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -89,7 +90,7 @@
 	return cause
 }
 
-// runWorkload sends one runWorkload's requests at their planned times.
+// runWorkload sends the requests of one workload at their planned times.
 func (r *runner) runWorkload(ctx context.Context, index int, t *tally, times []time.Duration, keys *keyGenerator) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -128,7 +129,7 @@
 	}
 }
 
-// injectFaults calls the stand-in's admin port by the timetable.
+// injectFaults calls the stand-in's admin port at the planned times of the faults.
 func (r *runner) injectFaults(ctx context.Context) error {
 	for _, f := range r.experiment.Faults {
 		if !r.sleepUntil(ctx, f.At.D()) {
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// send sends one send and notes what came back.
+// send sends one request and records the outcome.
 func (r *runner) send(ctx context.Context, t *tally, c call) {
 	o := outcome{call: c}
 	ctx, cancel := context.WithDeadline(ctx, r.begin.Add(c.planned+t.workload.Deadline.D()+deadlineSlack))
@@ -168,7 +169,7 @@
 	if t.workload.Direct && o.status == http.StatusOK {
 		o.ran = problem.RanYes
 	}
-	// A repeat under one Idempotency-Key gets the first request's answer.
+	// A repeated request with the same Idempotency-Key gets the answer of the first one.
 	id := resp.Header.Get(standin.HeaderLoadID)
 	if t.workload.IdempotencyKeys == 0 {
 		id = c.id
@@ -177,8 +178,8 @@
 	t.record(o)
 }
 
-// sendBalanced sends the request to the next entry that takes a connection, as a
-// balancer does: where the dial fails, nothing was sent.
+// sendBalanced sends the request to the next entry that accepts a connection, as a
+// load balancer does: after a failed dial nothing was sent, so that trying another entry is safe.
 func (r *runner) sendBalanced(ctx context.Context, w *Workload, c call, body []byte) (*http.Response, []byte, error) {
 	if w.Direct {
 		return r.roundTrip(ctx, w, c, c.direct, body)
@@ -199,7 +200,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	// The load tool itself must never send a request twice.
+	// Keeps net/http from retrying: the load tool itself must never send a request twice.
 	req.GetBody = nil
 	setHeaders(req.Header, w, c)
 	resp, err := r.http.Do(req)
@@ -216,8 +217,8 @@
 	h.Set("Hq-Deadline-Ms", strconv.FormatInt(w.Deadline.D().Milliseconds(), 10))
 	h.Set(standin.HeaderLoadID, c.id)
 	if w.Direct {
-		// A target counts what runs by this id; without one, all of a stream's
-		// requests took up one slot together.
+		// A target counts running requests by this id. Without one, all requests of a
+		// workload share one slot.
 		h.Set(target.HeaderRequestID, c.id)
 	}
 	h.Set(standin.HeaderLoadSize, strconv.Itoa(w.AnswerBytes))
--- a/internal/loadgen/series.go
+++ b/internal/loadgen/series.go
@@ -7,22 +7,22 @@
 	"hemlockquay/internal/problem"
 )
 
-// Second is what was planned in one second of the experiment and how it ended.
+// Second has the results of the requests planned in one second of the experiment.
 type Second struct {
 	Sent     int     `json:"sent"`
 	Answered int     `json:"answered"`
 	Refused  int     `json:"refused"`
 	Unknown  int     `json:"unknown"`
 	P99      float64 `json:"p99ms"`
-	// UnavailableKeys counts keys of which a request failed or was slow.
+	// UnavailableKeys counts keys with a failed or slow request.
 	UnavailableKeys int `json:"unavailableKeys"`
-	// Moves counts keys answered by another target than before.
+	// Moves counts the answers for a key by another target than the one before.
 	Moves int `json:"moves"`
-	// Imbalance is the highest over the mean load of the keyed targets.
+	// Imbalance is the highest load of a keyed target divided by the mean.
 	Imbalance float64 `json:"imbalance"`
 }
 
-// seriesBuilder collects the seconds of an experiment.
+// seriesBuilder collects the results of an experiment by second.
 type seriesBuilder struct {
 	seconds      []Second
 	latency      [][]time.Duration
@@ -31,7 +31,7 @@
 	lastServedBy map[string]string
 }
 
-// series computes the course over all workloads.
+// series returns the results by second over all workloads.
 func series(tallies []*tally, slowAfter time.Duration) []Second {
 	var all []outcome
 	for _, t := range tallies {
--- a/internal/loadgen/tally.go
+++ b/internal/loadgen/tally.go
@@ -9,23 +9,23 @@
 	"hemlockquay/internal/problem"
 )
 
-// Histogram bounds: 1 µs to 2 minutes, three digits.
+// Histogram range: 1 µs to 2 minutes, with three significant digits.
 const (
 	lowestLatency  = 1
 	highestLatency = int64(2 * time.Minute / time.Microsecond)
 	digits         = 3
 )
 
-// outcome is what a caller received for one request.
+// outcome is the result of one request for its caller.
 type outcome struct {
 	call
 	took     time.Duration
 	ran      problem.Ran
 	status   int
 	servedBy string
-	// intact says that the body is complete and the request's own.
+	// intact is set if the body is complete and belongs to the request.
 	intact bool
-	// err is set where no HTTP answer came.
+	// err is set if the request got no HTTP answer.
 	err error
 }
 
@@ -51,7 +51,7 @@
 	return hdrhistogram.New(lowestLatency, highestLatency, digits)
 }
 
-// result sums the outcomes up.
+// result summarises the outcomes.
 func (t *tally) result(slowAfter time.Duration) WorkloadResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
