--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -21,9 +21,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// LeastSizes is the number of sizes below which a line says nothing: any two
+// MinSizes is the number of sizes below which a line says nothing: any two
 // points lie on one.
-const LeastSizes = 3
+const MinSizes = 3
 
 // Series is one unit of one benchmark over its sizes.
 type Series struct {
@@ -44,15 +44,15 @@
 
 // Fit returns the line of a series of at least LeastSizes sizes.
 func (s *Series) Fit() (Line, error) {
-	if len(s.Sizes) < LeastSizes {
-		return Line{}, fmt.Errorf("fit %s %s: %d sizes, %d needed", s.Benchmark, s.Unit, len(s.Sizes), LeastSizes)
+	if len(s.Sizes) < MinSizes {
+		return Line{}, fmt.Errorf("fit %s %s: %d sizes, %d needed", s.Benchmark, s.Unit, len(s.Sizes), MinSizes)
 	}
 	intercept, slope := stat.LinearRegression(s.Sizes, s.Values, nil, false)
 	return Line{intercept, slope, stat.RSquared(s.Sizes, s.Values, nil, intercept, slope)}, nil
 }
 
-// sized matches the result line of a sub-benchmark with a size.
-var sized = regexp.MustCompile(`^Benchmark(\S+?)/n=(\d+)(?:-\d+)?\s+\d+\s+(.*)$`)
+// resultLine matches the result line of a sub-benchmark with a size.
+var resultLine = regexp.MustCompile(`^Benchmark(\S+?)/n=(\d+)(?:-\d+)?\s+\d+\s+(.*)$`)
 
 type seriesID struct{ benchmark, unit string }
 
@@ -61,7 +61,7 @@
 	found := make(map[seriesID]*Series)
 	lines := bufio.NewScanner(r)
 	for lines.Scan() {
-		m := sized.FindStringSubmatch(lines.Text())
+		m := resultLine.FindStringSubmatch(lines.Text())
 		if m == nil {
 			continue
 		}
@@ -102,14 +102,14 @@
 // Retained returns the bytes of heap that stay in use through what build
 // returns. Nothing else may allocate meanwhile.
 func Retained(build func() any) float64 {
-	before := heap()
+	before := heapInUse()
 	kept := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(kept)
 	return float64(after) - float64(before)
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	// Twice: the first collection may leave what only a finalizer held.
 	runtime.GC()
 	runtime.GC()
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -28,7 +28,7 @@
 	require.Less(t, line.R2, 1.0)
 }
 
-func TestTwoSizesMakeNoLine(t *testing.T) {
+func TestFitNeedsMoreThanTwoSizes(t *testing.T) {
 	_, err := (&Series{Sizes: []float64{1, 2}, Values: []float64{3, 4}}).Fit()
 	require.ErrorContains(t, err, "2 sizes")
 }
--- a/internal/capacity/slopes/main.go
+++ b/internal/capacity/slopes/main.go
@@ -28,12 +28,12 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("| %s | %s | %s | %.4g | %.4g | %.3f |\n", s.Benchmark, s.Unit, points(s), line.Intercept, line.Slope, line.R2)
+		fmt.Printf("| %s | %s | %s | %.4g | %.4g | %.3f |\n", s.Benchmark, s.Unit, formatPoints(s), line.Intercept, line.Slope, line.R2)
 	}
 	return nil
 }
 
-func points(s *capacity.Series) string {
+func formatPoints(s *capacity.Series) string {
 	var out []string
 	for i := range s.Sizes {
 		out = append(out, fmt.Sprintf("%.0f: %.4g", s.Sizes[i], s.Values[i]))
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -10,7 +10,7 @@
 )
 
 // A chart gains a step, and nobody asks what a fault does there.
-func TestStepWithoutEntryIsMissing(t *testing.T) {
+func TestStepWithoutEntryIsReported(t *testing.T) {
 	c := charts.MustLoad("daemon")
 	m := New(c, "")
 	steps := Steps(c)
