--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -93,7 +93,7 @@
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
-			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
+			t.Run(string(f)+" at "+faults.StepName(step), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					m.Set(f, step, newChangeScenario(t, chart, step, b.inject, b.duration).run())
 				})
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -289,7 +289,7 @@
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
-			t.Run(fmt.Sprintf("%s at %s", f, faults.Name(step)), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s at %s", f, faults.StepName(step)), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					p := newDrainPlay(t, step, b.inject)
 					m.Set(f, step, p.run())
--- a/internal/decide/placement/faults_test.go
+++ b/internal/decide/placement/faults_test.go
@@ -66,7 +66,7 @@
 	m := faults.New(moveChart, moveAbout)
 	for _, step := range faults.Steps(moveChart) {
 		l, ok := stepPreludes[step]
-		require.True(t, ok, "no prelude for step %s", faults.Name(step))
+		require.True(t, ok, "no prelude for step %s", faults.StepName(step))
 		for _, f := range faults.All() {
 			b, ok := moveFaults[f]
 			require.True(t, ok, "no fault injection for %s", f)
@@ -74,7 +74,7 @@
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
-			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
+			t.Run(string(f)+" at "+faults.StepName(step), func(t *testing.T) {
 				p := newMoveSimulation(t, step, l.ordered, b.inject)
 				if l.begin != nil {
 					l.begin(p)
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -128,7 +128,7 @@
 	m := faults.New(requestChart, requestAbout)
 	for _, step := range faults.Steps(requestChart) {
 		s, ok := scripts[step]
-		require.True(t, ok, "no script leads to %s", faults.Name(step))
+		require.True(t, ok, "no script leads to %s", faults.StepName(step))
 		var baseline string
 		for _, f := range faults.All() {
 			b, ok := injections[f]
@@ -138,7 +138,7 @@
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
-			name := string(f) + " at " + faults.Name(step)
+			name := string(f) + " at " + faults.StepName(step)
 			t.Run(name, func(t *testing.T) {
 				got := s.received(t, step, b)
 				if f == faults.None {
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -105,15 +105,15 @@
 	for _, f := range All() {
 		for _, s := range Steps(m.chart) {
 			if m.cells[f][s] == "" {
-				out = append(out, fmt.Sprintf("%s at %s", f, Name(s)))
+				out = append(out, fmt.Sprintf("%s at %s", f, StepName(s)))
 			}
 		}
 	}
 	return out
 }
 
-// Name names a step.
-func Name(s statechart.Transition) string {
+// StepName names a step.
+func StepName(s statechart.Transition) string {
 	if s.Event == "" {
 		return "beginning, " + string(s.To)
 	}
@@ -126,7 +126,7 @@
 	steps := Steps(m.chart)
 	fmt.Fprintf(&b, "# Faults at the steps of charts/%s.jsonc\n\nWritten by the test of the package that interprets the chart; see [FAULTS.md](../FAULTS.md).\n\n%s\n\nSteps:\n\n", m.chart.Name, m.about)
 	for i, s := range steps {
-		fmt.Fprintf(&b, "- %d: %s\n", i, Name(s))
+		fmt.Fprintf(&b, "- %d: %s\n", i, StepName(s))
 	}
 	b.WriteString("\n| fault |")
 	for i := range steps {
--- a/internal/ownership/faults_test.go
+++ b/internal/ownership/faults_test.go
@@ -328,7 +328,7 @@
 	m := faults.New(assignerChart, matrixIntro)
 	for _, step := range faults.Steps(assignerChart) {
 		l, ok := setups[step]
-		require.True(t, ok, "no setup for %s", faults.Name(step))
+		require.True(t, ok, "no setup for %s", faults.StepName(step))
 		for _, f := range faults.All() {
 			b, ok := faultCases[f]
 			require.True(t, ok, "no fault case for %s", f)
@@ -336,7 +336,7 @@
 				m.Impossible(f, step, b.impossible)
 				continue
 			}
-			t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
+			t.Run(string(f)+" at "+faults.StepName(step), func(t *testing.T) {
 				m.Set(f, step, newSimulation(t, step, l(), b.inject).run())
 			})
 		}
--- a/internal/ownership/grants/faults_test.go
+++ b/internal/ownership/grants/faults_test.go
@@ -141,7 +141,7 @@
 		m := faults.New(c.chart, matrixIntro)
 		for _, step := range faults.Steps(c.chart) {
 			s, ok := c.setups[step]
-			require.True(t, ok, "no setup for %s", faults.Name(step))
+			require.True(t, ok, "no setup for %s", faults.StepName(step))
 			for _, f := range faults.All() {
 				b, ok := faultCases[f]
 				require.True(t, ok, "no fault case for %s", f)
@@ -149,7 +149,7 @@
 					m.Impossible(f, step, b.impossible)
 					continue
 				}
-				t.Run(string(f)+" at "+faults.Name(step), func(t *testing.T) {
+				t.Run(string(f)+" at "+faults.StepName(step), func(t *testing.T) {
 					sim := newFaultSimulation(t, step, s, b.inject)
 					m.Set(f, step, sim.unservedFor())
 					require.True(t, sim.reached, "the transition was never taken")
