--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -1,10 +1,10 @@
-// Package faults holds the rows of the fault matrix, reads its columns from the
+// Package faults defines the rows of the fault matrix, derives its columns from the
 // state charts, and renders it.
 //
-// Each package that interprets a chart has a test which breaks something at each
-// step of the chart, checks the promises, and enters what callers received. The
-// result is compared with docs/faults/CHART.md. A step that a chart gains, or a
-// fault that is added here, has no entry, and the test fails.
+// Each package that interprets a chart has a test which injects every fault at every
+// step of the chart, checks the guarantees, and records what callers received. The
+// result is compared with docs/faults/CHART.md. A step that is added to a chart, or a
+// fault that is added here, has no entry, so that the test fails.
 package faults
 
 import (
@@ -21,7 +21,7 @@
 // Fault is a row of the matrix.
 type Fault string
 
-// The faults. None is the run without one: it shows that the step is reached.
+// The faults. None is a run without a fault, which shows that the test reaches the step.
 const (
 	None             Fault = "none"
 	Partition        Fault = "partition"
@@ -47,7 +47,7 @@
 	PauseInPartition Fault = "pause during a partition"
 )
 
-// All lists the rows in their order.
+// All returns the rows of the matrix in order.
 func All() []Fault {
 	return []Fault{
 		None, Partition, Pause, EntryLost, DispatchLost, AgentLost, TargetFrozen, TargetLost,
@@ -57,8 +57,8 @@
 	}
 }
 
-// Steps lists the columns of a chart: its beginning, which has no event, and its
-// transitions without their causes.
+// Steps returns the columns of a chart's matrix: its initial state, as a transition without an
+// event, and its transitions without their causes.
 func Steps(c *statechart.Chart) []statechart.Transition {
 	steps := []statechart.Transition{{To: c.Initial}}
 	for _, t := range c.Transitions {
@@ -67,21 +67,21 @@
 	return steps
 }
 
-// Matrix is one chart's part. It is not safe for concurrent use.
+// Matrix is the fault matrix of one chart. It is not safe for concurrent use.
 type Matrix struct {
 	chart *statechart.Chart
 	about string
 	cells map[Fault]map[statechart.Transition]string
-	// reasons are why cells cannot be, in the order of their letters.
+	// reasons lists why cells are impossible, in the order of the letters that refer to them.
 	reasons []string
 }
 
-// New returns an empty matrix; about stands above the table.
+// New returns an empty matrix; about is the text above the table.
 func New(c *statechart.Chart, about string) *Matrix {
 	return &Matrix{chart: c, about: about, cells: make(map[Fault]map[statechart.Transition]string)}
 }
 
-// Set enters what was received where the fault met the step.
+// Set records what callers received when the fault occurred at the step.
 func (m *Matrix) Set(f Fault, s statechart.Transition, received string) {
 	if m.cells[f] == nil {
 		m.cells[f] = make(map[statechart.Transition]string)
@@ -89,7 +89,7 @@
 	m.cells[f][s] = received
 }
 
-// Impossible enters why the fault cannot meet the step.
+// Impossible records why the fault cannot occur at the step.
 func (m *Matrix) Impossible(f Fault, s statechart.Transition, reason string) {
 	i := slices.Index(m.reasons, reason)
 	if i < 0 {
@@ -99,7 +99,7 @@
 	m.Set(f, s, "("+string(rune('a'+i))+")")
 }
 
-// Missing names the cells without an entry.
+// Missing returns the names of the cells without an entry.
 func (m *Matrix) Missing() []string {
 	var out []string
 	for _, f := range All() {
@@ -112,7 +112,7 @@
 	return out
 }
 
-// StepName names a step.
+// StepName returns the name of a step.
 func StepName(s statechart.Transition) string {
 	if s.Event == "" {
 		return "beginning, " + string(s.To)
@@ -149,15 +149,15 @@
 	return b.String()
 }
 
-// UpdateVariable names the environment variable that, set to 1, has Compare write
+// UpdateVariable is the environment variable that, set to 1, makes Compare write
 // the page instead of comparing it.
 const UpdateVariable = "HQ_UPDATE"
 
-// ErrStale reports a page that does not show what the test found.
-var ErrStale = errors.New("the page does not show what the test found; " + UpdateVariable + "=1 writes it anew")
+// ErrStale is returned for a page that differs from the results of the test.
+var ErrStale = errors.New("the page differs from the results of the test; " + UpdateVariable + "=1 rewrites it")
 
 // Compare compares the matrix with docs/faults/CHART.md under the root of the
-// repository. A cell without an entry is an error.
+// repository. It returns an error if a cell has no entry.
 func (m *Matrix) Compare(root string) error {
 	if missing := m.Missing(); len(missing) > 0 {
 		return fmt.Errorf("%d cells without an entry, first %s", len(missing), missing[0])
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -9,7 +9,7 @@
 	"hemlockquay/charts"
 )
 
-// A chart gains a step, and nobody asks what a fault does there.
+// Guards against a step that is added to a chart without a test of the faults at it.
 func TestStepWithoutEntryIsReported(t *testing.T) {
 	c := charts.MustLoad("daemon")
 	m := New(c, "")
--- a/internal/faults/pages_test.go
+++ b/internal/faults/pages_test.go
@@ -9,7 +9,7 @@
 	"hemlockquay/charts"
 )
 
-// A chart is added, and no fault is ever tried at its steps.
+// Guards against a chart that is added without a test of the faults at its steps.
 func TestEveryChartHasAPage(t *testing.T) {
 	overview, err := os.ReadFile("../../docs/FAULTS.md")
 	require.NoError(t, err)
