--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,8 +1,8 @@
-// Package capacity turns benchmarks at several sizes into slopes: what one more
-// slice, contract, peer or waiting request costs. docs/CAPACITY.md multiplies
-// them up to the size that the design must carry.
+// Package capacity computes slopes from benchmarks at several sizes: the cost of one more
+// slice, contract, peer or waiting request. docs/CAPACITY.md extrapolates them to the
+// size that the design must support.
 //
-// A benchmark takes part if its sub-benchmarks are named "n=SIZE". Each unit
+// A benchmark is included if its sub-benchmarks are named "n=SIZE". Each unit
 // that it reports is one series.
 package capacity
 
@@ -21,11 +21,11 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// MinSizes is the number of sizes below which a line says nothing: any two
-// points lie on one.
+// MinSizes is the minimum number of sizes for a line: two points always lie on one,
+// so that the fit would show nothing.
 const MinSizes = 3
 
-// Series is one unit of one benchmark over its sizes.
+// Series is the values of one unit of a benchmark at its sizes.
 type Series struct {
 	Benchmark string
 	Unit      string
@@ -37,8 +37,7 @@
 type Line struct {
 	Intercept float64
 	Slope     float64
-	// R2 is the part of the variance that the line explains, at most 1; NaN where
-	// all values are equal.
+	// R2 is the coefficient of determination, at most 1; NaN if all values are equal.
 	R2 float64
 }
 
@@ -51,12 +50,12 @@
 	return Line{intercept, slope, stat.RSquared(s.Sizes, s.Values, nil, intercept, slope)}, nil
 }
 
-// resultLine matches the result line of a sub-benchmark with a size.
+// resultLine matches the result line of a sub-benchmark named "n=SIZE".
 var resultLine = regexp.MustCompile(`^Benchmark(\S+?)/n=(\d+)(?:-\d+)?\s+\d+\s+(.*)$`)
 
 type seriesID struct{ benchmark, unit string }
 
-// Parse reads the output of go test -bench, sorted by benchmark and unit.
+// Parse reads the output of go test -bench and returns the series sorted by benchmark and unit.
 func Parse(r io.Reader) ([]*Series, error) {
 	found := make(map[seriesID]*Series)
 	lines := bufio.NewScanner(r)
@@ -80,7 +79,7 @@
 	return out, lines.Err()
 }
 
-// addResults takes pairs of value and unit.
+// addResults adds the results of a benchmark at a size; fields alternates values and units.
 func addResults(found map[seriesID]*Series, benchmark string, size float64, fields []string) error {
 	for i := 0; i+1 < len(fields); i += 2 {
 		value, err := strconv.ParseFloat(fields[i], 64)
@@ -99,8 +98,8 @@
 	return nil
 }
 
-// Retained returns the bytes of heap that stay in use through what build
-// returns. Nothing else may allocate meanwhile.
+// Retained returns the bytes of heap that the result of build keeps in use.
+// Nothing else may allocate meanwhile.
 func Retained(build func() any) float64 {
 	before := heapInUse()
 	kept := build()
@@ -110,7 +109,7 @@
 }
 
 func heapInUse() uint64 {
-	// Twice: the first collection may leave what only a finalizer held.
+	// Runs twice, since the first collection may leave memory that only a finalizer referred to.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/capacity/slopes/main.go
+++ b/internal/capacity/slopes/main.go
@@ -1,5 +1,5 @@
-// Command slopes reads the output of go test -bench and prints a line for each
-// series of sizes; see package capacity and scripts/slopes.sh.
+// Command slopes reads the output of go test -bench and prints a table with the
+// least-squares line of each series; see package capacity and scripts/slopes.sh.
 package main
 
 import (
