--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -41,7 +41,7 @@
 	R2 float64
 }
 
-// Fit returns the line of a series of at least LeastSizes sizes.
+// Fit returns the least-squares line of the series, which needs at least MinSizes sizes.
 func (s *Series) Fit() (Line, error) {
 	if len(s.Sizes) < MinSizes {
 		return Line{}, fmt.Errorf("fit %s %s: %d sizes, %d needed", s.Benchmark, s.Unit, len(s.Sizes), MinSizes)
