--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -43,7 +43,7 @@
 		if err := settings.Load(c.Lab, &lab); err != nil {
 			return err
 		}
-		e.TakePlaces(&lab)
+		e.FillFrom(&lab)
 	}
 	if c.Check {
 		fmt.Println("experiment is valid")
@@ -74,7 +74,7 @@
 		}
 	}
 	switch {
-	case !report.Sound():
+	case !report.GuaranteesKept():
 		return errUnsound
 	case c.Complete && !report.Complete():
 		return errIncomplete
@@ -91,7 +91,7 @@
 
 // Execute implements flags.Commander.
 func (c *pathCommand) Execute([]string) error {
-	var p loadgen.Path
+	var p loadgen.GatewayLoad
 	if err := settings.Load(c.Config, &p); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	report := loadgen.RunPath(ctx, &p)
+	report := loadgen.RunGatewayLoad(ctx, &p)
 	report.Text(os.Stdout)
 	switch {
 	case report.Wrong > 0:
--- a/cmd/hq-soak/main.go
+++ b/cmd/hq-soak/main.go
@@ -49,7 +49,7 @@
 
 func (o *options) play() error {
 	profile := soak.Profiles[o.Profile]
-	schedule := profile.Draw(o.Seed, o.Span)
+	schedule := profile.Generate(o.Seed, o.Span)
 	if o.Schedule != "" {
 		schedule = new(soak.Schedule)
 		if err := settings.Load(o.Schedule, schedule); err != nil {
@@ -65,6 +65,6 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	r := soak.Run{Seed: o.Seed, Profile: profile, Schedule: schedule, Span: o.Span, Dir: o.Dir, Gateway: o.Gateway}
-	return r.Play(ctx, os.Stdout)
+	r := soak.Run{Seed: o.Seed, Profile: profile, Schedule: schedule, Duration: o.Span, Dir: o.Dir, Gateway: o.Gateway}
+	return r.Execute(ctx, os.Stdout)
 }
--- a/internal/loadgen/arrivals.go
+++ b/internal/loadgen/arrivals.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// plan returns the planned times of a workload, ascending, from its start.
-func plan(w *Workload, random *rand.Rand, duration time.Duration) ([]time.Duration, error) {
+// arrivalTimes returns the planned times of a workload's requests, ascending, from the start of the
+// experiment.
+func arrivalTimes(w *Workload, random *rand.Rand, duration time.Duration) ([]time.Duration, error) {
 	if w.Schedule != "" {
 		return readSchedule(w.Schedule)
 	}
@@ -20,7 +21,7 @@
 	}
 	var times []time.Duration
 	for at := w.Start.D(); ; {
-		pause, together := next(w, random)
+		pause, together := nextArrivals(w, random)
 		at += pause
 		if at >= stop {
 			return times, nil
@@ -31,8 +32,8 @@
 	}
 }
 
-// next returns the pause before the next arrivals and how many come together.
-func next(w *Workload, random *rand.Rand) (time.Duration, int) {
+// nextArrivals returns the time until the next arrivals and how many arrive together.
+func nextArrivals(w *Workload, random *rand.Rand) (time.Duration, int) {
 	mean := float64(time.Second) / w.Rate
 	switch w.Arrivals {
 	case Even:
@@ -60,30 +61,30 @@
 		}
 		at := time.Duration(s * float64(time.Second))
 		if len(times) > 0 && at < times[len(times)-1] {
-			return nil, fmt.Errorf("read schedule: %s:%d: times go back", file, n)
+			return nil, fmt.Errorf("read schedule: %s:%d: time is before the previous one", file, n)
 		}
 		times = append(times, at)
 	}
 	return times, lines.Err()
 }
 
-// keys draws keys by popularity.
-type keys struct {
+// keyGenerator draws keys at random by their popularity.
+type keyGenerator struct {
 	workload *Workload
 	random   *rand.Rand
 	zipf     *rand.Zipf
 }
 
-func newKeys(w *Workload, random *rand.Rand) *keys {
-	k := &keys{workload: w, random: random}
+func newKeyGenerator(w *Workload, random *rand.Rand) *keyGenerator {
+	k := &keyGenerator{workload: w, random: random}
 	if w.Keys > 0 && w.Zipf > 1 {
 		k.zipf = rand.NewZipf(random, w.Zipf, 1, uint64(w.Keys-1))
 	}
 	return k
 }
 
-// at returns the key of a request planned at the time.
-func (k *keys) at(planned time.Duration) string {
+// next returns the key of a request with the planned time.
+func (k *keyGenerator) next(planned time.Duration) string {
 	w := k.workload
 	switch {
 	case w.Keys == 0:
--- a/internal/loadgen/path.go
+++ b/internal/loadgen/gateway.go
@@ -18,56 +18,56 @@
 	"hemlockquay/internal/settings"
 )
 
-// Path is a load on the fronts of gateways, as a platform's balancer passes it on:
+// GatewayLoad is a load on gateways, as a platform's load balancer forwards it:
 // plain HTTP with the platform's headers.
-type Path struct {
-	// Fronts are the IP:PORTs for callers, Admins the gateways' admin IP:PORTs in
-	// the same order: fronts whose /readyz says no are left out.
-	Fronts []string `json:"fronts"`
+type GatewayLoad struct {
+	// Addrs are the gateways' IP:PORTs for callers, Admins their admin IP:PORTs in
+	// the same order. Gateways whose /readyz reports that they are not ready get no requests.
+	Addrs  []string `json:"fronts"`
 	Admins []string `json:"admins"`
-	// Rate is the requests a second, over all routes in turn.
+	// Rate is the number of requests per second, over all routes in turn.
 	Rate float64 `json:"rate"`
 	// Duration is how long requests are sent. Default 20s.
 	Duration model.Duration `json:"duration,omitempty"`
-	Routes   []PathRoute    `json:"routes"`
-	// Headers are the platform's names.
-	Headers PathHeaders `json:"headers"`
+	Routes   []GatewayRoute `json:"routes"`
+	// Headers has the platform's header names.
+	Headers GatewayHeaders `json:"headers"`
 }
 
-// PathHeaders names the headers of requests and answers.
-type PathHeaders struct {
+// GatewayHeaders has the names of the headers of requests and answers.
+type GatewayHeaders struct {
 	RequestID string `json:"requestId"`
-	// DeadlineMs is the time left, milliseconds.
+	// DeadlineMs carries the time left to the deadline, in milliseconds.
 	DeadlineMs string `json:"deadlineMs"`
 	Key        string `json:"key"`
 	// Stamp is set by the target that answered.
 	Stamp string `json:"stamp"`
 }
 
-// PathRoute is where requests go.
-type PathRoute struct {
+// GatewayRoute is a route to which requests are sent.
+type GatewayRoute struct {
 	Host string `json:"host"`
-	// Path is the path's prefix; each request appends its number.
+	// Path is the prefix of the path, to which each request appends its number.
 	Path string `json:"path"`
-	// Keyed requests name a key, drawn evenly.
+	// Keyed is set if requests carry a key, drawn uniformly at random.
 	Keyed bool `json:"keyed,omitempty"`
 }
 
-// Figures of requests on the path.
+// Limits of requests to gateways.
 const (
-	pathDeadline = 2 * time.Second
-	// pathPatience is how long an answer is waited for.
-	pathPatience = pathDeadline + time.Second
+	gatewayDeadline = 2 * time.Second
+	// gatewayTimeout is how long the load waits for an answer.
+	gatewayTimeout = gatewayDeadline + time.Second
 )
 
 // Check implements settings.Checker.
-func (p *Path) Check() error {
+func (p *GatewayLoad) Check() error {
 	if p.Duration == 0 {
 		p.Duration = defaultDuration
 	}
 	switch {
-	case len(p.Fronts) == 0 || len(p.Admins) != len(p.Fronts):
-		return settings.Invalid("/admins", "%d for %d fronts", len(p.Admins), len(p.Fronts))
+	case len(p.Addrs) == 0 || len(p.Admins) != len(p.Addrs):
+		return settings.Invalid("/admins", "%d for %d fronts", len(p.Admins), len(p.Addrs))
 	case p.Rate <= 0:
 		return settings.Invalid("/rate", "%v is not above 0", p.Rate)
 	case p.Duration < 0:
@@ -80,35 +80,36 @@
 	return nil
 }
 
-// PathReport is what callers received.
-type PathReport struct {
-	// Asked is all requests; each is one of the others.
+// GatewayReport is the result of a load on gateways.
+type GatewayReport struct {
+	// Asked counts all requests; each also counts as one of the others.
 	Asked int64 `json:"asked"`
-	// Whole answers bear their target's stamp and their own path.
+	// Whole counts answers with a target's stamp and the path of their request.
 	Whole int64 `json:"whole"`
-	// Refused were answered 503: not run.
+	// Refused counts requests that were answered 503: not run.
 	Refused int64 `json:"refused"`
-	// Failed have another status, Lost no answer, Wrong another's answer.
+	// Failed counts answers with another status, Lost requests without an answer, Wrong
+	// answers without a stamp or with the path of another request.
 	Failed int64 `json:"failed"`
 	Lost   int64 `json:"lost"`
 	Wrong  int64 `json:"wrong"`
-	// P50Ms and P99Ms are of whole answers, from the planned time, milliseconds.
+	// P50Ms and P99Ms are latency quantiles of whole answers, in milliseconds from the planned time.
 	P50Ms float64 `json:"p50Ms"`
 	P99Ms float64 `json:"p99Ms"`
 }
 
-// Complete reports whether every request got its whole answer.
-func (r *PathReport) Complete() bool { return r.Asked > 0 && r.Whole == r.Asked }
+// Complete reports whether there were requests and each got its whole answer.
+func (r *GatewayReport) Complete() bool { return r.Asked > 0 && r.Whole == r.Asked }
 
-// Text writes the report for people.
-func (r *PathReport) Text(w io.Writer) {
+// Text writes the report as one line of text.
+func (r *GatewayReport) Text(w io.Writer) {
 	fmt.Fprintf(w, "asked %d, whole %d, refused %d, failed %d, lost %d, wrong %d; p50 %.1f ms, p99 %.1f ms\n",
 		r.Asked, r.Whole, r.Refused, r.Failed, r.Lost, r.Wrong, r.P50Ms, r.P99Ms)
 }
 
-// pathRun is a load being sent.
-type pathRun struct {
-	load     *Path
+// gatewayRun is the state of a load on gateways.
+type gatewayRun struct {
+	load     *GatewayLoad
 	balancer *balancer
 	client   *http.Client
 
@@ -118,26 +119,27 @@
 	times *hdrhistogram.Histogram
 }
 
-// RunPath offers the load and returns what callers received.
-func RunPath(ctx context.Context, p *Path) *PathReport {
-	r := &pathRun{
+// RunGatewayLoad sends the load and returns the report.
+func RunGatewayLoad(ctx context.Context, p *GatewayLoad) *GatewayReport {
+	r := &gatewayRun{
 		load: p, times: newHistogram(),
-		balancer: newBalancer(p.Fronts, p.Admins),
-		client:   &http.Client{Timeout: pathPatience, Transport: &http.Transport{DisableKeepAlives: true}},
+		balancer: newBalancer(p.Addrs, p.Admins),
+		client:   &http.Client{Timeout: gatewayTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	healthCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go r.balancer.run(healthCtx)
-	asked := r.offer(ctx)
-	out := &PathReport{
+	asked := r.sendAll(ctx)
+	out := &GatewayReport{
 		Asked: asked, Whole: r.whole.Load(), Refused: r.refused.Load(), Failed: r.failed.Load(), Lost: r.lost.Load(), Wrong: r.wrong.Load(),
 	}
 	out.P50Ms, out.P99Ms = quantile(r.times, 50), quantile(r.times, 99)
 	return out
 }
 
-// offer sends requests at their planned times and waits for the answers.
-func (r *pathRun) offer(ctx context.Context) int64 {
+// sendAll sends requests at their planned times, waits for the answers and returns the number of
+// requests.
+func (r *gatewayRun) sendAll(ctx context.Context) int64 {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	begin := time.Now()
@@ -152,11 +154,11 @@
 		case <-ctx.Done():
 			return int64(n)
 		}
-		wait.Go(func() { r.one(ctx, n, planned) })
+		wait.Go(func() { r.send(ctx, n, planned) })
 	}
 }
 
-func (r *pathRun) one(ctx context.Context, n int, planned time.Time) {
+func (r *gatewayRun) send(ctx context.Context, n int, planned time.Time) {
 	rt := r.load.Routes[n%len(r.load.Routes)]
 	path := rt.Path + strconv.Itoa(n)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.balancer.pick(n/len(r.load.Routes), 0)+path, nil)
@@ -166,7 +168,7 @@
 	}
 	req.Host = rt.Host
 	req.Header.Set(r.load.Headers.RequestID, fmt.Sprintf("load-%d", n))
-	req.Header.Set(r.load.Headers.DeadlineMs, strconv.FormatInt(pathDeadline.Milliseconds(), 10))
+	req.Header.Set(r.load.Headers.DeadlineMs, strconv.FormatInt(gatewayDeadline.Milliseconds(), 10))
 	if rt.Keyed {
 		req.Header.Set(r.load.Headers.Key, strconv.Itoa(rand.IntN(1<<16)))
 	}
@@ -184,7 +186,7 @@
 	r.count(resp, string(body), path, time.Since(planned))
 }
 
-func (r *pathRun) count(resp *http.Response, body, path string, took time.Duration) {
+func (r *gatewayRun) count(resp *http.Response, body, path string, took time.Duration) {
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		r.refused.Add(1)
@@ -196,7 +198,7 @@
 		r.whole.Add(1)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		// Times beyond the histogram's range count as whole all the same.
+		// A latency beyond the range of the histogram is not recorded, but the answer counts as whole.
 		_ = r.times.RecordValue(took.Microseconds())
 	}
 }
--- a/internal/loadgen/plot.go
+++ b/internal/loadgen/plot.go
@@ -12,13 +12,13 @@
 	value func(*Second) float64
 }
 
-// curves is one plot of the report's seconds.
-type curves struct {
+// plot describes one plot of a report's series.
+type plot struct {
 	file, title, unit string
 	lines             []line
 }
 
-var plots = []curves{
+var plots = []plot{
 	{"requests.svg", "Requests by planned second", "requests", []line{
 		{"answered", func(s *Second) float64 { return float64(s.Answered) }},
 		{"refused (no)", func(s *Second) float64 { return float64(s.Refused) }},
@@ -30,7 +30,7 @@
 	{"unavailable.svg", "Keys with a failed or slow request", "keys", []line{{"keys", func(s *Second) float64 { return float64(s.UnavailableKeys) }}}},
 }
 
-// Plot draws the report's series as SVG files into the directory.
+// Plot writes the plots of the report's series to the directory as SVG files.
 func (r *Report) Plot(dir string) error {
 	for _, p := range plots {
 		if err := r.draw(dir, p); err != nil {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func (r *Report) draw(dir string, p curves) error {
+func (r *Report) draw(dir string, p plot) error {
 	c := chart.Chart{Title: p.title, Unit: p.unit, Marks: true}
 	for _, l := range p.lines {
 		values := make([]float64, len(r.Series))
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -14,47 +14,50 @@
 )
 
 const (
-	// startPatience bounds the wait until all keys have owners.
-	startPatience = 20 * time.Second
-	// startLook is the pause between two looks at them.
-	startLook = 50 * time.Millisecond
-	// tail is how long the site is watched after the last fault: longer than a hold.
-	tail = 3 * time.Second
-	// mostShown bounds the breaks that a verdict lists.
-	mostShown = 20
+	// startTimeout limits the wait at the start until all keys have owners.
+	startTimeout = 20 * time.Second
+	// startPollInterval is the interval between two checks for this.
+	startPollInterval = 50 * time.Millisecond
+	// settleTime is how long the load continues after the last fault: longer than a target holds its
+	// keys.
+	settleTime = 3 * time.Second
+	// maxShownViolations limits the violations that the verdict lists.
+	maxShownViolations = 20
 )
 
-// Run is one run of the soak.
+// Run is one soak run.
 type Run struct {
 	Seed     uint64
 	Profile  Profile
 	Schedule *Schedule
-	// Span is how long faults and load last.
-	Span time.Duration
-	// Dir is for settings and logs of the processes, Gateway the program.
+	// Duration is the time in which faults occur; the load continues for settleTime after it.
+	Duration time.Duration
+	// Dir is the directory for the settings and logs of the processes, Gateway the path of the
+	// gateway program.
 	Dir, Gateway string
 }
 
 var (
-	errBroken     = errors.New("a promise was broken")
-	errNotGranted = errors.New("keys without an owner after the start")
+	errViolations  = errors.New("a guarantee was violated")
+	errUnownedKeys = errors.New("timed out or interrupted at the start while keys had no owner")
 )
 
-// Play runs the soak, writes the verdict, and returns an error unless all was kept.
-func (r *Run) Play(ctx context.Context, out io.Writer) error {
+// Execute runs the soak and writes the verdict. It returns an error if a guarantee was violated or the
+// run did not complete.
+func (r *Run) Execute(ctx context.Context, out io.Writer) error {
 	if err := r.prepare(); err != nil {
 		return err
 	}
 	check := NewChecker(time.Now)
-	w, err := newWorld(r.Dir, r.Gateway, r.Profile, check)
+	w, err := newSite(r.Dir, r.Gateway, r.Profile, check)
 	if err != nil {
 		return err
 	}
-	err = r.play(ctx, w, check)
+	err = r.execute(ctx, w, check)
 	w.close()
 	r.verdict(out, check, err)
-	if err == nil && len(check.Breaks()) > 0 {
-		err = errBroken
+	if err == nil && len(check.Violations()) > 0 {
+		err = errViolations
 	}
 	if err != nil {
 		return fmt.Errorf("soak of seed %d, logs in %s: %w", r.Seed, r.Dir, err)
@@ -62,7 +65,7 @@
 	return nil
 }
 
-// prepare writes the schedule beside the logs, and drops logs of an earlier run.
+// prepare writes the schedule to the directory of the logs and removes the logs of an earlier run.
 func (r *Run) prepare() error {
 	if err := os.MkdirAll(r.Dir, 0o755); err != nil {
 		return fmt.Errorf("soak: %w", err)
@@ -78,28 +81,28 @@
 	return nil
 }
 
-func (r *Run) play(ctx context.Context, w *world, check *Checker) error {
+func (r *Run) execute(ctx context.Context, w *site, check *Checker) error {
 	for _, v := range w.vms {
 		if err := v.start(); err != nil {
 			return err
 		}
 	}
 	for begin := time.Now(); !check.AllHeld(); {
-		if time.Since(begin) > startPatience || !pause.For(ctx, startLook) {
-			return errNotGranted
+		if time.Since(begin) > startTimeout || !pause.For(ctx, startPollInterval) {
+			return errUnownedKeys
 		}
 	}
-	check.Begin()
+	check.StartTraffic()
 	faultsOver := make(chan error, 1)
 	go func() { faultsOver <- w.inject(ctx, r.Schedule) }()
-	asking, cancel := context.WithTimeout(ctx, r.Span+tail)
+	asking, cancel := context.WithTimeout(ctx, r.Duration+settleTime)
 	defer cancel()
 	newLoad(w, r.Seed, check).run(asking)
 	return errors.Join(<-faultsOver, ctx.Err())
 }
 
-// inject plays the faults, each with a goroutine.
-func (w *world) inject(ctx context.Context, s *Schedule) error {
+// inject starts and ends the faults on schedule, each in a goroutine.
+func (w *site) inject(ctx context.Context, s *Schedule) error {
 	errs := make([]error, len(s.Faults))
 	var wait sync.WaitGroup
 	for i, f := range s.Faults {
@@ -107,29 +110,29 @@
 			if !pause.For(ctx, f.At.D()) {
 				return
 			}
-			w.begin(f)
-			pause.For(ctx, f.For.D())
-			errs[i] = w.end(f)
+			w.startFault(f)
+			pause.For(ctx, f.Duration.D())
+			errs[i] = w.endFault(f)
 		})
 	}
 	wait.Wait()
 	return errors.Join(errs...)
 }
 
-// verdict names the seed, and each broken promise with its subject and the logs. A run that
-// ended with an error says so.
+// verdict writes the result with the seed, the statistics and the directory of the logs, and then the
+// violations. A run that ended with an error and without a violation is reported as incomplete.
 func (r *Run) verdict(out io.Writer, check *Checker, err error) {
-	breaks, f := check.Breaks(), check.Figures()
+	violations, f := check.Violations(), check.Stats()
 	word := "whole"
 	switch {
-	case err != nil && len(breaks) == 0:
+	case err != nil && len(violations) == 0:
 		word = "NOT PLAYED to the end"
-	case len(breaks) > 0:
-		word = fmt.Sprintf("BROKEN %d times", len(breaks))
+	case len(violations) > 0:
+		word = fmt.Sprintf("BROKEN %d times", len(violations))
 	}
 	fmt.Fprintf(out, "seed %d: %s; %d faults in %v; %d grants, %d of them moves; asked %d, answered %d, refused %d (%d idempotent ones had run), failed %d, lost %d; logs in %s\n",
-		r.Seed, word, len(r.Schedule.Faults), r.Span, f.Grants, f.Moves, f.Asked, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
-	for _, b := range breaks[:min(len(breaks), mostShown)] {
+		r.Seed, word, len(r.Schedule.Faults), r.Duration, f.Grants, f.Moves, f.Sent, f.Answered, f.Refused, f.RefusedAfterRun, f.Failed, f.Lost, r.Dir)
+	for _, b := range violations[:min(len(violations), maxShownViolations)] {
 		fmt.Fprintf(out, "seed %d: %s\n", r.Seed, b)
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,11 +1,12 @@
-// Package soak plays a small site with real processes and faults: gateways as processes,
-// the platform's store and targets played beside it, links between them that are cut. It
-// holds what targets and callers see against the promises of one owner, at most one run
-// and whole answers.
+// Package soak runs gateways as real processes against a simulated store and simulated
+// targets, and injects faults into the processes and the links between them. It checks what
+// targets and callers observe against the guarantees: one owner per key, at most one run of a
+// non-idempotent request, intact answers, answers during a shutdown, and no unexpected exit.
 //
-// Failure that it looks for: tests in virtual time play one failure each, and the network
-// as their author knew it. Two targets held the same keys because the system sent on what
-// had been written to closed connections, which only a real connection shows.
+// It complements the tests in virtual time, which cover one failure each and model the network
+// as their author understood it. One fault of this kind: two targets held the same keys because the
+// operating system still delivered what had been written to connections since closed, which only
+// real connections show.
 package soak
 
 import (
@@ -23,62 +24,64 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds. Each begins at a moment and is over after a time.
+// The kinds of faults. Each has a start and a duration.
 const (
-	// Cut: the link of a target, or that of a VM to the store, holds what is sent.
-	Cut Kind = "cut"
-	// Reset: the open connections of a link end, those of a target or of a VM to the store.
-	Reset Kind = "reset"
-	// Lapse: the store has no entry of a target.
-	Lapse Kind = "lapse"
-	// Stop: a VM's process is suspended.
-	Stop Kind = "stop"
-	// Kill: a VM's process is killed, and started again when the fault is over.
+	// HoldLink delays all data on the link of a target, or on that of a VM to the store, until the
+	// fault ends.
+	HoldLink Kind = "cut"
+	// ResetLink resets the open connections of the link of a target, or of that of a VM to the store.
+	ResetLink Kind = "reset"
+	// RemoveEntry removes the entry of a target from the store.
+	RemoveEntry Kind = "lapse"
+	// Suspend suspends the process of a VM.
+	Suspend Kind = "stop"
+	// Kill kills the process of a VM and restarts it when the fault ends.
 	Kill Kind = "kill"
-	// Term: a VM's process is asked to leave, is killed after its grace, and is started again.
-	Term Kind = "term"
-	// Slow: a target works for seconds on each request.
-	Slow Kind = "slow"
-	// Mute: a target ends its connections in place of answers to requests that it ran.
-	Mute Kind = "mute"
+	// Terminate sends SIGTERM to the process of a VM, kills it after its grace period, and restarts
+	// it when the fault ends.
+	Terminate Kind = "term"
+	// SlowTarget raises the service time of a target to seconds.
+	SlowTarget Kind = "slow"
+	// DropAnswers makes a target run requests and close the connection instead of answering.
+	DropAnswers Kind = "mute"
 )
 
 // Fault is one fault of a schedule.
 type Fault struct {
-	// At is when it begins, from the start of traffic.
+	// At is when the fault starts, from the start of traffic.
 	At   model.Duration `json:"at"`
 	Kind Kind           `json:"kind"`
-	// What names a target or a VM. A cut of a VM is that of its link to the store.
-	What string `json:"what"`
-	// For is how long it lasts.
-	For model.Duration `json:"for"`
+	// Subject names a target or a VM. HoldLink and ResetLink of a VM concern its link to the store.
+	Subject string `json:"what"`
+	// Duration is how long the fault lasts.
+	Duration model.Duration `json:"for"`
 }
 
-// Schedule is a list of faults.
+// Schedule lists the faults of a run.
 type Schedule struct {
 	Faults []Fault `json:"faults"`
 }
 
-// kinds are what may happen to targets and VMs.
-var kinds = map[bool][]Kind{true: {Cut, Reset, Lapse, Slow, Mute}, false: {Cut, Reset, Stop, Kill, Term}}
+// kinds lists the kinds of faults of targets (true) and of VMs (false).
+var kinds = map[bool][]Kind{true: {HoldLink, ResetLink, RemoveEntry, SlowTarget, DropAnswers}, false: {HoldLink, ResetLink, Suspend, Kill, Terminate}}
 
 // Check implements settings.Checker.
 func (s *Schedule) Check() error {
 	for i, f := range s.Faults {
-		target := slices.Contains(targetNames(), f.What)
+		target := slices.Contains(targetNames(), f.Subject)
 		switch {
-		case !target && !slices.Contains(vmNames(), f.What):
-			return settings.Invalid(fmt.Sprintf("/faults/%d/what", i), "%q is neither target nor VM", f.What)
+		case !target && !slices.Contains(vmNames(), f.Subject):
+			return settings.Invalid(fmt.Sprintf("/faults/%d/what", i), "%q is neither target nor VM", f.Subject)
 		case !slices.Contains(kinds[target], f.Kind):
-			return settings.Invalid(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.What)
-		case f.At < 0 || f.For < 0:
-			return settings.Invalid(fmt.Sprintf("/faults/%d", i), "a time is negative")
+			return settings.Invalid(fmt.Sprintf("/faults/%d/kind", i), "%q cannot happen to %s", f.Kind, f.Subject)
+		case f.At < 0 || f.Duration < 0:
+			return settings.Invalid(fmt.Sprintf("/faults/%d", i), "at or for is negative")
 		}
 	}
 	return nil
 }
 
-// String renders the schedule as JSON, a line for each fault, as a file has it.
+// String renders the schedule as JSON with one line per fault, in the format of schedule files.
 func (s *Schedule) String() string {
 	out := "{\"faults\": ["
 	for i, f := range s.Faults {
@@ -94,78 +97,81 @@
 	return out + "\n]}\n"
 }
 
-// span is a range from which a time is drawn.
-type span struct{ least, most time.Duration }
+// durationRange is a range from which durations are drawn at random.
+type durationRange struct{ min, max time.Duration }
 
-// How faults are drawn.
+// Distributions of the faults of the profile mixed.
 var (
-	// betweenSeries is from the start of one series to that of the next, less than faults
-	// last: series overlap.
-	betweenSeries = span{time.Second, 5 * time.Second}
-	// inSeries is from the start of a series to that of each of its faults.
-	inSeries = span{0, 1500 * time.Millisecond}
-	// lasts is by kind. A target's hold is about 2.4 s: cuts are shorter and longer.
-	lasts = map[Kind]span{
-		Cut:   {300 * time.Millisecond, 8 * time.Second},
-		Reset: {time.Millisecond, 2 * time.Millisecond},
-		Stop:  {200 * time.Millisecond, 5 * time.Second},
-		Kill:  {200 * time.Millisecond, 4 * time.Second},
-		Term:  {time.Second, 5 * time.Second},
+	// seriesInterval is the time between the starts of two series of faults. It is shorter than
+	// the longest faults, so that series overlap.
+	seriesInterval = durationRange{time.Second, 5 * time.Second}
+	// offsetInSeries is the time from the start of a series to the start of each of its faults.
+	offsetInSeries = durationRange{0, 1500 * time.Millisecond}
+	// durations holds the duration of faults by kind. A target holds its keys for about 2.4 s, so
+	// that some link faults are shorter than this and some longer.
+	durations = map[Kind]durationRange{
+		HoldLink:  {300 * time.Millisecond, 8 * time.Second},
+		ResetLink: {time.Millisecond, 2 * time.Millisecond},
+		Suspend:   {200 * time.Millisecond, 5 * time.Second},
+		Kill:      {200 * time.Millisecond, 4 * time.Second},
+		Terminate: {time.Second, 5 * time.Second},
 	}
 )
 
 const (
-	// mostInSeries bounds the faults of a series.
-	mostInSeries = 4
-	// resetEvery: one in so many faults of a target is a reset, the others are cuts.
-	resetEvery = 4
-	// entryLife is how long a target that is cut off stays in the store.
-	entryLife = 1500 * time.Millisecond
-	// scheduleStream separates the schedule's random numbers from the load's.
+	// maxFaultsPerSeries is the maximum number of faults in a series.
+	maxFaultsPerSeries = 4
+	// resetOneIn makes one in this many faults of targets a ResetLink; the others are HoldLink.
+	resetOneIn = 4
+	// entryTTL is how long the entry of a target that is cut off stays in the store.
+	entryTTL = 1500 * time.Millisecond
+	// scheduleStream and loadStream select independent random sequences for the schedule and the load.
 	scheduleStream, loadStream = 1, 2
 )
 
-func (s span) draw(r *rand.Rand) time.Duration {
-	return (s.least + time.Duration(r.Int64N(int64(s.most-s.least)))).Round(time.Millisecond)
+func (s durationRange) random(r *rand.Rand) time.Duration {
+	return (s.min + time.Duration(r.Int64N(int64(s.max-s.min)))).Round(time.Millisecond)
 }
 
-// Draw returns the schedule of a seed. All faults are over at the end of the time.
-func Draw(seed uint64, over time.Duration) *Schedule {
+// GenerateMixed returns the fault schedule of a seed for the profile mixed. Every fault ends within
+// the given duration.
+func GenerateMixed(seed uint64, over time.Duration) *Schedule {
 	r := rand.New(rand.NewPCG(seed, scheduleStream))
 	s := new(Schedule)
-	for begin := betweenSeries.least; begin < over; begin += betweenSeries.draw(r) {
-		for range 1 + r.IntN(mostInSeries) {
-			s.add(drawFault(r, begin+inSeries.draw(r)), over)
+	for begin := seriesInterval.min; begin < over; begin += seriesInterval.random(r) {
+		for range 1 + r.IntN(maxFaultsPerSeries) {
+			s.add(randomFault(r, begin+offsetInSeries.random(r)), over)
 		}
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return s
 }
 
-func drawFault(r *rand.Rand, at time.Duration) Fault {
+func randomFault(r *rand.Rand, at time.Duration) Fault {
 	names := targetNames()
 	if r.IntN(2) == 0 {
 		names = vmNames()
 	}
-	f := Fault{At: model.Duration(at), Kind: Cut, What: names[r.IntN(len(names))]}
+	f := Fault{At: model.Duration(at), Kind: HoldLink, Subject: names[r.IntN(len(names))]}
 	switch {
-	case slices.Contains(vmNames(), f.What):
+	case slices.Contains(vmNames(), f.Subject):
 		f.Kind = kinds[false][r.IntN(len(kinds[false]))]
-	case r.IntN(resetEvery) == 0:
-		f.Kind = Reset
+	case r.IntN(resetOneIn) == 0:
+		f.Kind = ResetLink
 	}
-	f.For = model.Duration(lasts[f.Kind].draw(r))
+	f.Duration = model.Duration(durations[f.Kind].random(r))
 	return f
 }
 
-// add takes a fault in, and with the cut of a target the lapse of its entry.
+// add appends a fault, shortened to end within the given duration. A HoldLink of a target that lasts
+// longer than entryTTL also removes the target's entry.
 func (s *Schedule) add(f Fault, over time.Duration) {
-	f.For = min(f.For, model.Duration(over)-f.At)
-	if f.For <= 0 {
+	f.Duration = min(f.Duration, model.Duration(over)-f.At)
+	if f.Duration <= 0 {
 		return
 	}
 	s.Faults = append(s.Faults, f)
-	if f.Kind == Cut && f.For > model.Duration(entryLife) && slices.Contains(targetNames(), f.What) {
-		s.Faults = append(s.Faults, Fault{At: f.At + model.Duration(entryLife), Kind: Lapse, What: f.What, For: f.For - model.Duration(entryLife)})
+	if f.Kind == HoldLink && f.Duration > model.Duration(entryTTL) && slices.Contains(targetNames(), f.Subject) {
+		s.Faults = append(s.Faults, Fault{At: f.At + model.Duration(entryTTL), Kind: RemoveEntry, Subject: f.Subject, Duration: f.Duration - model.Duration(entryTTL)})
 	}
 }
--- a/internal/standin/fleet/platform.go
+++ b/internal/standin/fleet/platform.go
@@ -22,7 +22,7 @@
 )
 
 // Headers are the platform's names of the request and response headers.
-var Headers = loadgen.PathHeaders{RequestID: "X-Request-Id", DeadlineMs: "X-Deadline-Ms", Key: "X-Shard-Key", Stamp: "X-Server-Stamp"}
+var Headers = loadgen.GatewayHeaders{RequestID: "X-Request-Id", DeadlineMs: "X-Deadline-Ms", Key: "X-Shard-Key", Stamp: "X-Server-Stamp"}
 
 const config = `{"Version":"%08x","Routes":{
 "keyed":{"Host":"k.example","PathPrefix":"/k/","Kind":"idempotent","TimeoutS":5,"SloS":1,"Service":"keyed","MaxAttempts":2},
@@ -97,12 +97,12 @@
 	if err != nil {
 		return err
 	}
-	load := loadgen.Path{
+	load := loadgen.GatewayLoad{
 		Rate: requestRate, Headers: Headers,
-		Routes: []loadgen.PathRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
+		Routes: []loadgen.GatewayRoute{{Host: KeyedHost, Path: KeyedPath, Keyed: true}, {Host: PoolHost, Path: PoolPath}},
 	}
 	for _, s := range written {
-		load.Fronts, load.Admins = append(load.Fronts, s.Front), append(load.Admins, s.Admin)
+		load.Addrs, load.Admins = append(load.Addrs, s.Front), append(load.Admins, s.Admin)
 	}
 	return plan.WriteJSON(filepath.Join(dir, "load.jsonc"), load)
 }
