--- a/scripts/churn.sh
+++ b/scripts/churn.sh
@@ -13,8 +13,8 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# calls : the store's calls so far as JSON, cause to number.
-calls() {
+# store_calls : the store's calls so far as JSON, cause to number.
+store_calls() {
   local vm
   for vm in $(seq 1 $((vms - 1))); do
     curl -fsS "http://$(lab_admin "$dir/vm$vm/agent.jsonc")/metrics"
@@ -31,11 +31,11 @@
 # run_phase NAME : waits and prints what changed meanwhile.
 run_phase() {
   local c0 o0 s0 s1
-  c0=$(calls) o0=$(owners) s0=$(date +%s%N)
+  c0=$(store_calls) o0=$(owners) s0=$(date +%s%N)
   [ -z "${2:-}" ] || eval "$2"
   sleep "$phase"
   s1=$(date +%s%N)
-  jq -nr --arg n "$1" --argjson s "$((s1 - s0))" --argjson a "$c0" --argjson b "$(calls)" --argjson o "$o0" --argjson p "$(owners)" '
+  jq -nr --arg n "$1" --argjson s "$((s1 - s0))" --argjson a "$c0" --argjson b "$(store_calls)" --argjson o "$o0" --argjson p "$(owners)" '
     ($b | to_entries | map({key, value: ((.value - ($a[.key] // 0)) * 1e10 / $s | round / 10)})) as $r
     | "\($n): calls/s \($r | map("\(.key) \(.value)") | join(", ")); sum \($r | map(.value) | add * 10 | round / 10); owners changed \([$p | to_entries[] | select($o[.key] != null and $o[.key] != .value)] | length) of \($p | length)"'
 }
--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -21,7 +21,7 @@
 for vm in 1 2 3; do
   lab_wait "http://$(lab_admin "$dir/vm-$vm.jsonc")/readyz" || exit 1
 done
-sleep 2 # until the keys are granted
+sleep 2 # Time for the keys to be granted.
 first=${LAB_PIDS[1]}
 (
   sleep 3
--- a/scripts/dispatch.sh
+++ b/scripts/dispatch.sh
@@ -10,8 +10,8 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# cpu : CPU seconds that the dispatchers have used.
-cpu() {
+# cpu_seconds : CPU seconds that the dispatchers have used.
+cpu_seconds() {
   local pid ticks=0
   for pid in $(pgrep -f "bin/hq-dispatch --config $dir/"); do
     ticks=$((ticks + $(awk '{print $14 + $15}' "/proc/$pid/stat")))
@@ -23,9 +23,9 @@
 sleep 2
 for name in "$@"; do
   echo "== $LAB_ORDER $name"
-  before=$(cpu)
+  before=$(cpu_seconds)
   bin/hq-load run --config "experiments/dispatch/$name.jsonc" --lab "$dir/load.jsonc" --json "$dir/$name.json"
-  echo "dispatchers' CPU: $(awk "BEGIN {print $(cpu) - $before}") s"
+  echo "dispatchers' CPU: $(awk "BEGIN {print $(cpu_seconds) - $before}") s"
   for target in $(seq 1 10); do
     curl -fsS -o /dev/null -X PUT -H 'Content-Type: application/json' -d '{}' "$STANDIN/targets/pool-$target/faults"
   done
--- a/scripts/killer.sh
+++ b/scripts/killer.sh
@@ -12,12 +12,12 @@
 . "$dir/env"
 mapfile -t entries < <(sed -n 's/.*"listen": "\([^"]*\)".*/\1/p' "$dir"/vm*/entry.jsonc)
 mapfile -t targets < <(curl -sS "$STANDIN/targets" | grep -o '"addr":"[^"]*"' | cut -d'"' -f4)
-# lives : the sum of all targets' lives so far, the number at the end of an incarnation.
-lives() {
+# starts : the sum of all targets' lives so far, the number at the end of an incarnation.
+starts() {
   for t in "${targets[@]}"; do curl -sS "http://$t/hq/health" | grep -o '"incarnation":"[^"]*"'; done |
     sed 's/.*-\([0-9]*\)"$/\1/' | awk '{ n += $1 } END { print n }'
 }
-before=$(lives)
+before=$(starts)
 bin/hq-load run --config "$dir/load.jsonc" --duration 10s >"$dir/load.txt" 2>&1 &
 load=$!
 sleep 3
@@ -29,7 +29,7 @@
 done | sort | uniq -c
 wait "$load"
 sleep 1
-echo "targets killed: $(($(lives) - before))"
+echo "targets killed: $(($(starts) - before))"
 cat "$dir/load.txt"
 for v in 1 2 3 4 5; do
   curl -sS "http://$(lab_admin "$dir/vm$v/dispatch.jsonc")/metrics" | grep -o '"quarantine[^}]*}' | tr '\n' ' '
--- a/scripts/lab.sh
+++ b/scripts/lab.sh
@@ -34,7 +34,7 @@
     curl -fsS -o /dev/null "$1" 2>/dev/null && return 0
     sleep 0.1
   done
-  echo "not ready: $1" >&2
+  echo "not ready after 200 attempts: $1" >&2
   return 1
 }
 
@@ -53,8 +53,8 @@
   # shellcheck disable=SC1091
   . "$dir/env"
   sed -i "s|\"listen\"|\"order\": \"${LAB_ORDER:-fair}\", &|" "$dir"/vm*/dispatch.jsonc
-  # A script may define lab_planned to change the settings before the start.
-  if declare -F lab_planned >/dev/null; then lab_planned; fi
+  # A script may define lab_configure to change the settings before the start.
+  if declare -F lab_configure >/dev/null; then lab_configure; fi
   lab_start "$dir/standin.log" bin/hq-standin run --config "$dir/standin.jsonc"
   lab_wait "$STANDIN/healthz" || return 1
   bin/hqctl --store "$STORE" service apply "$dir"/objects/service.*.jsonc >"$dir/apply.log" || return 1
--- a/scripts/once.sh
+++ b/scripts/once.sh
@@ -22,7 +22,7 @@
     echo 'write-out = "%{http_code} %header{hq-ran}\n"'
   done | sed 1d >"$dir/caller$caller.conf"
 done
-victim=${LAB_PIDS[5]} # stand-in, then agent, dispatch and entry of each VM
+victim=${LAB_PIDS[5]} # LAB_PIDS: the stand-in, then agent, dispatch and entry of each VM.
 (sleep 2; kill -KILL "$victim"; sleep 1; exec bin/hq-dispatch --config "$dir/vm2/dispatch.jsonc" >>"$dir/vm2/dispatch.log" 2>&1) &
 restarter=$!
 LAB_PIDS+=("$restarter")
--- a/scripts/path.sh
+++ b/scripts/path.sh
@@ -9,8 +9,8 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# cpu PROGRAM : CPU seconds that the run's processes of the program have used.
-cpu() {
+# cpu_seconds PROGRAM : CPU seconds that the run's processes of the program have used.
+cpu_seconds() {
   local pid ticks=0
   for pid in "${LAB_PIDS[@]}"; do
     [[ $(tr '\0' ' ' <"/proc/$pid/cmdline") == "bin/$1 "* ]] || continue
@@ -21,10 +21,10 @@
 
 lab_up "$dir" "${2:-3}" examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc || exit 1
 sleep 2
-entry=$(cpu hq-entry) dispatch=$(cpu hq-dispatch)
+entry=$(cpu_seconds hq-entry) dispatch=$(cpu_seconds hq-dispatch)
 bin/hq-load run --config "experiments/path/$name.jsonc" --lab "$dir/load.jsonc" --json "$dir/report.json" >"$dir/report.txt"
 result=$?
-entry=$(awk "BEGIN {print $(cpu hq-entry) - $entry}") dispatch=$(awk "BEGIN {print $(cpu hq-dispatch) - $dispatch}")
+entry=$(awk "BEGIN {print $(cpu_seconds hq-entry) - $entry}") dispatch=$(awk "BEGIN {print $(cpu_seconds hq-dispatch) - $dispatch}")
 echo "load average $(cut -d' ' -f1 /proc/loadavg), $(nproc) cores"
 # The first workload takes the path, the second goes straight to the targets.
 jq -r --arg name "$name" --argjson entry "$entry" --argjson dispatch "$dispatch" '
--- a/scripts/propagation.sh
+++ b/scripts/propagation.sh
@@ -15,13 +15,13 @@
 
 # The cut: settings name a port where nobody listens.
 if [ "$mode" = cut ]; then
-  lab_planned() { sed -i 's#"store": "[^"]*"#"store": "http://127.0.0.1:9"#' "$dir"/vm[2-9]/agent.jsonc; }
+  lab_configure() { sed -i 's#"store": "[^"]*"#"store": "http://127.0.0.1:9"#' "$dir"/vm[2-9]/agent.jsonc; }
 fi
 lab_up "$dir" 9 examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc || exit 1
 export HQ_STORE=$STORE
 
-# usage FILE : processor ticks and bytes on TCP connections of each daemon.
-usage() {
+# record_usage FILE : processor ticks and bytes on TCP connections of each daemon.
+record_usage() {
   local pid name
   for pid in "${LAB_PIDS[@]}"; do
     name=$(tr '\0' '\n' <"/proc/$pid/cmdline" | sed -n 's#^bin/hq-##p' | head -1)
@@ -30,13 +30,13 @@
   done >"$1"
 }
 
-# compare SECONDS BEFORE AFTER : mean of each program.
-compare() {
+# print_usage SECONDS BEFORE AFTER : mean of each program.
+print_usage() {
   paste "$2" "$3" | awk -v s="$1" '{c[$1]++; t[$1]+=$5-$2; b[$1]+=$6-$3}
     END{for(n in c)if(n!="standin")printf "  %-9s %d daemons, each %.2f%% of a core, %.2f KB/s sent and received\n",n,c[n],t[n]/c[n]/s,b[n]/c[n]/s/1000}' | sort
 }
 
-calls() {
+store_calls() {
   for vm in $(seq 1 9); do curl -fsS "http://$(lab_admin "$dir/vm$vm/agent.jsonc")/metrics"; done |
     jq -s -c 'map(to_entries[]|select(.key|test("store.calls|config\\.(syncs|snapshots)")))|group_by(.key)|map({key:.[0].key,value:(map(.value.count)|add)})|from_entries'
 }
@@ -49,26 +49,26 @@
     kill -TERM "$pid"
     wait "$pid"
   done
-  begun=$(date +%s%N)
+  start=$(date +%s%N)
   for p in agent dispatch entry; do lab_start "$dir/vm9/$p.log" "bin/hq-$p" --config "$dir/vm9/$p.jsonc"; done
   for p in agent dispatch entry; do lab_wait "http://$(lab_admin "$dir/vm9/$p.jsonc")/readyz" || exit 1; done
-  echo "store down: VM ready after $((($(date +%s%N) - begun) / 1000000)) ms"
+  echo "store down: VM ready after $((($(date +%s%N) - start) / 1000000)) ms"
   curl -fsS -X PUT -d '{}' "$STANDIN/store/faults" >/dev/null
   exit 0
 fi
 sleep 8
-usage "$dir/u0"
+record_usage "$dir/u0"
 sleep 8
-usage "$dir/u1"
-echo "at rest, no load:"
-compare 8 "$dir/u0" "$dir/u1"
-calls
+record_usage "$dir/u1"
+echo "idle, no load:"
+print_usage 8 "$dir/u0" "$dir/u1"
+store_calls
 for rate in 1.3 13; do
   n=$(awk -v r=$rate 'BEGIN{print int(r*12)}')
-  usage "$dir/u0"
-  begun=$SECONDS
+  record_usage "$dir/u0"
+  start=$SECONDS
   bin/hqctl --timeout 60s drill --changes "$n" --per-second "$rate" bot-workers || exit 1
-  usage "$dir/u1"
-  compare $((SECONDS - begun)) "$dir/u0" "$dir/u1"
-  calls
+  record_usage "$dir/u1"
+  print_usage $((SECONDS - start)) "$dir/u0" "$dir/u1"
+  store_calls
 done
--- a/scripts/rolling.sh
+++ b/scripts/rolling.sh
@@ -12,7 +12,7 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 # Moves for load would hide moves for the replacement: their price is set too high.
-lab_planned() { sed -i 's/"imbalance": [0-9.]*/"imbalance": 0.001/' "$dir"/objects/service.*.jsonc; }
+lab_configure() { sed -i 's/"imbalance": [0-9.]*/"imbalance": 0.001/' "$dir"/objects/service.*.jsonc; }
 lab_up "$dir" "$vms" examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc || exit 1
 failed=0
 
--- a/scripts/unavailable.sh
+++ b/scripts/unavailable.sh
@@ -15,15 +15,15 @@
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
 dir=${1:-out/unavailable}
-vms=9 loaded=4 # requests enter at VMs 1 to 4; the VMs that are lost are others
+vms=9 loaded=4 # Requests enter at VMs 1 to 4; VMs to fail are chosen from the others, except an assigner's.
 window=5 settle=8
 read -ra cases <<<"${CASES:-none-up move-up pause-up owner-up owner-down grantor-up grantor-down both-up both-down dc-up dc-down assigner-up agent-up}"
 
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# lab_planned is called by lab_up before anything starts.
-lab_planned() {
+# lab_configure is called by lab_up before anything starts.
+lab_configure() {
   [ -n "${LAB_AGENT:-}" ] || return 0
   local f
   for f in "$dir"/vm*/agent.jsonc; do
@@ -33,9 +33,9 @@
 
 dump_agent() { curl -fsS -m 1 "http://$(lab_admin "$dir/vm$1/agent.jsonc")/dump"; }
 
-# choose : sets target and vm: a target of shelf whose grantor is on a VM that
+# choose_target : sets target and vm: a target of shelf whose grantor is on a VM that
 # takes no requests.
-choose() {
+choose_target() {
   for vm in $(seq $((loaded + 1)) $vms); do
     for target in $(dump_agent "$vm" |
       jq -r '.sections[] | select(.name == "agent") | .value.granted // [] | .[] | select(.Service == "shelf") | .Target.name' | shuf -n 1); do
@@ -52,15 +52,15 @@
   [[ $vm =~ ^[0-9]+$ ]]
 }
 
-# choose_centre : the data centres of the VMs after the loaded ones in turn: what
+# choose_data_centre : the data centres of the VMs after the loaded ones in turn: what
 # came back owns little yet.
 centres=0
-choose_centre() {
+choose_data_centre() {
   vm=$((loaded + 1 + centres % 3))
   centres=$((centres + 1))
   centre=$(sed -n 's/.*"dataCentre": "\([^"]*\)".*/\1/p' "$dir/vm$vm/agent.jsonc")
   target=$centre
-  lost_targets=$(targets_of "$centre") # read before the store is down
+  lost_targets=$(targets_of "$centre") # Read while the store is still up.
 }
 vms_of() { grep -l "\"dataCentre\": \"$1\"" "$dir"/vm*/agent.jsonc | sed 's|.*/vm\([0-9]*\)/.*|\1|'; }
 targets_of() { curl -fsS "$STORE/apis/hemlockquay.example/v1/quayobjects/service.shelf" | jq -r --arg c "$1" '.spec.targets[] | select(.dataCentre == $c) | .name'; }
@@ -68,7 +68,7 @@
 # LAB_PIDS holds the stand-in, then agent, dispatch and entry of each VM.
 first_pid() { echo $((1 + 3 * ($1 - 1))); }
 kill_vm() { kill -KILL "${LAB_PIDS[@]:$(first_pid "$1"):3}"; }
-start_daemon() { # VM PLACE
+start_daemon() {
   local programs=(agent dispatch entry) p=${programs[$2]}
   "bin/hq-$p" --config "$dir/vm$1/$p.jsonc" >>"$dir/vm$1/$p.log" 2>&1 &
   LAB_PIDS[$(($(first_pid "$1") + $2))]=$!
@@ -76,11 +76,11 @@
 start_vm() { for p in 0 1 2; do start_daemon "$1" $p; done; }
 kill_target() { curl -fsS -X POST "$STANDIN/targets/$1/kill"; }
 start_target() { curl -fsS -X POST "$STANDIN/targets/$1/restart"; }
-store_down() { curl -fsS -X PUT "$STANDIN/store/faults" -d "{\"down\": $1}" >/dev/null; }
+set_store_down() { curl -fsS -X PUT "$STANDIN/store/faults" -d "{\"down\": $1}" >/dev/null; }
 
-# move TARGET : the record says that the standby shall serve. Not by jq, which
+# move_to_standby TARGET : the record says that the standby shall serve. Not by jq, which
 # rounds the 64-bit bounds of slices.
-move() {
+move_to_standby() {
   python3 - "$STORE/apis/hemlockquay.example/v1/quayobjects/assignment.shelf" "$1" <<'PY'
 import json, sys, urllib.error, urllib.request
 for _ in range(20):
@@ -97,15 +97,15 @@
 PY
 }
 
-pick() {
+choose_victim() {
   case $1 in
-  dc-*) choose_centre ;;
+  dc-*) choose_data_centre ;;
   assigner-*) choose_assigner ;;
-  *) choose ;;
+  *) choose_target ;;
   esac
 }
 
-lose() {
+inject_failure() {
   local agent v t
   agent=${LAB_PIDS[$(first_pid "$vm")]}
   case $1 in
@@ -125,7 +125,7 @@
     sleep 1
     start_daemon "$vm" 0
     ;;
-  move-*) move "$target" ;;
+  move-*) move_to_standby "$target" ;;
   pause-*)
     kill -STOP "$agent"
     sleep 1.5
@@ -134,7 +134,7 @@
   esac
 }
 
-bring_back() {
+restart_failed() {
   local v t
   case $1 in
   owner-*) start_target "$target" ;;
@@ -147,11 +147,11 @@
   esac
 }
 
-# at SECONDS : waits until so long after the start of the load.
-at() { sleep "$(echo "$begin + $1 - $(date +%s.%N)" | bc | sed 's/^-.*/0/')"; }
+# wait_until SECONDS : waits until so long after the start of the load.
+wait_until() { sleep "$(echo "$begin + $1 - $(date +%s.%N)" | bc | sed 's/^-.*/0/')"; }
 
-# up : another process may take a port between plan and start: then all over again.
-up() {
+# start_with_retries : another process may take a port between plan and start: then all over again.
+start_with_retries() {
   local try
   for try in 1 2 3 4; do
     lab_up "$dir" $vms examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc && return 0
@@ -174,7 +174,7 @@
 # measure N : one system, all cases.
 measure() {
   local i case load names=()
-  up || return 1
+  start_with_retries || return 1
   sleep $settle
   jq --argjson n ${#cases[@]} --argjson w $window --argjson e $loaded '
     [.workloads[] | select(.service == "shelf")][0] as $l |
@@ -186,16 +186,16 @@
   begin=$(date +%s.%N)
   for i in "${!cases[@]}"; do
     case=${cases[i]}
-    at "$((i * window + 1)).2"
-    pick "$case" || { names+=("$case: nothing to lose"); continue; }
+    wait_until "$((i * window + 1)).2"
+    choose_victim "$case" || { names+=("$case: skipped, found nothing to fail"); continue; }
     names+=("$case $target vm$vm")
-    at "$((i * window + 1)).6"
-    [[ $case == *-down ]] && store_down true
-    at $((i * window + 2))
-    lose "$case"
-    at "$((i * window + window)).0"
-    [[ $case == *-down ]] && store_down false
-    bring_back "$case"
+    wait_until "$((i * window + 1)).6"
+    [[ $case == *-down ]] && set_store_down true
+    wait_until $((i * window + 2))
+    inject_failure "$case"
+    wait_until "$((i * window + window)).0"
+    [[ $case == *-down ]] && set_store_down false
+    restart_failed "$case"
   done
   wait $load
   for i in "${!names[@]}"; do
