--- a/scripts/churn.sh
+++ b/scripts/churn.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Measures, with real processes under load, the calls of the store by cause and
-# the groups that change their owner, in phases: steady, a target lost, the same
-# target back, a VM lost, the store down, the store back.
-# Usage: scripts/churn.sh [DIR]; VMS, SETTLE and PHASE (seconds) in the environment.
-# Prints one line per phase, and leaves the agents' journals in DIR. Calls are those of all agents but the last VM's,
-# which is the one that is lost.
+# Measures store calls by cause and ownership changes of key groups, with real
+# processes under load, in six phases: steady state, a target killed, the same
+# target restarted, a VM killed, the store down, the store up again.
+# Usage: scripts/churn.sh [DIR]
+# Environment: VMS is the number of VMs; SETTLE is the warm-up and PHASE the length of a phase, in seconds.
+# Prints one line per phase and writes the agents' journals to DIR. The calls of the last VM's agent are not counted,
+# because that VM is killed.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -13,7 +14,7 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# store_calls : the store's calls so far as JSON, cause to number.
+# store_calls : prints the total number of store calls for each cause as a JSON object.
 store_calls() {
   local vm
   for vm in $(seq 1 $((vms - 1))); do
@@ -22,13 +23,14 @@
     | group_by(.key) | map({key: .[0].key, value: (map(.value) | add)}) | from_entries'
 }
 
-# owners : group to owner, as the grants of the first agent's view show it.
+# owners : prints the owner of each group as a JSON object, read from the grants in the view of vm1's dispatcher.
 owners() {
   curl -fsS "http://$(lab_admin "$dir/vm1/dispatch.jsonc")/dump" |
     jq -c '[.sections[] | select(.name == "view") | .value.grants[] | {key: "\(.Service)/\(.Group)", value: .Target.name}] | from_entries'
 }
 
-# run_phase NAME : waits and prints what changed meanwhile.
+# run_phase NAME [COMMAND] : runs the command, waits for the length of a phase and prints the store calls per second
+# and the ownership changes.
 run_phase() {
   local c0 o0 s0 s1
   c0=$(store_calls) o0=$(owners) s0=$(date +%s%N)
--- a/scripts/demo-platform.sh
+++ b/scripts/demo-platform.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The platform's path on one machine: a store and targets that are played, three
-# gateways, load. Meanwhile the first gateway, which may be the grantor, leaves. Exits 0
-# only if every answer was whole and all ended gracefully.
+# Runs the platform setup on one machine: a simulated store and targets, three
+# gateways and a load generator. The first gateway, which may be the grantor, is shut
+# down under load. Exits 0 only if every answer was complete and every process stopped gracefully.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The main job on one machine: stand-ins, three VMs' daemons, both users' load.
-# Exits 0 only if every answer was whole and its own and all ended gracefully.
+# Runs the router on one machine: a simulated store and targets, the daemons of three
+# VMs and the load of both example deployments. Exits 0 only if every answer was complete
+# and belonged to its request, and every process stopped gracefully.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
--- a/scripts/dispatch.sh
+++ b/scripts/dispatch.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Decisions under load on real processes: 3 VMs and the pool of
-# experiments/dispatch. Usage: scripts/dispatch.sh fair|fifo OUT EXPERIMENT...
+# Measures dispatch decisions under load with real processes: 3 VMs and the service
+# pool of experiments/dispatch. Each EXPERIMENT names a file there, without .jsonc.
+# Usage: scripts/dispatch.sh fair|fifo OUT EXPERIMENT...
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -10,7 +11,7 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# cpu_seconds : CPU seconds that the dispatchers have used.
+# cpu_seconds : prints the CPU seconds used so far by all dispatchers of this run.
 cpu_seconds() {
   local pid ticks=0
   for pid in $(pgrep -f "bin/hq-dispatch --config $dir/"); do
--- a/scripts/experiment.sh
+++ b/scripts/experiment.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs one experiment against a fresh system on this machine.
+# Runs one experiment on this machine against newly started processes.
 # Usage: scripts/experiment.sh EXPERIMENT.jsonc [VMS] [OUT]
 set -u
 cd "$(dirname "$0")/.." || exit 1
--- a/scripts/killer.sh
+++ b/scripts/killer.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# A request that kills each target that runs it, sent 20 times through all
-# entries at once, beside ordinary load. Prints how many targets it killed and
-# what its caller and the others received.
+# Sends a request that crashes every target that runs it, 20 times concurrently
+# through all entries, while ordinary load runs. Prints how many targets crashed,
+# the statuses of the crashing requests and the load generator's report.
+# Usage: scripts/killer.sh [DIR]; METHOD in the environment, default GET.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -12,7 +13,8 @@
 . "$dir/env"
 mapfile -t entries < <(sed -n 's/.*"listen": "\([^"]*\)".*/\1/p' "$dir"/vm*/entry.jsonc)
 mapfile -t targets < <(curl -sS "$STANDIN/targets" | grep -o '"addr":"[^"]*"' | cut -d'"' -f4)
-# starts : the sum of all targets' lives so far, the number at the end of an incarnation.
+# starts : prints how often all targets were started in total. A target's start count is the last part of its
+# incarnation.
 starts() {
   for t in "${targets[@]}"; do curl -sS "http://$t/hq/health" | grep -o '"incarnation":"[^"]*"'; done |
     sed 's/.*-\([0-9]*\)"$/\1/' | awk '{ n += $1 } END { print n }'
--- a/scripts/lab.sh
+++ b/scripts/lab.sh
@@ -1,10 +1,10 @@
-# Functions for runs on one machine; sourced by demo.sh and the experiments.
-# Every process that is started is stopped by lab_stop, which also runs at exit
-# and on Ctrl-C. Needs bash; uses only loopback addresses.
+# Functions that start and stop a deployment on one machine; sourced by the other
+# scripts. lab_stop stops every process that was started; callers also set it as
+# the trap for exit and Ctrl-C. Requires bash; uses only loopback addresses.
 
 LAB_PIDS=()
 
-# lab_start DIR PROGRAM ARGS... : starts a process, its log in DIR/NAME.log.
+# lab_start LOG PROGRAM ARGS... : starts a process in the background and appends its output to the file LOG.
 lab_start() {
   local log=$1
   shift
@@ -12,7 +12,8 @@
   LAB_PIDS+=($!)
 }
 
-# lab_stop : graceful shutdown of all, newest first; kills what stays for 100 s.
+# lab_stop : sends SIGTERM to all processes, the newest first, and SIGKILL to one that still runs after 100 s. Fails if
+# any process did not exit with status 0.
 lab_stop() {
   local failed=0 i pid
   trap - EXIT INT TERM
@@ -27,7 +28,7 @@
   return $failed
 }
 
-# lab_wait URL : waits until the URL answers 200, 20 s at most.
+# lab_wait URL : polls the URL until a request to it succeeds; gives up after 200 attempts, about 20 s.
 lab_wait() {
   local i
   for ((i = 0; i < 200; i++)); do
@@ -38,11 +39,11 @@
   return 1
 }
 
-# lab_admin FILE : the admin address in a settings file.
+# lab_admin FILE : prints the admin address from a settings file.
 lab_admin() { sed -n 's/.*"admin": "\([^"]*\)".*/\1/p' "$1"; }
 
-# lab_up DIR VMS DEPLOYMENT... : plans and starts everything, applies the objects.
-# LAB_ORDER sets the dispatchers' order, fair or fifo.
+# lab_up DIR VMS DEPLOYMENT... : writes the settings, starts all processes, applies the services and contracts and waits
+# until every daemon is ready. LAB_ORDER sets the dispatchers' queue order, fair (default) or fifo.
 lab_up() {
   local dir=$1 vms=$2 deployments=() d vm p
   shift 2
@@ -53,7 +54,7 @@
   # shellcheck disable=SC1091
   . "$dir/env"
   sed -i "s|\"listen\"|\"order\": \"${LAB_ORDER:-fair}\", &|" "$dir"/vm*/dispatch.jsonc
-  # A script may define lab_configure to change the settings before the start.
+  # Optional hook: a script can define lab_configure to edit the settings before any process starts.
   if declare -F lab_configure >/dev/null; then lab_configure; fi
   lab_start "$dir/standin.log" bin/hq-standin run --config "$dir/standin.jsonc"
   lab_wait "$STANDIN/healthz" || return 1
--- a/scripts/once.sh
+++ b/scripts/once.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# At most once with Idempotency-Key: 400 bookings, sent by 5 callers at once,
-# each through other entries, while one dispatcher is killed and started again. Prints how
-# often each ran, by the targets' own ledger, and what callers received.
+# Tests at-most-once execution with Idempotency-Key: 5 concurrent callers each send the
+# same 400 bookings, through different entries, while one dispatcher is killed and
+# restarted. Prints the statuses that callers received and, from the ledger of the
+# targets, how often each booking ran.
+# Usage: scripts/once.sh [DIR]
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
--- a/scripts/over-contract.sh
+++ b/scripts/over-contract.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# One customer at ten times its contract through all entries of three VMs; see
-# experiments/limits/over-contract.jsonc.
+# Runs experiments/limits/over-contract.jsonc on three VMs: one customer sends ten
+# times its contracted rate through all entries.
+# Usage: scripts/over-contract.sh [DIR]
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
--- a/scripts/path.sh
+++ b/scripts/path.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The path's cost: latency beside direct calls to the targets, and the processor time
-# of entries and dispatchers. Usage: scripts/path.sh tenth|half [VMS] [OUT]
+# Measures the overhead of the router: its latency compared with direct calls to the
+# targets, and the CPU time of entries and dispatchers.
+# Usage: scripts/path.sh tenth|half [VMS] [OUT]
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -9,7 +10,7 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# cpu_seconds PROGRAM : CPU seconds that the run's processes of the program have used.
+# cpu_seconds PROGRAM : prints the CPU seconds used so far by this run's processes of the program.
 cpu_seconds() {
   local pid ticks=0
   for pid in "${LAB_PIDS[@]}"; do
@@ -26,7 +27,7 @@
 result=$?
 entry=$(awk "BEGIN {print $(cpu_seconds hq-entry) - $entry}") dispatch=$(awk "BEGIN {print $(cpu_seconds hq-dispatch) - $dispatch}")
 echo "load average $(cut -d' ' -f1 /proc/loadavg), $(nproc) cores"
-# The first workload takes the path, the second goes straight to the targets.
+# The first workload goes through the router, the second directly to the targets.
 jq -r --arg name "$name" --argjson entry "$entry" --argjson dispatch "$dispatch" '
   def r: . * 100 | round / 100;
   .workloads as [$path, $direct]
--- a/scripts/propagation.sh
+++ b/scripts/propagation.sh
@@ -1,10 +1,11 @@
 #!/usr/bin/env bash
-# Measures configuration on 9 VMs: time from accepted to in force on all daemons,
-# processor time and bytes of control for each daemon, store calls by cause.
-# Usage: propagation.sh up|cut|down
-#   up    every agent reaches the store
-#   cut   only vm1's agent reaches it; the others get a store that refuses
-#   down  the store goes down; time to ready of a VM that starts without it
+# Measures how configuration changes propagate on 9 VMs: the time from acceptance
+# until all daemons apply the change, the CPU time and TCP traffic of each daemon,
+# and the store calls by cause.
+# Usage: scripts/propagation.sh [up|cut|down]; default up
+#   up    every agent can reach the store
+#   cut   only vm1's agent can reach the store; the others' connections are refused
+#   down  measures how long a VM that starts while the store is down takes to become ready
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -13,14 +14,14 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# The cut: settings name a port where nobody listens.
+# For cut, the agents of vm2 to vm9 get a store address where nothing listens.
 if [ "$mode" = cut ]; then
   lab_configure() { sed -i 's#"store": "[^"]*"#"store": "http://127.0.0.1:9"#' "$dir"/vm[2-9]/agent.jsonc; }
 fi
 lab_up "$dir" 9 examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc || exit 1
 export HQ_STORE=$STORE
 
-# record_usage FILE : processor ticks and bytes on TCP connections of each daemon.
+# record_usage FILE : writes the CPU ticks and the bytes sent and received over TCP of each daemon to the file.
 record_usage() {
   local pid name
   for pid in "${LAB_PIDS[@]}"; do
@@ -30,12 +31,13 @@
   done >"$1"
 }
 
-# print_usage SECONDS BEFORE AFTER : mean of each program.
+# print_usage SECONDS BEFORE AFTER : prints the mean usage per daemon of each program between two recorded files.
 print_usage() {
   paste "$2" "$3" | awk -v s="$1" '{c[$1]++; t[$1]+=$5-$2; b[$1]+=$6-$3}
     END{for(n in c)if(n!="standin")printf "  %-9s %d daemons, each %.2f%% of a core, %.2f KB/s sent and received\n",n,c[n],t[n]/c[n]/s,b[n]/c[n]/s/1000}' | sort
 }
 
+# store_calls : prints the agents' totals of store calls by cause and of configuration syncs and snapshots.
 store_calls() {
   for vm in $(seq 1 9); do curl -fsS "http://$(lab_admin "$dir/vm$vm/agent.jsonc")/metrics"; done |
     jq -s -c 'map(to_entries[]|select(.key|test("store.calls|config\\.(syncs|snapshots)")))|group_by(.key)|map({key:.[0].key,value:(map(.value.count)|add)})|from_entries'
--- a/scripts/rolling.sh
+++ b/scripts/rolling.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Replaces all VMs one after the other under load: SIGTERM to entry, dispatch and
-# agent in this order, each awaited, then all three are started again.
-# Usage: rolling.sh [VMS [SECONDS]]. Exits 0 only if every request was answered,
-# all daemons stopped gracefully and no key has another owner than before.
+# Rolling restart of all VMs under load. On each VM in turn it stops entry, dispatch
+# and agent in this order with SIGTERM, waits for each to exit and starts all three again.
+# Usage: scripts/rolling.sh [VMS [SECONDS]]. Exits 0 only if every request was answered,
+# all daemons stopped gracefully and every key has the same owner as before.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -11,12 +11,12 @@
 dir=out/${LAB_DIR:-rolling}
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
-# Moves for load would hide moves for the replacement: their price is set too high.
+# Makes load balancing too expensive to move keys: such moves could not be told from those that a restart causes.
 lab_configure() { sed -i 's/"imbalance": [0-9.]*/"imbalance": 0.001/' "$dir"/objects/service.*.jsonc; }
 lab_up "$dir" "$vms" examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc || exit 1
 failed=0
 
-# pid_of FILE : the process that runs with the settings file.
+# pid_of FILE : prints the id of the process that was started with the settings file.
 pid_of() {
   local pid
   for pid in "${LAB_PIDS[@]}"; do
@@ -24,7 +24,7 @@
   done
 }
 
-# stop_daemon FILE : graceful stop, awaited.
+# stop_daemon FILE : stops the daemon that uses the settings file with SIGTERM and waits until it exits.
 stop_daemon() {
   local pid
   pid=$(pid_of "$1")
@@ -32,6 +32,7 @@
   wait "$pid" || { echo "$1: exit $?" >&2; failed=1; }
 }
 
+# owners VM : prints the owner of each group as the entry of the VM knows it.
 owners() {
   curl -fsS "http://$(lab_admin "$dir/vm$1/entry.jsonc")/dump" |
     jq -S '[.sections[]|select(.name=="view").value.grants[]|{s:.Service,g:.Group,t:.Target}]'
@@ -48,7 +49,7 @@
     lab_start "$dir/vm$vm/$p.log" "bin/hq-$p" --config "$dir/vm$vm/$p.jsonc"
   done
   for p in agent dispatch entry; do lab_wait "http://$(lab_admin "$dir/vm$vm/$p.jsonc")/readyz" || failed=1; done
-  # The balancer looks again before the next VM goes.
+  # Leaves time for the load balancer's next check before the next VM stops.
   sleep 0.5
 done
 echo "all $vms VMs replaced after ${SECONDS}s"
@@ -57,7 +58,7 @@
 if cmp -s "$dir/owners.before" "$dir/owners.after"; then echo "keys moved: 0"; else
   echo "owners differ:"; diff "$dir/owners.before" "$dir/owners.after"; failed=1
 fi
-# Replaced processes have been awaited; only those that run are stopped at the end.
+# The processes stopped above have already been waited for; lab_stop gets only those that still run.
 running=()
 for pid in "${LAB_PIDS[@]}"; do kill -0 "$pid" 2>/dev/null && running+=("$pid"); done
 LAB_PIDS=("${running[@]}")
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Gateways as real processes under faults, one run for each seed, one at a time. Exits 0
-# only if every promise was kept on all seeds. Only promises of safety are checked, so the
-# verdict does not depend on how fast the computer is.
-# Usage: scripts/soak.sh [FIRST [LAST [SPAN [PROFILE]]]], default one short run: 8 8 10s mixed
+# Runs gateways as real processes under fault injection, once for each seed, one run at a
+# time. Exits 0 only if every guarantee held for all seeds. Only safety guarantees are
+# checked, so the result does not depend on the speed of the machine.
+# Usage: scripts/soak.sh [FIRST [LAST [SPAN [PROFILE]]]]; default is one short run: 8 8 10s mixed
 set -u
 cd "$(dirname "$0")/.." || exit 1
 first=${1:-8} last=${2:-${1:-8}} span=${3:-10s} profile=${4:-mixed} result=0
--- a/scripts/unavailable.sh
+++ b/scripts/unavailable.sh
@@ -1,16 +1,17 @@
 #!/usr/bin/env bash
-# Measures the unavailable time of keys after losses, with real processes: one
-# system of 9 VMs, one loss in each window of 5 s, 2 s after its start. What was
-# lost is started again at the end of its window.
-# Usage: scripts/unavailable.sh [DIR]; in the environment
-#   CASES    the losses, each with the store up or down; default all
-#   REPEATS  how many systems are measured one after the other; default 1
+# Measures how long keys are unavailable after a failure, with real processes on
+# 9 VMs. Each window of 5 s has one failure, 2 s after its start; whatever failed
+# is restarted at the end of the window.
+# Usage: scripts/unavailable.sh [DIR]
+# Environment:
+#   CASES      the failures to measure, each with the store up or down; default all
+#   REPEATS    how many times to measure, each time with new processes; default 1
 #   LAB_AGENT  JSON merged into each agent's settings, for instance {"grantLife": "600ms"}
-# A whole table takes about 80 s for each repeat. Prints for each loss: requests,
-# how many were not answered, keys that were unavailable, their median and worst,
-# ms; keeps DIR.report.N.json
-# and DIR.journals.N.json. A grantor is lost with its whole VM, a data centre
-# with all its VMs and targets.
+# All cases together take about 80 s per repeat. Prints for each failure the number
+# of requests, of refused ones and of those with unknown outcome, the keys that were
+# unavailable, and their median and longest unavailable time in ms. Writes
+# DIR.report.N.json and DIR.journals.N.json. A grantor fails together with its whole
+# VM, a data centre with all its VMs and targets.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -22,7 +23,7 @@
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# lab_configure is called by lab_up before anything starts.
+# lab_configure is called by lab_up before any process starts.
 lab_configure() {
   [ -n "${LAB_AGENT:-}" ] || return 0
   local f
@@ -31,10 +32,11 @@
   done
 }
 
+# dump_agent VM : prints the state dump of the VM's agent.
 dump_agent() { curl -fsS -m 1 "http://$(lab_admin "$dir/vm$1/agent.jsonc")/dump"; }
 
-# choose_target : sets target and vm: a target of shelf whose grantor is on a VM that
-# takes no requests.
+# choose_target : sets target to a target of shelf and vm to the VM of its grantor,
+# which is one where no requests enter.
 choose_target() {
   for vm in $(seq $((loaded + 1)) $vms); do
     for target in $(dump_agent "$vm" |
@@ -45,15 +47,16 @@
   return 1
 }
 
-# choose_assigner : sets vm to the assigner of shelf, which may take requests.
+# choose_assigner : sets vm to the VM of the assigner of shelf. Requests may enter there.
 choose_assigner() {
   vm=$(curl -fsS -m 1 "$STORE/apis/hemlockquay.example/v1/quayobjects/assigner.shelf" | jq -r '.spec.holder' | sed 's/^vm\([0-9]*\).*/\1/')
   target=-
   [[ $vm =~ ^[0-9]+$ ]]
 }
 
-# choose_data_centre : the data centres of the VMs after the loaded ones in turn: what
-# came back owns little yet.
+# choose_data_centre : sets centre to the data centre of one of the three VMs after
+# those where requests enter, a different one each time: a restarted data centre owns
+# few keys at first.
 centres=0
 choose_data_centre() {
   vm=$((loaded + 1 + centres % 3))
@@ -62,12 +65,16 @@
   target=$centre
   lost_targets=$(targets_of "$centre") # Read while the store is still up.
 }
+# vms_of DATA_CENTRE : prints the numbers of the VMs there.
 vms_of() { grep -l "\"dataCentre\": \"$1\"" "$dir"/vm*/agent.jsonc | sed 's|.*/vm\([0-9]*\)/.*|\1|'; }
+# targets_of DATA_CENTRE : prints the names of the targets of shelf there.
 targets_of() { curl -fsS "$STORE/apis/hemlockquay.example/v1/quayobjects/service.shelf" | jq -r --arg c "$1" '.spec.targets[] | select(.dataCentre == $c) | .name'; }
 
-# LAB_PIDS holds the stand-in, then agent, dispatch and entry of each VM.
+# first_pid VM : prints the index in LAB_PIDS of the VM's agent. LAB_PIDS holds the
+# stand-in, then agent, dispatch and entry of each VM.
 first_pid() { echo $((1 + 3 * ($1 - 1))); }
 kill_vm() { kill -KILL "${LAB_PIDS[@]:$(first_pid "$1"):3}"; }
+# start_daemon VM INDEX : starts the VM's agent (0), dispatch (1) or entry (2).
 start_daemon() {
   local programs=(agent dispatch entry) p=${programs[$2]}
   "bin/hq-$p" --config "$dir/vm$1/$p.jsonc" >>"$dir/vm$1/$p.log" 2>&1 &
@@ -76,10 +83,11 @@
 start_vm() { for p in 0 1 2; do start_daemon "$1" $p; done; }
 kill_target() { curl -fsS -X POST "$STANDIN/targets/$1/kill"; }
 start_target() { curl -fsS -X POST "$STANDIN/targets/$1/restart"; }
+# set_store_down true|false : makes the store unavailable or available again.
 set_store_down() { curl -fsS -X PUT "$STANDIN/store/faults" -d "{\"down\": $1}" >/dev/null; }
 
-# move_to_standby TARGET : the record says that the standby shall serve. Not by jq, which
-# rounds the 64-bit bounds of slices.
+# move_to_standby TARGET : requests in the assignment record that the groups of the
+# target move to their standby. Does not use jq, which rounds the 64-bit bounds of slices.
 move_to_standby() {
   python3 - "$STORE/apis/hemlockquay.example/v1/quayobjects/assignment.shelf" "$1" <<'PY'
 import json, sys, urllib.error, urllib.request
@@ -97,6 +105,7 @@
 PY
 }
 
+# choose_victim CASE : sets the variables that inject_failure uses for the case.
 choose_victim() {
   case $1 in
   dc-*) choose_data_centre ;;
@@ -105,6 +114,7 @@
   esac
 }
 
+# inject_failure CASE : causes the failure of the case.
 inject_failure() {
   local agent v t
   agent=${LAB_PIDS[$(first_pid "$vm")]}
@@ -134,6 +144,7 @@
   esac
 }
 
+# restart_failed CASE : restarts what inject_failure stopped.
 restart_failed() {
   local v t
   case $1 in
@@ -147,10 +158,11 @@
   esac
 }
 
-# wait_until SECONDS : waits until so long after the start of the load.
+# wait_until SECONDS : waits until the given time after the start of the load.
 wait_until() { sleep "$(echo "$begin + $1 - $(date +%s.%N)" | bc | sed 's/^-.*/0/')"; }
 
-# start_with_retries : another process may take a port between plan and start: then all over again.
+# start_with_retries : starts all processes, in 4 attempts at most: another process may take a port between planning
+# and start.
 start_with_retries() {
   local try
   for try in 1 2 3 4; do
@@ -162,7 +174,7 @@
   return 1
 }
 
-# save_journals : what the daemons that live decided, with causes.
+# save_journals : prints the journals and the counts of refusals of the agents and dispatchers that run, as JSON lines.
 save_journals() {
   local f
   for f in "$dir"/vm*/{agent,dispatch}.jsonc; do
@@ -171,7 +183,7 @@
   done
 }
 
-# measure N : one system, all cases.
+# measure N : starts all processes, runs all cases and writes report and journals number N.
 measure() {
   local i case load names=()
   start_with_retries || return 1
