--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -1,4 +1,4 @@
-// Package examples_test holds the example files to what the programs take.
+// Package examples_test checks that the programs accept the example files.
 package examples_test
 
 import (
@@ -24,7 +24,8 @@
 
 var deployments = []string{"sjalfvirkni", "kalahari"}
 
-func fresh(name string) daemon.Settings {
+// newSettings returns empty settings of the named daemon.
+func newSettings(name string) daemon.Settings {
 	switch name {
 	case "agent":
 		return new(agent.Settings)
@@ -57,17 +58,17 @@
 	return all, required
 }
 
-// unlike are the optional fields whose example is not the default.
-var unlike = map[string]string{"agent": "peers", "entry": "peerListen", "gateway": "seeds"}
+// nonDefault names, for each daemon, the optional field whose example value is not the default.
+var nonDefault = map[string]string{"agent": "peers", "entry": "peerListen", "gateway": "seeds"}
 
-// The example shows every field, with its default where it has one: a field that is
-// added or a default that changes must change here too.
+// Guards against outdated example files: each settings file must contain every field, and
+// every optional field must have its default value, except those in nonDefault.
 func TestSettingsShowEveryFieldAndItsDefault(t *testing.T) {
 	for _, d := range deployments {
 		for _, name := range []string{"agent", "dispatch", "entry", "gateway"} {
 			t.Run(d+"/"+name, func(t *testing.T) {
 				file := filepath.Join(d, "settings", name+".jsonc")
-				shown, defaults := fresh(name), fresh(name)
+				shown, defaults := newSettings(name), newSettings(name)
 				require.NoError(t, settings.Load(file, shown))
 				all, required := fields(reflect.TypeOf(shown).Elem())
 				text, err := os.ReadFile(file)
@@ -75,13 +76,13 @@
 				for _, field := range all {
 					require.Contains(t, string(text), "\n  \""+field+"\": ", "the field is not shown")
 				}
-				least := make(map[string]json.RawMessage)
-				for field, value := range object(t, shown) {
-					if slices.Contains(append(required, unlike[name]), field) {
-						least[field] = value
+				minimalFields := make(map[string]json.RawMessage)
+				for field, value := range jsonFields(t, shown) {
+					if slices.Contains(append(required, nonDefault[name]), field) {
+						minimalFields[field] = value
 					}
 				}
-				minimal, err := json.Marshal(least)
+				minimal, err := json.Marshal(minimalFields)
 				require.NoError(t, err)
 				require.NoError(t, settings.Decode("minimal", minimal, defaults))
 				require.Equal(t, defaults, shown)
@@ -90,7 +91,8 @@
 	}
 }
 
-func object(t *testing.T, v any) map[string]json.RawMessage {
+// jsonFields returns the JSON fields of v by name.
+func jsonFields(t *testing.T, v any) map[string]json.RawMessage {
 	text, err := json.Marshal(v)
 	require.NoError(t, err)
 	var out map[string]json.RawMessage
@@ -98,7 +100,7 @@
 	return out
 }
 
-// Operators copy these files: what they copy must pass hqctl.
+// Operators copy the object files, so hqctl must accept them.
 func TestObjectsPassHqctl(t *testing.T) {
 	for _, d := range deployments {
 		for _, kind := range []string{"service", "contract"} {
