--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
-# Commands of the project. `make demo` runs the main job, `make test` passes the tests.
-# Test names that KNOWN-RED.txt lists, joined for `go test -skip`.
+# Commands of the project. `make demo` runs the router on one machine, `make test` runs all checks and tests.
+
+# Pattern for `go test -skip` that matches the tests listed in KNOWN-RED.txt.
 RED := $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\).*/^\1$$/p' KNOWN-RED.txt | paste -sd'|' -)
 
 .PHONY: build demo test soak bench format clean
@@ -23,7 +24,7 @@
 	@if [ -s KNOWN-RED.txt ]; then echo "KNOWN-RED.txt (its tests are skipped):"; cat KNOWN-RED.txt; fi
 	go test -race -timeout 15m $(if $(RED),-skip '$(RED)') ./...
 
-# A short soak under faults; the seeds are those of every run.
+# Runs short soak tests with fault injection, always with the same seeds.
 soak: build
 	bash scripts/soak.sh 8 10 10s mixed
 	bash scripts/soak.sh 1 1 20s stops
