--- a/scripts/once.sh
+++ b/scripts/once.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# At most once with Idempotency-Key: 400 bookings, sent by 5 callers at once,
-# each through other entries, while one dispatcher is killed and started again. Prints how
-# often each ran, by the targets' own ledger, and what callers received.
+# Tests at-most-once execution with Idempotency-Key: 5 concurrent callers each send the
+# same 400 bookings, through different entries, while one dispatcher is killed and
+# restarted. Prints the statuses that callers received and, from the ledger of the
+# targets, how often each booking ran.
+# Usage: scripts/once.sh [DIR]
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
@@ -22,7 +24,7 @@
     echo 'write-out = "%{http_code} %header{hq-ran}\n"'
   done | sed 1d >"$dir/caller$caller.conf"
 done
-victim=${LAB_PIDS[5]} # stand-in, then agent, dispatch and entry of each VM
+victim=${LAB_PIDS[5]} # LAB_PIDS: the stand-in, then agent, dispatch and entry of each VM.
 (sleep 2; kill -KILL "$victim"; sleep 1; exec bin/hq-dispatch --config "$dir/vm2/dispatch.jsonc" >>"$dir/vm2/dispatch.log" 2>&1) &
 restarter=$!
 LAB_PIDS+=("$restarter")
--- a/scripts/unavailable.sh
+++ b/scripts/unavailable.sh
@@ -1,29 +1,30 @@
 #!/usr/bin/env bash
-# Measures the unavailable time of keys after losses, with real processes: one
-# system of 9 VMs, one loss in each window of 5 s, 2 s after its start. What was
-# lost is started again at the end of its window.
-# Usage: scripts/unavailable.sh [DIR]; in the environment
-#   CASES    the losses, each with the store up or down; default all
-#   REPEATS  how many systems are measured one after the other; default 1
+# Measures how long keys are unavailable after a failure, with real processes on
+# 9 VMs. Each window of 5 s has one failure, 2 s after its start; whatever failed
+# is restarted at the end of the window.
+# Usage: scripts/unavailable.sh [DIR]
+# Environment:
+#   CASES      the failures to measure, each with the store up or down; default all
+#   REPEATS    how many times to measure, each time with new processes; default 1
 #   LAB_AGENT  JSON merged into each agent's settings, for instance {"grantLife": "600ms"}
-# A whole table takes about 80 s for each repeat. Prints for each loss: requests,
-# how many were not answered, keys that were unavailable, their median and worst,
-# ms; keeps DIR.report.N.json
-# and DIR.journals.N.json. A grantor is lost with its whole VM, a data centre
-# with all its VMs and targets.
+# All cases together take about 80 s per repeat. Prints for each failure the number
+# of requests, of refused ones and of those with unknown outcome, the keys that were
+# unavailable, and their median and longest unavailable time in ms. Writes
+# DIR.report.N.json and DIR.journals.N.json. A grantor fails together with its whole
+# VM, a data centre with all its VMs and targets.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 . scripts/lab.sh
 dir=${1:-out/unavailable}
-vms=9 loaded=4 # requests enter at VMs 1 to 4; the VMs that are lost are others
+vms=9 loaded=4 # Requests enter at VMs 1 to 4; VMs to fail are chosen from the others, except an assigner's.
 window=5 settle=8
 read -ra cases <<<"${CASES:-none-up move-up pause-up owner-up owner-down grantor-up grantor-down both-up both-down dc-up dc-down assigner-up agent-up}"
 
 trap 'lab_stop; exit 130' INT TERM
 trap 'lab_stop' EXIT
 
-# lab_planned is called by lab_up before anything starts.
-lab_planned() {
+# lab_configure is called by lab_up before any process starts.
+lab_configure() {
   [ -n "${LAB_AGENT:-}" ] || return 0
   local f
   for f in "$dir"/vm*/agent.jsonc; do
@@ -31,11 +32,12 @@
   done
 }
 
+# dump_agent VM : prints the state dump of the VM's agent.
 dump_agent() { curl -fsS -m 1 "http://$(lab_admin "$dir/vm$1/agent.jsonc")/dump"; }
 
-# choose : sets target and vm: a target of shelf whose grantor is on a VM that
-# takes no requests.
-choose() {
+# choose_target : sets target to a target of shelf and vm to the VM of its grantor,
+# which is one where no requests enter.
+choose_target() {
   for vm in $(seq $((loaded + 1)) $vms); do
     for target in $(dump_agent "$vm" |
       jq -r '.sections[] | select(.name == "agent") | .value.granted // [] | .[] | select(.Service == "shelf") | .Target.name' | shuf -n 1); do
@@ -45,30 +47,35 @@
   return 1
 }
 
-# choose_assigner : sets vm to the assigner of shelf, which may take requests.
+# choose_assigner : sets vm to the VM of the assigner of shelf. Requests may enter there.
 choose_assigner() {
   vm=$(curl -fsS -m 1 "$STORE/apis/hemlockquay.example/v1/quayobjects/assigner.shelf" | jq -r '.spec.holder' | sed 's/^vm\([0-9]*\).*/\1/')
   target=-
   [[ $vm =~ ^[0-9]+$ ]]
 }
 
-# choose_centre : the data centres of the VMs after the loaded ones in turn: what
-# came back owns little yet.
+# choose_data_centre : sets centre to the data centre of one of the three VMs after
+# those where requests enter, a different one each time: a restarted data centre owns
+# few keys at first.
 centres=0
-choose_centre() {
+choose_data_centre() {
   vm=$((loaded + 1 + centres % 3))
   centres=$((centres + 1))
   centre=$(sed -n 's/.*"dataCentre": "\([^"]*\)".*/\1/p' "$dir/vm$vm/agent.jsonc")
   target=$centre
-  lost_targets=$(targets_of "$centre") # read before the store is down
+  lost_targets=$(targets_of "$centre") # Read while the store is still up.
 }
+# vms_of DATA_CENTRE : prints the numbers of the VMs there.
 vms_of() { grep -l "\"dataCentre\": \"$1\"" "$dir"/vm*/agent.jsonc | sed 's|.*/vm\([0-9]*\)/.*|\1|'; }
+# targets_of DATA_CENTRE : prints the names of the targets of shelf there.
 targets_of() { curl -fsS "$STORE/apis/hemlockquay.example/v1/quayobjects/service.shelf" | jq -r --arg c "$1" '.spec.targets[] | select(.dataCentre == $c) | .name'; }
 
-# LAB_PIDS holds the stand-in, then agent, dispatch and entry of each VM.
+# first_pid VM : prints the index in LAB_PIDS of the VM's agent. LAB_PIDS holds the
+# stand-in, then agent, dispatch and entry of each VM.
 first_pid() { echo $((1 + 3 * ($1 - 1))); }
 kill_vm() { kill -KILL "${LAB_PIDS[@]:$(first_pid "$1"):3}"; }
-start_daemon() { # VM PLACE
+# start_daemon VM INDEX : starts the VM's agent (0), dispatch (1) or entry (2).
+start_daemon() {
   local programs=(agent dispatch entry) p=${programs[$2]}
   "bin/hq-$p" --config "$dir/vm$1/$p.jsonc" >>"$dir/vm$1/$p.log" 2>&1 &
   LAB_PIDS[$(($(first_pid "$1") + $2))]=$!
@@ -76,11 +83,12 @@
 start_vm() { for p in 0 1 2; do start_daemon "$1" $p; done; }
 kill_target() { curl -fsS -X POST "$STANDIN/targets/$1/kill"; }
 start_target() { curl -fsS -X POST "$STANDIN/targets/$1/restart"; }
-store_down() { curl -fsS -X PUT "$STANDIN/store/faults" -d "{\"down\": $1}" >/dev/null; }
+# set_store_down true|false : makes the store unavailable or available again.
+set_store_down() { curl -fsS -X PUT "$STANDIN/store/faults" -d "{\"down\": $1}" >/dev/null; }
 
-# move TARGET : the record says that the standby shall serve. Not by jq, which
-# rounds the 64-bit bounds of slices.
-move() {
+# move_to_standby TARGET : requests in the assignment record that the groups of the
+# target move to their standby. Does not use jq, which rounds the 64-bit bounds of slices.
+move_to_standby() {
   python3 - "$STORE/apis/hemlockquay.example/v1/quayobjects/assignment.shelf" "$1" <<'PY'
 import json, sys, urllib.error, urllib.request
 for _ in range(20):
@@ -97,15 +105,17 @@
 PY
 }
 
-pick() {
+# choose_victim CASE : sets the variables that inject_failure uses for the case.
+choose_victim() {
   case $1 in
-  dc-*) choose_centre ;;
+  dc-*) choose_data_centre ;;
   assigner-*) choose_assigner ;;
-  *) choose ;;
+  *) choose_target ;;
   esac
 }
 
-lose() {
+# inject_failure CASE : causes the failure of the case.
+inject_failure() {
   local agent v t
   agent=${LAB_PIDS[$(first_pid "$vm")]}
   case $1 in
@@ -125,7 +135,7 @@
     sleep 1
     start_daemon "$vm" 0
     ;;
-  move-*) move "$target" ;;
+  move-*) move_to_standby "$target" ;;
   pause-*)
     kill -STOP "$agent"
     sleep 1.5
@@ -134,7 +144,8 @@
   esac
 }
 
-bring_back() {
+# restart_failed CASE : restarts what inject_failure stopped.
+restart_failed() {
   local v t
   case $1 in
   owner-*) start_target "$target" ;;
@@ -147,11 +158,12 @@
   esac
 }
 
-# at SECONDS : waits until so long after the start of the load.
-at() { sleep "$(echo "$begin + $1 - $(date +%s.%N)" | bc | sed 's/^-.*/0/')"; }
+# wait_until SECONDS : waits until the given time after the start of the load.
+wait_until() { sleep "$(echo "$begin + $1 - $(date +%s.%N)" | bc | sed 's/^-.*/0/')"; }
 
-# up : another process may take a port between plan and start: then all over again.
-up() {
+# start_with_retries : starts all processes, in 4 attempts at most: another process may take a port between planning
+# and start.
+start_with_retries() {
   local try
   for try in 1 2 3 4; do
     lab_up "$dir" $vms examples/sjalfvirkni/deployment.jsonc examples/kalahari/deployment.jsonc && return 0
@@ -162,7 +174,7 @@
   return 1
 }
 
-# save_journals : what the daemons that live decided, with causes.
+# save_journals : prints the journals and the counts of refusals of the agents and dispatchers that run, as JSON lines.
 save_journals() {
   local f
   for f in "$dir"/vm*/{agent,dispatch}.jsonc; do
@@ -171,10 +183,10 @@
   done
 }
 
-# measure N : one system, all cases.
+# measure N : starts all processes, runs all cases and writes report and journals number N.
 measure() {
   local i case load names=()
-  up || return 1
+  start_with_retries || return 1
   sleep $settle
   jq --argjson n ${#cases[@]} --argjson w $window --argjson e $loaded '
     [.workloads[] | select(.service == "shelf")][0] as $l |
@@ -186,16 +198,16 @@
   begin=$(date +%s.%N)
   for i in "${!cases[@]}"; do
     case=${cases[i]}
-    at "$((i * window + 1)).2"
-    pick "$case" || { names+=("$case: nothing to lose"); continue; }
+    wait_until "$((i * window + 1)).2"
+    choose_victim "$case" || { names+=("$case: skipped, found nothing to fail"); continue; }
     names+=("$case $target vm$vm")
-    at "$((i * window + 1)).6"
-    [[ $case == *-down ]] && store_down true
-    at $((i * window + 2))
-    lose "$case"
-    at "$((i * window + window)).0"
-    [[ $case == *-down ]] && store_down false
-    bring_back "$case"
+    wait_until "$((i * window + 1)).6"
+    [[ $case == *-down ]] && set_store_down true
+    wait_until $((i * window + 2))
+    inject_failure "$case"
+    wait_until "$((i * window + window)).0"
+    [[ $case == *-down ]] && set_store_down false
+    restart_failed "$case"
   done
   wait $load
   for i in "${!names[@]}"; do
