--- a/internal/ownership/faults_test.go
+++ b/internal/ownership/faults_test.go
@@ -276,7 +276,7 @@
 }
 
 const (
-	noTarget   = "an election speaks to no target, and no request passes through it"
+	noTarget   = "an election contacts no target, and no request passes through it"
 	noData     = "entries and dispatchers take no part in an election"
 	noOperator = "operators write no assigner objects: hqctl has no command for it"
 )
@@ -314,12 +314,13 @@
 }
 
 const matrixIntro = `Three agents elect the assigner of one service over one object of the store, in
-steps of 100 ms; the first agent is led to the step. Each cell shows for how many seconds of the
-60 s after the step nobody planned: no move and no repair of the record then,
-while grants and requests go on. In "partition, twice" the first two agents are cut off one for longer than the other.
+steps of 100 ms. The first agent is brought to the step, and the fault is injected there. Each cell shows
+for how many of the 60 s after the step no agent planned the service. In that time there are no moves and
+no repairs of the record, but grants and requests continue. In "partition, twice" the first two agents
+are partitioned from the store, one for longer than the other.
 
-Checked every 100 ms: one agent at most holds the service; epochs and renewals in the
-store never fall. At the end: one holds it, and the store names it.`
+Checked every 100 ms: at most one agent holds the service; epochs and renewal numbers in the store never
+decrease. Checked at the end: one agent holds the service, and the store names it as the holder.`
 
 // Guards against two agents planning one service, or none for ever, after a fault at
 // the moment when an agent claims, renews or loses its hold. docs/faults/assigner.md
