--- a/internal/ownership/grants/faults_test.go
+++ b/internal/ownership/grants/faults_test.go
@@ -116,18 +116,17 @@
 	faults.PauseInPartition: {inject: func(sim *faultSimulation) { sim.isolate(0, 2*time.Second); sim.pause(0, time.Second) }},
 }
 
-const matrixIntro = `Three agents and four targets, with the fences of the stand-in, are played in
-steps of 15 ms, with the daemons' default times; the first agent is led to the step. The fault comes between the
-decision and the sending of its orders. The owner is t0, the standby t1, the witness t2.
-A release may take 500 ms here. Each cell shows how long in all
-nobody owned the key in the 8 s after the step, in seconds; requests wait or are refused as
-not run in that time.
-
-In "partition" the agent and the owner are on one side, in "partition, twice" the agent is alone.
-
-Checked after every 15 ms: no slice is served by two targets; at the end: it is served, by the target that
-the store's record names as owner; no ordered move is left undone; epochs in
-the store never fell.`
+const matrixIntro = `Three agents and four targets, with the fences of the stand-in, are simulated in
+steps of 15 ms, with the daemons' default times. The first agent is brought to the step, and the fault is
+injected between its decision and the sending of the resulting orders. The owner is t0, the standby t1,
+the witness t2. A release may take 500 ms here. Each cell shows for how many of the 8 s after the step, in
+total, the key had no owner; in that time requests wait or are refused as not run.
+
+In "partition" the agent and the owner are on the same side; in "partition, twice" the agent is isolated.
+
+Checked after every 15 ms: no slice is served by two targets. Checked at the end: the slice is served by
+the target that the store's record names as owner; every ordered move is completed; epochs in the store
+never decreased.`
 
 // Guards against a key that two targets answer, or that none answers though one could,
 // after a fault between the decision to grant, release or step down and the sending of its
