--- a/internal/decide/placement/faults_test.go
+++ b/internal/decide/placement/faults_test.go
@@ -9,7 +9,7 @@
 	"hemlockquay/internal/faults"
 )
 
-const noRequests = "no request, entry or dispatcher takes part in the planning of a move; what requests see of it stands in grant and request"
+const noRequests = "no request, entry or dispatcher takes part in the planning of a move; the effect of a move on requests is shown in grant and request"
 
 // moveFaults has an entry for each fault: why it cannot occur, or how to inject it.
 var moveFaults = map[faults.Fault]struct {
@@ -49,15 +49,16 @@
 	faults.PauseInPartition: {inject: func(p *moveSimulation) { p.partition(8 * time.Second); p.pausedTo = p.in.Now + 4*time.Second }},
 }
 
-const moveAbout = `The real planner moves a group to a target that does not stand by yet. It looks every 500 ms; the
-store takes its plan if that was made from the record which stands; small fakes play the grantors, which take
-up an epoch after 2 s and carry a move out in 1.5 s. The fault comes after the look in which the step was
-taken. Each cell shows where the group is after 60 s: moved, stayed, or elsewhere (neither, because one
-was lost or left); the planner goes on evening out the number of groups, so a target that comes back may
-get its group again. Requests in flight are the matter of grant.
+const moveAbout = `The real planner moves a group to a target that is not yet its standby. It runs every 500 ms. The
+store accepts a plan only if it was made from the current record. Fakes simulate the grantors, which adopt
+an epoch after 2 s and carry out a move in 1.5 s. The fault is injected after the planner's run in which the
+step was taken. Each cell shows where the group is after 60 s: moved, stayed, or elsewhere (on neither
+target, because one was lost or left). The planner continues to balance the number of groups, so a target
+that returns may get its group back. Requests in flight are covered by grant.
 
-Checked every 500 ms: owner and standby, owner and witness differ; an intent names the standby; no epoch falls. At the end: no move is left undone, in
-the record or in the planner; the record's owner serves and is not lost.`
+Checked every 500 ms: the owner is neither the standby nor the witness; an intent names the standby; no
+epoch decreases. Checked at the end: no move is unfinished, in the record or in the planner; the record's
+owner serves and is not lost.`
 
 // Guards against a group that is left between two targets, or an intent that is never
 // removed, after a fault between planning, adopting, ordering and recording a move.
