--- a/internal/lease/faults_test.go
+++ b/internal/lease/faults_test.go
@@ -144,8 +144,8 @@
 	prepare func(sc *scenario)
 }{
 	{"granted", func(*scenario) {}},
-	{"move on its way to the store", func(sc *scenario) { sc.moveSlice(0, 0, 1) }},
-	{"release on its way", func(sc *scenario) {
+	{"move being written to the store", func(sc *scenario) { sc.moveSlice(0, 0, 1) }},
+	{"release in flight", func(sc *scenario) {
 		sc.moveSlice(0, 0, 1)
 		for range 3 {
 			sc.step()
@@ -168,9 +168,9 @@
 	{"owner starts again under its id", func(sc *scenario) { sc.restartTarget(0) }},
 	{"owner out of the grantor's reach for 5 s", func(sc *scenario) { sc.vms[sc.leader()].targetCutUntil[0] = sc.now + 5*time.Second }},
 	{"grantor ends", func(sc *scenario) { sc.stopped[sc.leader()] = true }},
-	{"grantor stands still for 6 s", func(sc *scenario) { sc.vms[sc.leader()].suspendedUntil = sc.now + 6*time.Second }},
+	{"grantor paused for 6 s", func(sc *scenario) { sc.vms[sc.leader()].suspendedUntil = sc.now + 6*time.Second }},
 	{"grantor without the store for 9 s", func(sc *scenario) { sc.vms[sc.leader()].storeCutUntil = sc.now + 9*time.Second }},
-	{"store away for 9 s", func(sc *scenario) {
+	{"store unreachable for 9 s", func(sc *scenario) {
 		sc.storeDownUntil = sc.now + 9*time.Second
 		for vm := range sc.vms {
 			sc.vms[vm].storeCutUntil = sc.storeDownUntil
@@ -186,10 +186,10 @@
 
 Written by TestFaultsAtStepsOfALease of internal/lease; see [FAULTS.md](../FAULTS.md).
 
-Three VMs, three targets and the store are played in steps of 50 ms with a hold of 3 s; a
-grantor that is gone is succeeded after 0.9 s, an owner that is silent for 1.2 s loses its
-keys. Each cell shows how long nobody owned the first keys in the 30 s after the fault, in
-seconds; their requests wait or are refused as not run in that time.
+Three VMs, three targets and the store are simulated in steps of 50 ms with a hold of 3 s. A
+grantor that has stopped is replaced after 0.9 s; an owner that does not answer for 1.2 s loses
+its keys. Each cell shows for how many of the 30 s after the fault the first keys had no owner;
+in that time their requests wait or are refused as not run.
 
 Checked after every step: no key has two owners. Checked at the end: every key has one.
 
