--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -65,7 +65,7 @@
 	inject          func(c *cell)
 }
 
-const noStore = "a dispatcher calls no store; what its agent told it stays in force, see agent lost"
+const noStore = "a dispatcher does not call the store; what it received from its agent stays in force: see agent lost"
 
 // injections has an entry for each fault.
 var injections = map[faults.Fault]injection{
@@ -109,17 +109,18 @@
 var planned = map[faults.Fault]bool{faults.VMLeaves: true, faults.TargetLeaves: true, faults.OperatorsRace: true}
 
 const requestAbout = `A dispatcher's queue runs in virtual time: three targets of 2 slots (one keyed
-target for the faults of ownership), the real watch over crashing requests, two
-other requests, and the one that is led to the step. The fault comes in the moment of the step,
-for "send" in the middle of the attempt. Each cell shows what the caller of that request received:
-answered, no (refused, not run) or unknown; of a non-idempotent request / an
-idempotent one where the step is open to both. Of a lost dispatcher no answer comes,
-and its entry tells unknown; of a lost entry the cell shows the answer that nobody hears.
+target for the faults of ownership), the real detection of crashing requests, two
+other requests, and the request under test, which is brought to the step. The fault is injected at the
+step, for "send" in the middle of the attempt. Each cell shows what the caller of that request received:
+answered, no (refused, not run) or unknown. Where both kinds of request can take the step, the results of a
+non-idempotent / an idempotent request are shown if they differ. A lost dispatcher sends no answer, and its
+entry reports unknown. For a lost entry the cell shows the answer that reached no caller.
 
-Checked in each cell: each answer is the request's own, whole; one refused as not run has not run;
-a non-idempotent request ran once at most, bystanders included; a target that leaves was sent
-nothing after 3 s; where a VM or target leaves or operators race, no request in flight was lost; a request crashed two targets at most; nothing was left in the queue; a later
-request is answered, unless the dispatcher left.`
+Checked in each cell: each request received its own complete answer; a request refused as not run has not
+run; a non-idempotent request, including the two others, ran at most once; a target that leaves was sent
+nothing after 3 s; where a VM or target leaves or operators race, no request in flight was lost; a request
+crashed at most two targets; the queue was empty at the end; a later request is answered, unless the
+dispatcher left.`
 
 // Injects each fault at each transition of a request. Guards against requests that are
 // refused as not run but have run, non-idempotent requests that run twice, and answers of
