--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -67,16 +67,18 @@
 	faults.PauseInPartition: {duration: 3 * time.Second, inject: func(cs *changeScenario) { cs.partition(3 * time.Second); cs.pause(1, 3*time.Second) }},
 }
 
-const changeAbout = `An operator applies a contract by ctl.Apply, over a store in memory with a wrapper for its faults; three
-agents' real configurations follow it, the first that runs by a watch, the others by deltas and snapshots from peers,
-and one daemon on each VM takes it from its agent. The steps are the calls on the way; no chart in charts
-holds them. Only in virtual time do calls take time: 5 ms, 1.5 s where the store is slow. Each cell shows
-what the operator received (accepted, conflict, or unavailable: nothing was written), and after how many seconds
-from the end of the fault or the acceptance, whichever is later, the stored version was in force on every VM that runs.
+const changeAbout = `An operator applies a contract with ctl.Apply to an in-memory store, wrapped to inject its faults. Three
+agents with their real configuration code receive it: the first running agent by a watch, the others by
+deltas and snapshots from peers. One daemon on each VM loads it from its agent. The steps are the calls in
+this sequence; they are not in a file of charts. Calls take virtual time only: 5 ms, or 1.5 s while the
+store is slow. Each cell shows what the operator received (accepted, conflict, or unavailable: nothing was
+written), and how many seconds after the end of the fault or the acceptance, whichever is later, the stored
+version was in force on every running VM.
 
-Checked every 100 ms: no agent's revision and no daemon's version of the contract falls in one life. At the end: the store
-holds what was accepted last; a change that was refused was not written; of two racing
-operators one got a conflict (every order of their calls is the matter of internal/ctl's test); the stored version is in force everywhere.`
+Checked every 100 ms: no agent's revision and no daemon's version of the contract decreases between
+restarts. Checked at the end: the store holds the change accepted last; a refused change was not written;
+one of two racing operators got a conflict (internal/ctl's test covers every order of their calls); the
+stored version is in force everywhere.`
 
 // Guards against an accepted change that is not in force on some VM or is reverted, and against
 // one of two concurrent changes being lost without an error, after a fault between the operator's
