--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -233,10 +233,10 @@
 }
 
 const (
-	noLease     = "a daemon's life holds no lease and depends on none"
-	targetOnly  = "what a target or request does shows in a drain as longer work only: see target frozen and back"
-	networkOnly = "a cut shows in a drain as a configuration that comes late: see agent lost"
-	viaAgent    = "a daemon learns of the store through its agent: see agent lost"
+	noLease     = "a daemon's lifecycle holds no lease and depends on none"
+	targetOnly  = "a fault of a target or request only makes requests take longer during a drain: see target frozen and back"
+	networkOnly = "a partition only delays the daemon's configuration: see agent lost"
+	viaAgent    = "a daemon gets stored data through its agent: see agent lost"
 	sameAsLoss  = "the same as the loss of the process, or of its agent, alone"
 )
 
@@ -268,12 +268,13 @@
 	faults.PauseInPartition: {impossible: networkOnly},
 }
 
-const drainDescription = `The life of one daemon, from start over work to drain, behind a balancer that looks at /readyz every 503 ms,
-with a lead of 1 s and a request every 53 ms. Its server is a fake that keeps the order of the daemons' own stop; the
-state, readiness and lead are the real ones. Each cell shows what callers received.
+const drainDescription = `One daemon is simulated from start through service to drain, behind a load balancer that polls /readyz every
+503 ms, with a leave lead of 1 s and a request every 53 ms. Its server is a fake that shuts down in the same order
+as the daemons; the state, readiness and leave lead are the real ones. Each cell shows what callers received: "no"
+is a request refused as not run, and "unknown in flight" one that was aborted with the daemon.
 
-Checked in each cell: a stop that was planned cuts off no request in flight, ends, and takes no new work later than the
-lead and one look of the balancer; the daemon is stopped only when no request is left.`
+Checked in each cell: a planned stop aborts no request in flight, completes, and accepts no request later than the
+leave lead plus one poll of the balancer; the daemon stops only when no request is in flight.`
 
 // Guards against broken connections during the replacement of a VM: a daemon may be asked to stop
 // while it starts, twice, or during a pause. docs/faults/daemon.md shows each fault at each step.
