--- a/internal/entry/headers.go
+++ b/internal/entry/headers.go
@@ -30,7 +30,7 @@
 func endToEndHeaders(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	maps.Copy(out, in)
-	hopbyhop.Drop(out)
+	hopbyhop.RemoveHeaders(out)
 	// Bodies are read completely before they are passed on, so these two no longer apply.
 	delete(out, "Expect")
 	delete(out, "Content-Length")
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -10,7 +10,7 @@
 // gateway sets itself are left out, so that a caller cannot choose its target.
 func forwardedHeaders(in http.Header, names Headers) http.Header {
 	out := in.Clone()
-	hopbyhop.Drop(out)
+	hopbyhop.RemoveHeaders(out)
 	for _, name := range []string{"Content-Length", "Expect", "Host", names.TargetID, names.DeadlineMs} {
 		out.Del(name)
 	}
@@ -19,7 +19,7 @@
 
 // copyResponseHeaders copies the headers of a target's response to the response for the caller.
 func copyResponseHeaders(out, in http.Header) {
-	hopbyhop.Drop(in)
+	hopbyhop.RemoveHeaders(in)
 	closing := out.Get("Connection")
 	for name, values := range in {
 		out[name] = values
--- a/internal/hopbyhop/hopbyhop.go
+++ b/internal/hopbyhop/hopbyhop.go
@@ -15,9 +15,9 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Drop deletes the hop-by-hop headers, and those that the header Connection names, from h.
+// RemoveHeaders deletes the hop-by-hop headers, and those that the header Connection names, from h.
 // It does not modify the value slices of h, which other maps may share.
-func Drop(h http.Header) {
+func RemoveHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
