--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -72,7 +72,7 @@
 	for _, g := range a.Groups {
 		for _, s := range g.Slices {
 			if s.Contains(p) {
-				return []string{journal.Group(a.Service, g.ID)}
+				return []string{journal.GroupSubject(a.Service, g.ID)}
 			}
 		}
 	}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -31,8 +31,8 @@
 	Text string `json:"text"`
 }
 
-// Group returns the subject for a group of a service.
-func Group(service string, id uint64) string { return fmt.Sprintf("%s/%d", service, id) }
+// GroupSubject returns the subject for a group of a service.
+func GroupSubject(service string, id uint64) string { return fmt.Sprintf("%s/%d", service, id) }
 
 // Version returns the subject for one version of an object.
 func Version(name string, version uint64) string { return fmt.Sprintf("%s@%d", name, version) }
--- a/internal/journal/slope_test.go
+++ b/internal/journal/slope_test.go
@@ -15,7 +15,7 @@
 			fill := func() *Journal {
 				j := New("entry-vm-00001", "hq-agent", n)
 				for i := range n {
-					j.Add("grant", fmt.Sprintf("took the group over: grantor entry-vm-%05d was silent for 190 ms", i), Group("shelf", uint64(i)))
+					j.Add("grant", fmt.Sprintf("took the group over: grantor entry-vm-%05d was silent for 190 ms", i), GroupSubject("shelf", uint64(i)))
 				}
 				return j
 			}
