--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -110,8 +110,8 @@
 	l.notReadyReason = reason
 }
 
-// Note adds a decision to the daemon's journal.
-func (l *Lifecycle) Note(step, text string, subjects ...string) {
+// AddJournalEntry adds a decision to the daemon's journal.
+func (l *Lifecycle) AddJournalEntry(step, text string, subjects ...string) {
 	l.journal.Add(step, text, subjects...)
 }
 
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -51,6 +51,6 @@
 	require.Contains(t, get(t, handler, "/dump?pretty"), "\n    \"process\": \"hq-test\"")
 	require.Len(t, TruncateForDump(make([]int, maxDumpItems+1)), maxDumpItems)
 	require.Len(t, TruncateForDump(make([]int, 3)), 3)
-	life.Note("configure", "contract c1 version 2 is in force", "c1")
+	life.AddJournalEntry("configure", "contract c1 version 2 is in force", "c1")
 	require.Contains(t, get(t, handler, "/journal?pretty"), "\n        \"text\": \"contract c1 version 2 is in force\"")
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -240,7 +240,7 @@
 	if known {
 		before = fmt.Sprintf("previous version %d", old)
 	}
-	f.life.Note("configure", fmt.Sprintf("%s %s version %d is in force, %s", o.Kind, o.Name, o.Version, before), o.Name, journal.Version(o.Name, o.Version))
+	f.life.AddJournalEntry("configure", fmt.Sprintf("%s %s version %d is in force, %s", o.Kind, o.Name, o.Version, before), o.Name, journal.Version(o.Name, o.Version))
 }
 
 // problems returns the rejected objects with the reasons, sorted.
