--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -164,7 +164,7 @@
 func (a *agent) awaitReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, ready := a.config.heldRevision(); ready && a.members.settled() && a.relay.grantsSeeded.Load() {
-			a.Lifecycle.Ready()
+			a.Lifecycle.MarkConfigured()
 			return
 		}
 		a.Lifecycle.SetNotReadyReason(fmt.Sprintf("no configuration: store %s does not answer and none of %d peers has one",
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -94,7 +94,7 @@
 	p.background.Go(func() {
 		time.Sleep(p.configurationDelay())
 		if time.Since(begun) < simDuration && p.alive() {
-			p.life.Ready()
+			p.life.MarkConfigured()
 		}
 	})
 	time.Sleep(drainAt)
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -38,7 +38,7 @@
 	machine        *statechart.Machine
 	notReadyReason string
 	// unmet lists the readiness conditions that are not met yet; configured is
-	// true once Ready has been called.
+	// true once MarkConfigured has been called.
 	unmet      []string
 	configured bool
 	// serving is true while the daemon is ready, and during leaveLead, the first
@@ -70,9 +70,9 @@
 	}
 }
 
-// Ready reports to the lifecycle that a configuration is in force. The daemon becomes
+// MarkConfigured reports to the lifecycle that a configuration is in force. The daemon becomes
 // ready once all conditions added by Require are met as well.
-func (l *Lifecycle) Ready() {
+func (l *Lifecycle) MarkConfigured() {
 	l.mu.Lock()
 	l.configured = true
 	missing := len(l.unmet) > 0
@@ -86,7 +86,7 @@
 }
 
 // Require adds a readiness condition; reason says what is missing until met is called.
-// All calls of Require must precede the first call of Ready. met may be called more than once.
+// All calls of Require must precede the first call of MarkConfigured. met may be called more than once.
 func (l *Lifecycle) Require(reason string) (met func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 		configured := l.configured
 		l.mu.Unlock()
 		if configured {
-			l.Ready()
+			l.MarkConfigured()
 		}
 	})
 }
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -20,7 +20,7 @@
 		l := newTestLifecycle()
 		one, two := l.Require("one is missing"), l.Require("two is missing")
 		if configuredFirst {
-			l.Ready()
+			l.MarkConfigured()
 			_, why := l.IsReady()
 			require.Equal(t, "one is missing", why)
 		}
@@ -33,7 +33,7 @@
 			ready, why := l.IsReady()
 			require.False(t, ready)
 			require.Equal(t, "no configuration yet", why)
-			l.Ready()
+			l.MarkConfigured()
 		}
 		ready, _ = l.IsReady()
 		require.True(t, ready)
@@ -45,7 +45,7 @@
 func TestRequirementMetAfterDrain(t *testing.T) {
 	l := newTestLifecycle()
 	met := l.Require("something is missing")
-	l.Ready()
+	l.MarkConfigured()
 	l.BeginDrain()
 	met()
 	ready, why := l.IsReady()
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -157,7 +157,7 @@
 	}
 	f.apply(v, &reply)
 	f.life.RaiseMaxDeadline(f.Current().LongestDeadline())
-	f.life.Ready()
+	f.life.MarkConfigured()
 	return nil
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -217,7 +217,7 @@
 // reportReady marks the daemon as ready once it has a configuration and the list of targets.
 func (g *Gateway) reportReady() {
 	if g.life != nil && g.state.view.Load().Routes != nil && g.listed.Load() {
-		g.life.Ready()
+		g.life.MarkConfigured()
 	}
 }
 
