--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -183,7 +183,7 @@
 	a.peers.Close()
 	a.commander.Close()
 	a.assigner.targetHealth.close()
-	a.Lifecycle.Drained()
+	a.Lifecycle.MarkDrained()
 	return nil
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -90,7 +90,7 @@
 	app := newTestApp(t, &life, func(ctx context.Context) error {
 		life.BeginDrain()
 		life.WaitLeaveLead(ctx)
-		life.Drained()
+		life.MarkDrained()
 		drained <- life.Dump().State
 		return nil
 	})
--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -144,7 +144,7 @@
 	p.waitWhilePaused()
 	p.requests.Wait()
 	if p.alive() {
-		p.life.Drained()
+		p.life.MarkDrained()
 	}
 }
 
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -170,8 +170,8 @@
 // Draining returns a channel that is closed when the graceful shutdown begins.
 func (l *Lifecycle) Draining() <-chan struct{} { return l.draining }
 
-// Drained marks the daemon as stopped: no request is in flight.
-func (l *Lifecycle) Drained() { l.fire(eventDrained) }
+// MarkDrained marks the daemon as stopped: no request is in flight.
+func (l *Lifecycle) MarkDrained() { l.fire(eventDrained) }
 
 func (l *Lifecycle) fire(e statechart.Event) bool {
 	l.mu.Lock()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -124,7 +124,7 @@
 	d.quarantine.peers.Close()
 	d.sender.Close()
 	d.prober.Close()
-	d.Lifecycle.Drained()
+	d.Lifecycle.MarkDrained()
 	return nil
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -122,7 +122,7 @@
 	e.exchanger.pool.Close()
 	e.peerServer.Close()
 	e.forwarder.client.Close()
-	e.Lifecycle.Drained()
+	e.Lifecycle.MarkDrained()
 	if err != nil {
 		return fmt.Errorf("shut down the HTTP server for callers: %w", err)
 	}
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -44,7 +44,7 @@
 	g.cancel()
 	g.mesh.Close()
 	g.peers.Close()
-	g.life.Drained()
+	g.life.MarkDrained()
 	return errors.Join(err, g.ready.Close())
 }
 
