--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -32,12 +32,12 @@
 type adminParams struct {
 	fx.In
 
-	LC       fx.Lifecycle
-	Base     *Base
-	Life     *Lifecycle
-	Log      *log.Logger
-	Registry metrics.Registry
-	Journal  *journal.Journal
+	LC        fx.Lifecycle
+	Base      *Base
+	Lifecycle *Lifecycle
+	Log       *log.Logger
+	Registry  metrics.Registry
+	Journal   *journal.Journal
 }
 
 // startAdmin starts the admin server, which serves /healthz, /readyz, /metrics,
@@ -47,8 +47,8 @@
 	if err != nil {
 		return fmt.Errorf("start admin server: %w", err)
 	}
-	p.Life.AddDumpSection(ringsSection, func() any { return ringStates(p.Registry) })
-	p.Life.admin = listener.Addr().String()
+	p.Lifecycle.AddDumpSection(ringsSection, func() any { return ringStates(p.Registry) })
+	p.Lifecycle.admin = listener.Addr().String()
 	server := &http.Server{Handler: adminHandler(p), ReadHeaderTimeout: headerTimeout}
 	p.LC.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -75,7 +75,7 @@
 	e := gin.New()
 	e.GET("/healthz", func(c *gin.Context) { c.String(http.StatusOK, "alive\n") })
 	e.GET("/readyz", func(c *gin.Context) {
-		if ready, why := p.Life.IsReady(); !ready {
+		if ready, why := p.Lifecycle.IsReady(); !ready {
 			c.String(http.StatusServiceUnavailable, "not ready: %s\n", why)
 			return
 		}
@@ -83,14 +83,14 @@
 	})
 	e.GET("/metrics", func(c *gin.Context) { writeJSON(c, metricValues(p.Registry)) })
 	e.GET("/metrics.txt", func(c *gin.Context) { c.String(http.StatusOK, "%s", metricsText(p.Registry)) })
-	e.GET("/dump", func(c *gin.Context) { writeJSON(c, p.Life.Dump()) })
+	e.GET("/dump", func(c *gin.Context) { writeJSON(c, p.Lifecycle.Dump()) })
 	e.GET("/journal", func(c *gin.Context) { writeJSON(c, p.Journal.Entries()) })
 	e.GET("/debug/pprof/profile", gin.WrapF(pprof.Profile))
 	e.GET("/debug/pprof/heap", gin.WrapH(pprof.Handler("heap")))
 	e.GET("/debug/pprof/goroutine", gin.WrapH(pprof.Handler("goroutine")))
 	e.POST("/drain", func(c *gin.Context) {
 		c.String(http.StatusAccepted, "draining\n")
-		p.Life.Drain()
+		p.Lifecycle.Drain()
 	})
 	return e
 }
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -28,7 +28,7 @@
 	registry := metrics.NewRegistry()
 	j := journal.New("vm1", "hq-test", 4)
 	life := newLifecycle("hq-test", &newMinimalSettings(t).Base, discardLogger, j, nil)
-	handler := adminHandler(adminParams{Life: life, Registry: registry, Journal: j})
+	handler := adminHandler(adminParams{Lifecycle: life, Registry: registry, Journal: j})
 	life.AddDumpSection(ringsSection, func() any { return ringStates(registry) })
 	metrics.GetOrRegisterTimer("entry.answered", registry).Update(1500 * time.Microsecond)
 	metrics.GetOrRegisterGauge("ring.a.b.depth", registry).Update(7)
