--- a/internal/statechart/statechart.go
+++ b/internal/statechart/statechart.go
@@ -101,7 +101,7 @@
 			return settings.Invalid(at+"/event", "%q is not a declared event", t.Event)
 		}
 		s := transitionKey{t.From, t.Event}
-		if _, twice := c.next[s]; twice {
+		if _, duplicate := c.next[s]; duplicate {
 			return settings.Invalid(at, "a second transition for event %q in state %q", t.Event, t.From)
 		}
 		c.next[s] = t.To
@@ -117,11 +117,11 @@
 
 func (c *Chart) checkReachable() error {
 	reached := map[State]bool{c.Initial: true}
-	for grown := true; grown; {
-		grown = false
+	for changed := true; changed; {
+		changed = false
 		for _, t := range c.Transitions {
 			if reached[t.From] && !reached[t.To] {
-				reached[t.To], grown = true, true
+				reached[t.To], changed = true, true
 			}
 		}
 	}
