--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -20,8 +20,8 @@
 // ErrTooLarge is returned by Decode for a value of more than maxBytes, larger than any that is sent.
 var ErrTooLarge = errors.New("packed value too large")
 
-// writers pools compressors, whose state is larger than most values.
-var writers = sync.Pool{New: func() any {
+// compressorPool holds compressors for reuse, whose state is larger than most values.
+var compressorPool = sync.Pool{New: func() any {
 	// NewWriter fails only for an invalid level, and BestSpeed is valid.
 	w, _ := flate.NewWriter(nil, flate.BestSpeed)
 	return w
@@ -30,8 +30,8 @@
 // Encode returns v in packed form.
 func Encode(v any) ([]byte, error) {
 	var out bytes.Buffer
-	w, _ := writers.Get().(*flate.Writer)
-	defer writers.Put(w)
+	w, _ := compressorPool.Get().(*flate.Writer)
+	defer compressorPool.Put(w)
 	w.Reset(&out)
 	if err := msgpack.NewEncoder(w).Encode(v); err != nil {
 		return nil, fmt.Errorf("pack: %w", err)
