--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -9,12 +9,12 @@
 	"hemlockquay/internal/settings"
 )
 
-type fake struct {
+type fakeCommand struct {
 	Need string `long:"need" required:"true"`
 	err  error
 }
 
-func (f *fake) Execute([]string) error { return f.err }
+func (f *fakeCommand) Execute([]string) error { return f.err }
 
 func TestExitCodes(t *testing.T) {
 	cases := []struct {
@@ -35,7 +35,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, Run("hq-test", c.args, Command{Name: "do", Short: "s", Long: "l", Run: &fake{err: c.err}}))
+			require.Equal(t, c.want, Run("hq-test", c.args, Command{Name: "do", Short: "s", Long: "l", Run: &fakeCommand{err: c.err}}))
 		})
 	}
 }
