--- a/cmd/hq-load/main.go
+++ b/cmd/hq-load/main.go
@@ -18,8 +18,8 @@
 )
 
 var (
-	errUnsound    = errors.New("a guarantee to callers was violated; see the report")
-	errIncomplete = errors.New("some requests were not answered; see the report")
+	errGuaranteeViolated = errors.New("a guarantee to callers was violated; see the report")
+	errIncomplete        = errors.New("some requests were not answered; see the report")
 )
 
 type runCommand struct {
@@ -75,7 +75,7 @@
 	}
 	switch {
 	case !report.Sound():
-		return errUnsound
+		return errGuaranteeViolated
 	case c.Complete && !report.Complete():
 		return errIncomplete
 	}
@@ -108,7 +108,7 @@
 	report.Text(os.Stdout)
 	switch {
 	case report.Wrong > 0:
-		return errUnsound
+		return errGuaranteeViolated
 	case c.Complete && !report.Complete():
 		return errIncomplete
 	}
--- a/cmd/hq-soak/main.go
+++ b/cmd/hq-soak/main.go
@@ -40,14 +40,14 @@
 	if _, err := p.ParseArgs(args); err != nil {
 		return err
 	}
-	err := opts.play()
+	err := opts.run()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
 	return err
 }
 
-func (o *options) play() error {
+func (o *options) run() error {
 	profile := soak.Profiles[o.Profile]
 	schedule := profile.Draw(o.Seed, o.Span)
 	if o.Schedule != "" {
