--- a/internal/packed/packed.go
+++ b/internal/packed/packed.go
@@ -20,7 +20,7 @@
 // ErrTooLarge is returned by Decode for a value of more than maxBytes, larger than any that is sent.
 var ErrTooLarge = errors.New("packed value too large")
 
-// compressorPool holds compressors for reuse, whose state is larger than most values.
+// compressorPool reuses compressors, whose state is larger than most values.
 var compressorPool = sync.Pool{New: func() any {
 	// NewWriter fails only for an invalid level, and BestSpeed is valid.
 	w, _ := flate.NewWriter(nil, flate.BestSpeed)
