--- a/internal/daemon/faults_test.go
+++ b/internal/daemon/faults_test.go
@@ -94,7 +94,7 @@
 	p.background.Go(func() {
 		time.Sleep(p.configurationDelay())
 		if time.Since(begun) < simDuration && p.alive() {
-			p.life.Ready()
+			p.life.MarkConfigured()
 		}
 	})
 	time.Sleep(drainAt)
@@ -144,7 +144,7 @@
 	p.waitWhilePaused()
 	p.requests.Wait()
 	if p.alive() {
-		p.life.Drained()
+		p.life.MarkDrained()
 	}
 }
 
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -28,7 +28,7 @@
 	registry := metrics.NewRegistry()
 	j := journal.New("vm1", "hq-test", 4)
 	life := newLifecycle("hq-test", &newMinimalSettings(t).Base, discardLogger, j, nil)
-	handler := adminHandler(adminParams{Life: life, Registry: registry, Journal: j})
+	handler := adminHandler(adminParams{Lifecycle: life, Registry: registry, Journal: j})
 	life.AddDumpSection(ringsSection, func() any { return ringStates(registry) })
 	metrics.GetOrRegisterTimer("entry.answered", registry).Update(1500 * time.Microsecond)
 	metrics.GetOrRegisterGauge("ring.a.b.depth", registry).Update(7)
@@ -51,6 +51,6 @@
 	require.Contains(t, get(t, handler, "/dump?pretty"), "\n    \"process\": \"hq-test\"")
 	require.Len(t, TruncateForDump(make([]int, maxDumpItems+1)), maxDumpItems)
 	require.Len(t, TruncateForDump(make([]int, 3)), 3)
-	life.Note("configure", "contract c1 version 2 is in force", "c1")
+	life.AddJournalEntry("configure", "contract c1 version 2 is in force", "c1")
 	require.Contains(t, get(t, handler, "/journal?pretty"), "\n        \"text\": \"contract c1 version 2 is in force\"")
 }
